--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -68,8 +68,10 @@
     old_us, new_us = map(statistics.median, costs)
     kept = sorted(new / old for old, new in zip(*held, strict=True))
     kib = statistics.median(held[1]) / 1024
-    return (f"{name:8} {old_us:8.1f} us -> {new_us:8.1f} us  x {middle:.3f} ({low:.3f} to {high:.3f})   "
-            f"{kib:7.1f} KiB held, x {kept[1]:.3f} ({kept[0]:.3f} to {kept[2]:.3f})")
+    return (
+        f"{name:8} {old_us:8.1f} us -> {new_us:8.1f} us  x {middle:.3f} ({low:.3f} to {high:.3f})   "
+        f"{kib:7.1f} KiB held, x {kept[1]:.3f} ({kept[0]:.3f} to {kept[2]:.3f})"
+    )
 
 
 def profile(name: str, requests: int, lines: int) -> None:
--- a/benchmarks/beside.py
+++ b/benchmarks/beside.py
@@ -25,11 +25,16 @@
 
 CALLERS = 16  # of each gateway
 KEYED = 4
-ASK = (b"GET /api/%016x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r%d\r\nX-Class: view\r\nPlan: open\r\n"
-       b"X-Deadline: 4000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n")
+ASK = (
+    b"GET /api/%016x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r%d\r\nX-Class: view\r\nPlan: open\r\n"
+    b"X-Deadline: 4000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
+)
 SETTINGS = {
     "grades": [{"name": "view", "objective_ms": 1500.0, "deadline_ms": 4000.0, "effect": "safe"}],
-    "packages": [{"name": "open"}], "fleet_size": 1, "bounds": {"try_limit": 3, "cancel": True}}
+    "packages": [{"name": "open"}],
+    "fleet_size": 1,
+    "bounds": {"try_limit": 3, "cancel": True},
+}
 
 
 class _Good(asyncio.Protocol):
@@ -80,8 +85,12 @@
         self._children: list[asyncio.subprocess.Process] = []
 
     async def _spawn(self, core: int, *words: str) -> asyncio.subprocess.Process:
-        child = await spawn([sys.executable, "-m", "benchmarks.beside", *words], ROOT,
-                            {**os.environ, "PYTHONPATH": str(ROOT)}, stdout=asyncio.subprocess.PIPE)
+        child = await spawn(
+            [sys.executable, "-m", "benchmarks.beside", *words],
+            ROOT,
+            {**os.environ, "PYTHONPATH": str(ROOT)},
+            stdout=asyncio.subprocess.PIPE,
+        )
         os.sched_setaffinity(child.pid, {core})
         self._children.append(child)
         return child
@@ -89,19 +98,37 @@
     async def start(self) -> None:
         server = await self._spawn(self.core + 2, "--serve")
         port = int(await server.stdout.readline())
-        raw = {"discovery": f"{HOST}:1", "seed": "1", "limits": {"memory_mb": 192, "sockets": 512},
-               "settings": SETTINGS | {"me": 0},
-               "known": {"generation": 1, "reset": True, "instances": [
-                   {"instanceId": "s", "hostPort": f"{HOST}:{port}", "zone": "a", "machineType": "m",
-                    "cell": 0, "lifecycle": "ready", "weight": 100.0, "startedAtMs": 0}]}}
+        raw = {
+            "discovery": f"{HOST}:1",
+            "seed": "1",
+            "limits": {"memory_mb": 192, "sockets": 512},
+            "settings": SETTINGS | {"me": 0},
+            "known": {
+                "generation": 1,
+                "reset": True,
+                "instances": [
+                    {
+                        "instanceId": "s",
+                        "hostPort": f"{HOST}:{port}",
+                        "zone": "a",
+                        "machineType": "m",
+                        "cell": 0,
+                        "lifecycle": "ready",
+                        "weight": 100.0,
+                        "startedAtMs": 0,
+                    }
+                ],
+            },
+        }
         self.gateway = GatewayProcess(self.name, self.folder / self.name, raw)
         await self.gateway.start()
         os.sched_setaffinity(self.gateway.process.pid, {self.core})
 
     async def play(self, seconds: float) -> list[float]:
         """Answers, and p50, p99, p99.9 in ms."""
-        caller = await self._spawn(self.core + 4, "--call", str(self.gateway.listen), "--seconds",
-                                   str(seconds))
+        caller = await self._spawn(
+            self.core + 4, "--call", str(self.gateway.listen), "--seconds", str(seconds)
+        )
         return [float(word) for word in (await caller.stdout.read()).split()]
 
     async def stop(self) -> None:
@@ -140,11 +167,15 @@
             for side in (with_replica, without):
                 await side.stop()
         for side, (count, p50, p99, p999) in zip(("with a replica", "without"), told, strict=True):
-            print(f"{side:16} {count / seconds:8.0f} a second   p50 {p50:.2f}   p99 {p99:.2f}   "
-                  f"p99.9 {p999:.2f} ms")
+            print(
+                f"{side:16} {count / seconds:8.0f} a second   p50 {p50:.2f}   p99 {p99:.2f}   "
+                f"p99.9 {p999:.2f} ms"
+            )
         risen = sum(after[group] - term for group, term in terms.items())
-        print(f"{seconds:.0f} s, {'one core' if shared else 'cores of their own'}: elections {risen}, "
-              f"p99 x {told[0][2] / told[1][2]:.3f}, rate x {told[0][0] / told[1][0]:.3f}")
+        print(
+            f"{seconds:.0f} s, {'one core' if shared else 'cores of their own'}: elections {risen}, "
+            f"p99 x {told[0][2] / told[1][2]:.3f}, rate x {told[0][0] / told[1][0]:.3f}"
+        )
 
 
 def main() -> None:
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -42,8 +42,12 @@
         while time.perf_counter() < until:
             number += 1
             began = time.perf_counter()
-            await until_done(client, "PUT", f"/v1/endpoints/w{writer}", {
-                "hostPort": f"{HOST}:1", "ttlMs": 60000, "startedAtMs": number})
+            await until_done(
+                client,
+                "PUT",
+                f"/v1/endpoints/w{writer}",
+                {"hostPort": f"{HOST}:1", "ttlMs": 60000, "startedAtMs": number},
+            )
             took.append((time.perf_counter() - began) * 1000)
 
     began = time.perf_counter()
@@ -60,10 +64,17 @@
 async def alone(folder: Path, options: argparse.Namespace) -> None:
     """The list service as one process."""
     config = folder / "registry.json"
-    config.write_text(json.dumps({"listen": f"{HOST}:0", "ops": f"{HOST}:0", "folder": str(folder / "alone"),
-                                  "settle_ms": 0}))
-    process = await spawn_module(*hindered("yewstage.registry", options.sync_ms), "--config", str(config),
-                                 stderr=asyncio.subprocess.PIPE)
+    config.write_text(
+        json.dumps(
+            {"listen": f"{HOST}:0", "ops": f"{HOST}:0", "folder": str(folder / "alone"), "settle_ms": 0}
+        )
+    )
+    process = await spawn_module(
+        *hindered("yewstage.registry", options.sync_ms),
+        "--config",
+        str(config),
+        stderr=asyncio.subprocess.PIPE,
+    )
     while "listening on" not in (line := (await process.stderr.readline()).decode()):
         assert line, "it ended at its start"
     clients = [Client([(HOST, int(line.rsplit(":", 1)[1]))]) for _ in range(options.writers)]
@@ -100,8 +111,10 @@
         await machines.init(machines.all, keyed)
         await machines.whole()
         clients = [machines.client() for _ in range(options.writers)]
-        say(f"keys in {keyed} groups, {options.machines} machines",
-            *await claims(clients, keyed, options.seconds))
+        say(
+            f"keys in {keyed} groups, {options.machines} machines",
+            *await claims(clients, keyed, options.seconds),
+        )
 
 
 async def many(folder: Path, options: argparse.Namespace) -> None:
@@ -125,8 +138,10 @@
         took_s = time.perf_counter() - began
         looking.cancel()
         status = await machines.whole()
-        print(f"{done:,} writes of {options.writers} servers' records in {took_s:.0f} s, index "
-              f"{status[LIST]['commit']:,}: at the most {most[0]:,} bytes on a disk")
+        print(
+            f"{done:,} writes of {options.writers} servers' records in {took_s:.0f} s, index "
+            f"{status[LIST]['commit']:,}: at the most {most[0]:,} bytes on a disk"
+        )
 
 
 async def copied(folder: Path, options: argparse.Namespace) -> None:
@@ -157,7 +172,7 @@
 
     tasks: list[asyncio.Task] = []
     for first in range(0, count, 300):  # not all dials at once
-        tasks += [asyncio.create_task(one(client)) for client in clients[first:first + 300]]
+        tasks += [asyncio.create_task(one(client)) for client in clients[first : first + 300]]
         while sum([await _held(machine.ops) for machine in machines.all]) < len(tasks):
             await asyncio.sleep(0.05)
             for task in tasks:
@@ -168,8 +183,10 @@
     answered = time.perf_counter()
     await asyncio.gather(*tasks)
     write, last, half = ((t - began) * 1000 for t in (answered, max(at), float(np.median(at))))
-    print(f"{count} watches over three: the write took {write:.1f} ms, the last was told {last:.0f} ms after "
-          f"it began, half {half:.0f} ms")
+    print(
+        f"{count} watches over three: the write took {write:.1f} ms, the last was told {last:.0f} ms after "
+        f"it began, half {half:.0f} ms"
+    )
 
 
 async def _held(ops: int) -> float:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -53,8 +53,10 @@
     began_again = net.now
     net.start(5)
     back = net.until_agreed(300_000)
-    return (f"lost: first {(told[0] - began) / 1000:.1f}, last {(told[-1] - began) / 1000:.1f} s; "
-            f"back: {back / 1000:.1f} s after {began_again / 1000:.0f}")
+    return (
+        f"lost: first {(told[0] - began) / 1000:.1f}, last {(told[-1] - began) / 1000:.1f} s; "
+        f"back: {back / 1000:.1f} s after {began_again / 1000:.0f}"
+    )
 
 
 def merged(net: Net) -> str:
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -83,8 +83,10 @@
     await registry.stop()
     files.close()
     cpu_us, last_ms = statistics.median(cpu) * 1e6, statistics.median(last) * 1e3
-    return (f"{count:5} watches: {held / 1024:5.1f} KiB each; a change costs {cpu_us:7.0f} us CPU, "
-            f"{cpu_us / count:6.1f} us a watch; the last is told {last_ms:5.2f} ms after the write began")
+    return (
+        f"{count:5} watches: {held / 1024:5.1f} KiB each; a change costs {cpu_us:7.0f} us CPU, "
+        f"{cpu_us / count:6.1f} us a watch; the last is told {last_ms:5.2f} ms after the write began"
+    )
 
 
 def restart(folder: Path, count: int) -> str:
@@ -109,8 +111,10 @@
             files.compact(again.snapshot())
         files.close()
         del entries, again  # to give them back takes time, too
-    return (f"{count:7} entries: read in {times[0] * 1e3:7.1f} ms, {times[0] / count * 1e6:.1f} us each; "
-            f"behind their snapshot in {times[1] * 1e3:.1f} ms")
+    return (
+        f"{count:7} entries: read in {times[0] * 1e3:7.1f} ms, {times[0] / count * 1e6:.1f} us each; "
+        f"behind their snapshot in {times[1] * 1e3:.1f} ms"
+    )
 
 
 async def main() -> None:
--- a/benchmarks/scenes.py
+++ b/benchmarks/scenes.py
@@ -15,49 +15,84 @@
 
 CLIENTS = 16  # requests open at once
 HOSTS, COUNTER, DISCOVERY = 8081, 6400, 8500  # ports, by which a stand-in knows what it is
-SMALL = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nBilled-Units: 2\r\n" \
-        b"X-Load: load_share=0.41,concurrent=3,depth=0\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
+SMALL = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nBilled-Units: 2\r\n"
+    b"X-Load: load_share=0.41,concurrent=3,depth=0\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
+)
 CLOSING = SMALL.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
 PIECE = b"x" * 16384
 LONG_PIECES = 16
 LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LONG_PIECES * len(PIECE))
 TOTAL = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
 CONFIG = {
-    "name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "discovery": f"127.0.0.1:{DISCOVERY}",
-    "counter": f"127.0.0.1:{COUNTER}", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-    "known": {"generation": 1, "reset": True, "instances": [
-        {"instanceId": f"s-{i}", "hostPort": f"127.0.0.{i + 1}:{HOSTS}", "zone": "ab"[i % 2],
-         "machineType": "m", "cell": i % 3, "lifecycle": "ready", "weight": 1.0, "startedAtMs": 0}
-        for i in range(12)]},
+    "name": "n0",
+    "listen": "127.0.0.1:0",
+    "seed": "8c1f30d27a5be964",
+    "discovery": f"127.0.0.1:{DISCOVERY}",
+    "counter": f"127.0.0.1:{COUNTER}",
+    "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+    "known": {
+        "generation": 1,
+        "reset": True,
+        "instances": [
+            {
+                "instanceId": f"s-{i}",
+                "hostPort": f"127.0.0.{i + 1}:{HOSTS}",
+                "zone": "ab"[i % 2],
+                "machineType": "m",
+                "cell": i % 3,
+                "lifecycle": "ready",
+                "weight": 1.0,
+                "startedAtMs": 0,
+            }
+            for i in range(12)
+        ],
+    },
     "settings": {
         "grades": [
             {"name": "view", "objective_ms": 1500.0, "deadline_ms": 4000.0, "worth": 1.0, "effect": "safe"},
-            {"name": "post", "objective_ms": 1200.0, "deadline_ms": 4000.0, "worth": 3.0,
-             "effect": "unsafe"}],
+            {"name": "post", "objective_ms": 1200.0, "deadline_ms": 4000.0, "worth": 3.0, "effect": "unsafe"},
+        ],
         "packages": [
             {"name": "team", "refill": 1e6, "burst": 1e6, "worth_factor": 1.0},
-            {"name": "small", "refill": 0.001, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0}],
-        "fleet_size": 3, "me": 0, "zone": "a", "tick_ms": 2.0, "clients": {"marks_retry": True},
-        "bounds": {"try_limit": 6, "cancel": True, "retry_after": True, "max_retry_after_ms": 2000.0,
-                   "dial_timeout_ms": 250.0, "conn_idle_ms": 15000.0},
-        "family_info": {"may_count": True, "count_wait_ms": 50.0, "trued_up": True}}}
+            {"name": "small", "refill": 0.001, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0},
+        ],
+        "fleet_size": 3,
+        "me": 0,
+        "zone": "a",
+        "tick_ms": 2.0,
+        "clients": {"marks_retry": True},
+        "bounds": {
+            "try_limit": 6,
+            "cancel": True,
+            "retry_after": True,
+            "max_retry_after_ms": 2000.0,
+            "dial_timeout_ms": 250.0,
+            "conn_idle_ms": 15000.0,
+        },
+        "family_info": {"may_count": True, "count_wait_ms": 50.0, "trued_up": True},
+    },
+}
 
 
 def request(cls: str = "view", plan: str = "team", body: bytes = b"", customer: int = 1) -> bytes:
     """One request as a client writes it."""
     method = "POST" if body else "GET"
     length = f"Content-Length: {len(body)}\r\n" if body else ""
-    return (f"{method} /api/{customer:016x} HTTP/1.1\r\nHost: origin.svc\r\n"
-            f"X-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: {cls}\r\nPlan: {plan}\r\nX-Deadline: 4000m\r\n"
-            f"User-Agent: desk/4.1\r\nAccept: */*\r\n{length}"
-            f"Quota-Info: units=2,spread=3,first=0\r\n\r\n").encode() + body
+    return (
+        f"{method} /api/{customer:016x} HTTP/1.1\r\nHost: origin.svc\r\n"
+        f"X-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: {cls}\r\nPlan: {plan}\r\nX-Deadline: 4000m\r\n"
+        f"User-Agent: desk/4.1\r\nAccept: */*\r\n{length}"
+        f"Quota-Info: units=2,spread=3,first=0\r\n\r\n"
+    ).encode() + body
 
 
 class Transport:
     """The near end of a connection whose far end is a stand-in."""
 
-    def __init__(self, written: Callable[[bytes], None], lost: Callable[[None], None],
-                 soon: Callable[..., object]) -> None:
+    def __init__(
+        self, written: Callable[[bytes], None], lost: Callable[[None], None], soon: Callable[..., object]
+    ) -> None:
         self.write, self._lost, self._soon = written, lost, soon
         self._closing = False
 
@@ -145,8 +180,14 @@
 class Sockets:
     """Requests that go through the whole program."""
 
-    def __init__(self, tree: SimpleNamespace, data: bytes, answers: list[bytes], refused: bool = False,
-                 fresh: bool = False) -> None:
+    def __init__(
+        self,
+        tree: SimpleNamespace,
+        data: bytes,
+        answers: list[bytes],
+        refused: bool = False,
+        fresh: bool = False,
+    ) -> None:
         self.tree, self._wanted = tree, (b"200", b"503") if refused else (b"200",)  # the first are let in
         body = sum(map(len, answers)) - answers[0].index(b"\r\n\r\n")
         self.longest = 1 if refused else body  # so many bytes are an answer
@@ -197,8 +238,10 @@
         settings = dataclasses.replace(tree.config.parse(CONFIG).settings, fleet_size=gateways)
         self._gateway = tree.policy.Gateway(settings, 1)
         self._now, self._serial, self._sweep_at = 1e6, 0, 0.0
-        self._gateway.handle(self._now, api.ServerList("full", tuple(
-            api.Server(f"s-{i}", "ab"[i % 2], i % 3) for i in range(servers))))
+        self._gateway.handle(
+            self._now,
+            api.ServerList("full", tuple(api.Server(f"s-{i}", "ab"[i % 2], i % 3) for i in range(servers))),
+        )
 
     def run(self, requests: int) -> None:
         """So many requests, 16 out at once, with sweeps and counts as they come."""
@@ -210,8 +253,19 @@
             self._give(api.Request(rid, "view", "team", f"c{self._serial % 40}", 4000.0, 2.0, 3, 0), out)
             if len(out) > CLIENTS:
                 sent = out.pop(0)
-                self._give(api.Outcome(sent.request, 0, sent.server, api.OK, 60.0, True, true_units=2.0,
-                                       report={"util": 0.4, "inflight": 3, "queue": 0}), out)
+                self._give(
+                    api.Outcome(
+                        sent.request,
+                        0,
+                        sent.server,
+                        api.OK,
+                        60.0,
+                        True,
+                        true_units=2.0,
+                        report={"util": 0.4, "inflight": 3, "queue": 0},
+                    ),
+                    out,
+                )
             if self._now >= self._sweep_at:
                 self._sweep_at = self._now + 100.0
                 self._give(api.TimerDue("sweep"), out)
--- a/benchmarks/trees.py
+++ b/benchmarks/trees.py
@@ -15,8 +15,13 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = "yewstage"
-MODULES = {"api": "interface", "policy": "policy", "clients": "net.clients", "core": "net.core",
-           "config": "net.config"}
+MODULES = {
+    "api": "interface",
+    "policy": "policy",
+    "clients": "net.clients",
+    "core": "net.core",
+    "config": "net.config",
+}
 
 
 def load(folder: Path) -> SimpleNamespace:
@@ -24,8 +29,9 @@
     _forget()
     sys.path.insert(0, str(folder))
     try:
-        tree = SimpleNamespace(**{short: importlib.import_module(f"{PACKAGE}.{name}")
-                                  for short, name in MODULES.items()})
+        tree = SimpleNamespace(
+            **{short: importlib.import_module(f"{PACKAGE}.{name}") for short, name in MODULES.items()}
+        )
     finally:
         sys.path.remove(str(folder))
         _forget()
@@ -47,8 +53,9 @@
 @contextmanager
 def revision(name: str) -> Iterator[Path]:
     """A folder with the program as it was at a revision."""
-    packed = subprocess.run(["git", "archive", "--format=tar", name, PACKAGE], cwd=ROOT, check=True,
-                            stdout=subprocess.PIPE).stdout
+    packed = subprocess.run(
+        ["git", "archive", "--format=tar", name, PACKAGE], cwd=ROOT, check=True, stdout=subprocess.PIPE
+    ).stdout
     with TemporaryDirectory() as folder:
         with tarfile.open(fileobj=io.BytesIO(packed)) as tar:
             tar.extractall(folder, filter="data")
--- a/plumwall/cli/check.py
+++ b/plumwall/cli/check.py
@@ -80,8 +80,15 @@
 def _holding(file: Path) -> dict[str, object]:
     made: HoldingConfig = holding(read(str(file)))
     peers = ", ".join(sorted(made.peers))
-    return {"cluster": made.cluster, "name": made.name, "zone": made.zone, "peer": _text(made.peer),
-            "peers": peers, "listen": _text(made.service.listen), "folder": str(made.service.folder)}
+    return {
+        "cluster": made.cluster,
+        "name": made.name,
+        "zone": made.zone,
+        "peer": _text(made.peer),
+        "peers": peers,
+        "listen": _text(made.service.listen),
+        "folder": str(made.service.folder),
+    }
 
 
 def _registry(file: Path) -> dict[str, object]:
--- a/plumwall/cli/limits.py
+++ b/plumwall/cli/limits.py
@@ -17,9 +17,7 @@
 @click.option("--gateways", type=click.IntRange(1), default=1, show_default=True, help="How many there are.")
 @click.option("--floor", type=click.FloatRange(0), default=0.0, show_default=True, help="Of a bounded plan.")
 @as_json
-def limits(
-    customer: str, plan: str, at: list[Address], gateways: int, floor: float, json_: bool
-) -> None:
+def limits(customer: str, plan: str, at: list[Address], gateways: int, floor: float, json_: bool) -> None:
     """Show what gateways were granted of a CUSTOMER's quota, by the holding that grants it.
 
     In `strict` (no floor) no more is ever spent than the quota gives; in `bounded` at most
--- a/plumwall/cli/members.py
+++ b/plumwall/cli/members.py
@@ -90,8 +90,18 @@
     for name, row in sorted(newest.items()):
         differ = [one["name"] for one in told if one.get("started") and _state(one, name) != row["state"]]
         since = f"{row['sinceMs'] / 1000:.1f} s"
-        rows.append([name, row["zone"], row["region"], row["state"], since, row["incarnation"], row["by"],
-                     ", ".join(differ)])
+        rows.append(
+            [
+                name,
+                row["zone"],
+                row["region"],
+                row["state"],
+                since,
+                row["incarnation"],
+                row["by"],
+                ", ".join(differ),
+            ]
+        )
     return rows
 
 
--- a/plumwall/emulator/timing.py
+++ b/plumwall/emulator/timing.py
@@ -7,8 +7,9 @@
 from collections.abc import Callable
 
 
-def not_before(loop: asyncio.AbstractEventLoop, at_ms: float, call: Callable[..., None], *args: object
-               ) -> None:
+def not_before(
+    loop: asyncio.AbstractEventLoop, at_ms: float, call: Callable[..., None], *args: object
+) -> None:
     """Call at a time of the shared clock (monotonic, ms) or just behind it, never ahead of it.
 
     A loop counts whole milliseconds from when its turn began: a timer of its own may fire up to one early.
--- a/plumwall/faults/fleet.py
+++ b/plumwall/faults/fleet.py
@@ -137,4 +137,3 @@
                 if all(seen.get(one) == state for one, state in states.items()):
                     break
                 await asyncio.sleep(LOOK_S)
-
--- a/plumwall/faults/gateways.py
+++ b/plumwall/faults/gateways.py
@@ -157,9 +157,7 @@
         finally:
             writer.transport.abort()
 
-    async def _one(
-        self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
-    ) -> bool:
+    async def _one(self, head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         lines = head.decode("latin-1").lower().split("\r\n")
         headers = dict(line.split(": ", 1) for line in lines[1:] if ": " in line)
         await reader.readexactly(int(headers.get("content-length", "0")))
@@ -177,7 +175,9 @@
         if mood < self.moods.not_run + self.moods.unheard + self.moods.slow:
             await asyncio.sleep(self.moods.slow_s * self.rng.random())
         writer.write(
-            f"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: {len(answer)}\r\n\r\n{answer}"
-            .encode()
+            (
+                "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
+                f"Content-Length: {len(answer)}\r\n\r\n{answer}"
+            ).encode()
         )
         return True
--- a/plumwall/faults/keyed.py
+++ b/plumwall/faults/keyed.py
@@ -105,9 +105,7 @@
             await machines.whole()
             try:
                 await self._start_gateways(machines)
-                clients = [
-                    asyncio.create_task(self._client(i, rng)) for i, rng in enumerate(self._rngs[1:])
-                ]
+                clients = [asyncio.create_task(self._client(i, rng)) for i, rng in enumerate(self._rngs[1:])]
                 try:
                     for number in range(1, rounds + 1):
                         await self._round(number, machines)
--- a/plumwall/faults/shares.py
+++ b/plumwall/faults/shares.py
@@ -26,9 +26,20 @@
 from yewstage.holding.kinds import group_of
 from yewstage.policy import account
 
-FAULTS = ("quiet", "leader_lost", "leader_cut", "leader_paused", "clock_off", "gateway_killed",
-          "all_gateways_killed", "gateway_stopped", "gateway_cut", "holding_down", "holding_slow",
-          "holding_killed")
+FAULTS = (
+    "quiet",
+    "leader_lost",
+    "leader_cut",
+    "leader_paused",
+    "clock_off",
+    "gateway_killed",
+    "all_gateways_killed",
+    "gateway_stopped",
+    "gateway_cut",
+    "holding_down",
+    "holding_slow",
+    "holding_killed",
+)
 CUSTOMER, PLAN = "00000000000000aa", "basic"
 MARK_S, FAULT_S, ROUND_S = 0.1, 4.0, 60.0
 DEADLINE_MS = 2000.0
@@ -160,8 +171,12 @@
                 "limits": {"memory_mb": 192, "sockets": 512},
                 "known": {"generation": 1, "reset": True, "instances": [listed("s", port)]},
                 "settings": {
-                    "grades": [grade], "packages": [package], "fleet_size": plan.gateways, "me": number,
-                    "tick_ms": 2.0, "bounds": {"try_limit": 2, "cancel": True},
+                    "grades": [grade],
+                    "packages": [package],
+                    "fleet_size": plan.gateways,
+                    "me": number,
+                    "tick_ms": 2.0,
+                    "bounds": {"try_limit": 2, "cancel": True},
                 },
                 "holding": [f"{HOST}:{way.address[1]}" for way in ways],
             }
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -82,9 +82,7 @@
         self.time = 0.0
         self.cut: set[tuple[int, int]] = set()
         self.table = begin(GROUPS, tuple(m.member for m in self.machines), COPIES, 0.0, {})
-        self.groups = {
-            p.group: Copies(p.members, {m.id for m in p.members}) for p in self.table.placed
-        }
+        self.groups = {p.group: Copies(p.members, {m.id for m in p.members}) for p in self.table.placed}
 
     def _member(self, name: str, zone: str) -> Member:
         return Member(f"{name}.{next(self._disks)}", name, zone, "", "")
@@ -387,8 +385,10 @@
     rng, began = np.random.default_rng(np.random.SeedSequence(seed)), time.perf_counter()
     weights = np.array(list(KINDS.values())) / sum(KINDS.values())
     drawn = rng.choice(list(KINDS), length, p=weights)
-    plan = tuple((str(name), str(a), str(b)) for name, (a, b) in
-                 zip(drawn, rng.integers(0, (SIZE, 84), (length, 2)), strict=True))
+    plan = tuple(
+        (str(name), str(a), str(b))
+        for name, (a, b) in zip(drawn, rng.integers(0, (SIZE, 84), (length, 2)), strict=True)
+    )
     found = Found(plans=1, seed=seed, scene="places", steps=length)
     ends, why = ending(plan, decisions)
     if why:
@@ -415,8 +415,9 @@
     total = Found(scene="places")
     for seed in seeds:
         found = walk(seed, length, decisions)
-        total = replace(total, plans=total.plans + 1, steps=total.steps + found.steps,
-                        took_s=total.took_s + found.took_s)
+        total = replace(
+            total, plans=total.plans + 1, steps=total.steps + found.steps, took_s=total.took_s + found.took_s
+        )
         if found.breach:
             return replace(total, breach=found.breach, plan=found.plan, seed=seed)
     return total
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -19,8 +19,9 @@
 
     __slots__ = ("front", "first", "number", "id", "gateway", "due", "timer", "over", "late")
 
-    def __init__(self, front: Front, first: FirstTry, number: int, rid: str, gateway: str, due: float
-                 ) -> None:
+    def __init__(
+        self, front: Front, first: FirstTry, number: int, rid: str, gateway: str, due: float
+    ) -> None:
         self.front, self.first, self.number, self.id = front, first, number, rid
         self.gateway, self.due = gateway, due
         self.over = self.late = False
@@ -38,8 +39,14 @@
 class Front:
     """Sends each try when it is due to one of its customer's gateways, and retries as clients do."""
 
-    def __init__(self, drawn: Drawn, clock: Clock, write: Callable[[r.Record], None],
-                 gateways: Mapping[str, SimGateway], overdue_ms: float) -> None:
+    def __init__(
+        self,
+        drawn: Drawn,
+        clock: Clock,
+        write: Callable[[r.Record], None],
+        gateways: Mapping[str, SimGateway],
+        overdue_ms: float,
+    ) -> None:
         self.drawn, self._clock, self._write = drawn, clock, write
         self._gateways, self._overdue_ms = gateways, overdue_ms
         self._names = [g.name for g in drawn.gateways]
@@ -80,8 +87,7 @@
         if not self._up[names[gateway]]:  # another of its set, the next one round
             ring = [(gateway + step) % len(names) for step in range(1, len(names))]
             ring = [
-                g for g in ring
-                if (g - customer.first) % len(names) < customer.width and self._up[names[g]]
+                g for g in ring if (g - customer.first) % len(names) < customer.width and self._up[names[g]]
             ]
             gateway = ring[0] if ring else gateway
         rid = request_id(first.index, number, gateway, self.drawn.seed)
@@ -103,9 +109,14 @@
         target.request(
             pending,
             {
-                "rid": rid, "left_ms": float(f"{left:.0f}"), "cls": cls.name,
-                "plan": self.drawn.plans[customer.plan].name, "customer": customer.id,
-                "units": float(first.guess), "width": customer.width, "first": customer.first,
+                "rid": rid,
+                "left_ms": float(f"{left:.0f}"),
+                "cls": cls.name,
+                "plan": self.drawn.plans[customer.plan].name,
+                "customer": customer.id,
+                "units": float(first.guess),
+                "width": customer.width,
+                "first": customer.first,
                 "repeat": number > 0,
             },
         )
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -55,11 +55,26 @@
 class Attempt:
     """One attempt at a server."""
 
-    __slots__ = ("request", "number", "lane", "gateway", "rid", "fresh", "expires_ms", "sent_at", "linked",
-                 "done", "timer", "waits", "owner", "start_by")
+    __slots__ = (
+        "request",
+        "number",
+        "lane",
+        "gateway",
+        "rid",
+        "fresh",
+        "expires_ms",
+        "sent_at",
+        "linked",
+        "done",
+        "timer",
+        "waits",
+        "owner",
+        "start_by",
+    )
 
-    def __init__(self, owner: SimGateway, request: Open, number: int, lane: Lane, wait_ms: float,
-                 start_ms: float) -> None:
+    def __init__(
+        self, owner: SimGateway, request: Open, number: int, lane: Lane, wait_ms: float, start_ms: float
+    ) -> None:
         now = owner.clock.now
         self.owner, self.request, self.number, self.lane = owner, request, number, lane
         self.gateway, self.rid = owner.spec.name, request.rid
@@ -267,8 +282,13 @@
         self.life += 1
         seed = int(self._drawn.dice.stream("gateway", self.spec.name, self.life).integers(2**63))
         raw = {
-            "name": self.spec.name, "listen": "sim:1", "discovery": "sim:2", "counter": "sim:3",
-            "seed": f"{seed:016x}", "settings": self._drawn.settings(self.spec), "known": self._kept,
+            "name": self.spec.name,
+            "listen": "sim:1",
+            "discovery": "sim:2",
+            "counter": "sim:3",
+            "seed": f"{seed:016x}",
+            "settings": self._drawn.settings(self.spec),
+            "known": self._kept,
             "limits": {"sockets": self._drawn.scenario.fleet.sockets},
         }
         config: Config = parse(raw)
@@ -379,8 +399,19 @@
         request = self._open[rid] = Open(rid, client, cls, now + left_ms - GUARD_MS)
         request.guard = self.clock.at(request.end_at, self._guard, request)
         self._post(
-            api.Request(rid, cls.name, words["plan"], words["customer"], left_ms - MODULE_MS,
-                        words["units"], words["width"], words["first"], words["repeat"], True, cls)
+            api.Request(
+                rid,
+                cls.name,
+                words["plan"],
+                words["customer"],
+                left_ms - MODULE_MS,
+                words["units"],
+                words["width"],
+                words["first"],
+                words["repeat"],
+                True,
+                cls,
+            )
         )
 
     def left(self, rid: str) -> None:
@@ -463,20 +494,51 @@
         """An attempt's one end."""
         self._work(COST_END, self._ended, attempt, result, units, report, self.clock.now)
 
-    def _ended(self, attempt: Attempt, result: str, units: float, report: dict[str, float], at: float
-               ) -> None:
+    def _ended(
+        self, attempt: Attempt, result: str, units: float, report: dict[str, float], at: float
+    ) -> None:
         request = attempt.request
         if result == api.OK:
             self._answer(request, 200)
         final = request.client is None
         self._forget(request)
-        self._outcome(request.rid, attempt.number, attempt.lane.host.spec.name, result,
-                      at - attempt.sent_at, final, units, report, not attempt.linked)
+        self._outcome(
+            request.rid,
+            attempt.number,
+            attempt.lane.host.spec.name,
+            result,
+            at - attempt.sent_at,
+            final,
+            units,
+            report,
+            not attempt.linked,
+        )
 
-    def _outcome(self, rid: str, number: int, server: str, result: str, took_ms: float, final: bool,
-                 units: float = 0.0, report: dict[str, float] | None = None, unbegun: bool = False) -> None:
-        self._post(api.Outcome(rid, number, server, result, took_ms, final, true_units=units,
-                               report=report or {}, unbegun=unbegun))
+    def _outcome(
+        self,
+        rid: str,
+        number: int,
+        server: str,
+        result: str,
+        took_ms: float,
+        final: bool,
+        units: float = 0.0,
+        report: dict[str, float] | None = None,
+        unbegun: bool = False,
+    ) -> None:
+        self._post(
+            api.Outcome(
+                rid,
+                number,
+                server,
+                result,
+                took_ms,
+                final,
+                true_units=units,
+                report=report or {},
+                unbegun=unbegun,
+            )
+        )
 
     # --- List and counter ---------------------------------------------------------------------------------
 
@@ -508,8 +570,9 @@
 
     def _count(self, act: api.Count) -> None:
         sent_at, life = self.clock.now, self.life
-        wait = self.clock.after(self._settings.count_wait_ms, self._counted, act.name, api.TIMED_OUT, 0.0,
-                                sent_at, life)
+        wait = self.clock.after(
+            self._settings.count_wait_ms, self._counted, act.name, api.TIMED_OUT, 0.0, sent_at, life
+        )
 
         def told(total: float | None) -> None:
             if wait.call is not None:
@@ -565,5 +628,3 @@
         refusals = {why: float(n) for why, n in sorted(self.refusals.items())}
         pressure, admitted = round(self.module.q, 4), round(self.module.f, 4)
         return r.Figures(self.clock.now, self.spec.name, refusals, pressure, admitted)
-
-
--- a/plumwall/simulate/hosts.py
+++ b/plumwall/simulate/hosts.py
@@ -58,9 +58,7 @@
         self._end("reset")
         rules = self._hosts.drawn.scenario.rules
         now = self._clock.now
-        self.model = Server(
-            self.spec, self._pod, self._rng, now, cold, rules.fall_multiple, rules.fall_ms
-        )
+        self.model = Server(self.spec, self._pod, self._rng, now, cold, rules.fall_multiple, rules.fall_ms)
         self.silent = False
         if cold:
             self._hosts.write(r.ServerIs(now, self.spec.name, "started"))
@@ -241,8 +239,9 @@
         )
         self._cut: frozenset[str] = frozenset()
 
-    def call(self, gateway: str, name: str, amount: float, keep_ms: float,
-             told: Callable[[float | None], None]) -> bool:
+    def call(
+        self, gateway: str, name: str, amount: float, keep_ms: float, told: Callable[[float | None], None]
+    ) -> bool:
         """One call; `told` of its total, or None where it was turned away. False: nobody hears it."""
         now = self._clock.now
         if gateway in self._cut:
@@ -337,8 +336,9 @@
         addresses = {server.name: f"sim:{1 + i}" for i, server in enumerate(drawn.servers)}
         self.all = {g.name: self._agent(g, addresses, drawn, write) for g in drawn.gateways}
 
-    def _agent(self, gateway: GatewaySpec, addresses: dict[str, str], drawn: Drawn,
-               write: Callable[[r.Record], None]) -> AgentHost:
+    def _agent(
+        self, gateway: GatewaySpec, addresses: dict[str, str], drawn: Drawn, write: Callable[[r.Record], None]
+    ) -> AgentHost:
         agent = Agent(gateway.name, addresses)
         for server in drawn.servers:
             if server.at_start:
--- a/plumwall/simulate/run.py
+++ b/plumwall/simulate/run.py
@@ -54,8 +54,14 @@
         self._agents = Agents(self.drawn, self.clock, write)
         self.gateways = {
             spec.name: SimGateway(
-                spec, self.drawn, self.clock, self._hosts, self._counter, self._agents.all[spec.name],
-                write, make,
+                spec,
+                self.drawn,
+                self.clock,
+                self._hosts,
+                self._counter,
+                self._agents.all[spec.name],
+                write,
+                make,
             )
             for spec in self.drawn.gateways
         }
@@ -112,9 +118,16 @@
         for gateway in self.gateways.values():
             reasons.update(gateway.refusals)
         outcome = Outcome(
-            verdict, tally.rows(), "", 0.0, tally.offered_count, tally.offered_count / seconds,
-            *tally.most_in_a_second(), dict(reasons.most_common()),
-            {name: round(gateway.busy_ms / 1000, 6) for name, gateway in self.gateways.items()}, {},
+            verdict,
+            tally.rows(),
+            "",
+            0.0,
+            tally.offered_count,
+            tally.offered_count / seconds,
+            *tally.most_in_a_second(),
+            dict(reasons.most_common()),
+            {name: round(gateway.busy_ms / 1000, 6) for name, gateway in self.gateways.items()},
+            {},
             str(folder),
         )
         kept = msgspec.structs.replace(outcome, folder="")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,8 +24,9 @@
 hypothesis.settings.load_profile("steady")
 
 SAFE = api.RequestClass("read", aim_ms=1000, deadline_ms=4000, worth=3)
-KEYED = api.RequestClass("put", aim_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone",
-                         window_ms=3000)
+KEYED = api.RequestClass(
+    "put", aim_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone", window_ms=3000
+)
 UNSAFE = api.RequestClass("pay", aim_ms=1000, deadline_ms=4000, worth=5, effect="unsafe")
 PLAN = api.Plan("basic", rate=2, burst=6)
 CAPPED = api.Plan("capped", rate=5, burst=10, worth=1.4, over_worth=0.2, ceiling_rate=10, ceiling_burst=20)
@@ -34,9 +35,20 @@
 
 def settings(**changes: object) -> api.Settings:
     base = api.Settings(
-        classes=(SAFE, KEYED, UNSAFE), plans=(PLAN, CAPPED, OPEN), fleet_size=3, try_limit=4,
-        cancel=True, retry_after=True, max_retry_after_ms=2000, may_count=True, tick_ms=2,
-        cold_from=0.2, cold_ms=10000, fall_multiple=3, tip_after_ms=2000)
+        classes=(SAFE, KEYED, UNSAFE),
+        plans=(PLAN, CAPPED, OPEN),
+        fleet_size=3,
+        try_limit=4,
+        cancel=True,
+        retry_after=True,
+        max_retry_after_ms=2000,
+        may_count=True,
+        tick_ms=2,
+        cold_from=0.2,
+        cold_ms=10000,
+        fall_multiple=3,
+        tip_after_ms=2000,
+    )
     return dataclasses.replace(base, **changes)
 
 
@@ -58,18 +70,34 @@
         self.log += [(self.now, act) for act in out]
         return out
 
-    def ask(self, cls: str = "read", plan: str = "open", customer: str = "c", left: float = 4000,
-            units: float = 1, after: float = 0.0, width: int = 3) -> tuple[str, list[api.Action]]:
+    def ask(
+        self,
+        cls: str = "read",
+        plan: str = "open",
+        customer: str = "c",
+        left: float = 4000,
+        units: float = 1,
+        after: float = 0.0,
+        width: int = 3,
+    ) -> tuple[str, list[api.Action]]:
         self.serial += 1
         rid = f"r{self.serial}"
         return rid, self.give(api.Request(rid, cls, plan, customer, left, units, width, 0), after)
 
-    def end(self, rid: str, result: str = api.OK, took: float = 50, attempt: int | None = None,
-            true_units: float = 0.0, after: float = 0.0) -> list[api.Action]:
+    def end(
+        self,
+        rid: str,
+        result: str = api.OK,
+        took: float = 50,
+        attempt: int | None = None,
+        true_units: float = 0.0,
+        after: float = 0.0,
+    ) -> list[api.Action]:
         sends = [a for _, a in self.log if isinstance(a, api.Send) and a.request == rid]
         n = len(sends) - 1 if attempt is None else attempt
-        return self.give(api.Outcome(rid, n, sends[n].server, result, took, result == api.OK,
-                                     true_units=true_units), after)
+        return self.give(
+            api.Outcome(rid, n, sends[n].server, result, took, result == api.OK, true_units=true_units), after
+        )
 
     def sweep(self, times: int = 1, every: float = 100) -> None:
         for _ in range(times):
@@ -91,12 +119,21 @@
 RID = b"9b1f03aa5c7e2d41"
 GRADES = [
     {"name": "read", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 3.0, "effect": "safe"},
-    {"name": "put", "objective_ms": 5500.0, "deadline_ms": 6000.0, "worth": 2.0, "effect": "keyed",
-     "key_scope": "all", "window_ms": 4000.0},
+    {
+        "name": "put",
+        "objective_ms": 5500.0,
+        "deadline_ms": 6000.0,
+        "worth": 2.0,
+        "effect": "keyed",
+        "key_scope": "all",
+        "window_ms": 4000.0,
+    },
     {"name": "pay", "objective_ms": 3000.0, "deadline_ms": 6000.0, "worth": 2.0, "effect": "unsafe"},
 ]
-PACKAGES = [{"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
-            {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0}]
+PACKAGES = [
+    {"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
+    {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0},
+]
 Behave = Callable[["Seen"], bytes | None]
 
 
@@ -104,13 +141,30 @@
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
 
 
-def message(cls: str = "read", *, customer: str = "00000000b4d65521", plan: str = "team", body: bytes = b"",
-            deadline: str = "6000m", rid: bytes = RID, method: str = "", drop: str = "", more: str = "",
-            key: bool = True, target: str = "") -> bytes:
+def message(
+    cls: str = "read",
+    *,
+    customer: str = "00000000b4d65521",
+    plan: str = "team",
+    body: bytes = b"",
+    deadline: str = "6000m",
+    rid: bytes = RID,
+    method: str = "",
+    drop: str = "",
+    more: str = "",
+    key: bool = True,
+    target: str = "",
+) -> bytes:
     """A client's request as bytes; `drop` leaves a header out, `more` adds lines."""
     method = method or ("GET" if cls == "read" else "POST")
-    lines = {"Host": "origin.svc", "X-Request-Id": rid.decode(), "X-Class": cls, "Plan": plan,
-             "X-Deadline": deadline, "Quota-Info": "units=2,spread=1,first=0"}
+    lines = {
+        "Host": "origin.svc",
+        "X-Request-Id": rid.decode(),
+        "X-Class": cls,
+        "Plan": plan,
+        "X-Deadline": deadline,
+        "Quota-Info": "units=2,spread=1,first=0",
+    }
     if method == "POST":
         lines["Content-Length"] = str(len(body))
         if key:
@@ -227,8 +281,16 @@
 
 
 def instance(name: str, port: int, lifecycle: str = "ready") -> dict:
-    return {"instanceId": name, "hostPort": f"{LOOP}:{port}", "zone": "a", "machineType": "m", "cell": 0,
-            "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0}
+    return {
+        "instanceId": name,
+        "hostPort": f"{LOOP}:{port}",
+        "zone": "a",
+        "machineType": "m",
+        "cell": 0,
+        "lifecycle": lifecycle,
+        "weight": 1.0,
+        "startedAtMs": 0,
+    }
 
 
 def port_in(line: str) -> int:
@@ -267,16 +329,32 @@
     async def launch(self) -> None:
         """Start the program, again on the same port if it ran before, and wait until it is ready."""
         self.config = {
-            "name": "n0", "listen": f"{LOOP}:{self.port}", "discovery": f"{LOOP}:{self.directory.fake.port}",
+            "name": "n0",
+            "listen": f"{LOOP}:{self.port}",
+            "discovery": f"{LOOP}:{self.directory.fake.port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, **self.limits},
-            "counter": f"{LOOP}:{self.counter.port}", "ops": f"{LOOP}:0",
+            "counter": f"{LOOP}:{self.counter.port}",
+            "ops": f"{LOOP}:0",
             "known": {"generation": 0, "reset": True, "instances": []},
             "settings": {
-                "grades": GRADES, "packages": PACKAGES, "fleet_size": 1, "me": 0, "zone": "a", "tick_ms": 4.0,
-                "bounds": {"try_limit": 3, "cancel": True, "retry_after": True, "max_retry_after_ms": 1000.0,
-                           "dial_timeout_ms": 250.0, "conn_idle_ms": 30000.0},
-                "family_info": {"may_count": True, "count_wait_ms": 30.0, "trued_up": True}}}
+                "grades": GRADES,
+                "packages": PACKAGES,
+                "fleet_size": 1,
+                "me": 0,
+                "zone": "a",
+                "tick_ms": 4.0,
+                "bounds": {
+                    "try_limit": 3,
+                    "cancel": True,
+                    "retry_after": True,
+                    "max_retry_after_ms": 1000.0,
+                    "dial_timeout_ms": 250.0,
+                    "conn_idle_ms": 30000.0,
+                },
+                "family_info": {"may_count": True, "count_wait_ms": 30.0, "trued_up": True},
+            },
+        }
         self.path = self.folder / "config.json"
         self.path.write_text(json.dumps(self.config))
         await self.spawn()
@@ -286,11 +364,20 @@
     async def spawn(self) -> None:
         """Start a process of the program; it becomes the one that is spoken to."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "yewstage", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "yewstage",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
             pass_fds=() if self.held is None else (self.held.fileno(),),
-            env={**os.environ, "ROUTER_CONFIG": str(self.path), "TMPDIR": str(self.folder),
-                 "ROUTER_DISCOVERY": self.config["discovery"],
-                 **({} if self.held is None else {"ROUTER_LISTEN_FD": str(self.held.fileno())})})
+            env={
+                **os.environ,
+                "ROUTER_CONFIG": str(self.path),
+                "TMPDIR": str(self.folder),
+                "ROUTER_DISCOVERY": self.config["discovery"],
+                **({} if self.held is None else {"ROUTER_LISTEN_FD": str(self.held.fileno())}),
+            },
+        )
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
             assert line, "the program ended at its start"
             if "operators' address" in line:
@@ -359,7 +446,9 @@
 
 def on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
     """Run a scenario; one that waits for what never happens fails at the limit."""
+
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
+
     uvloop.run(bounded())  # as the program does: its loop fires timers before it reads sockets
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -94,8 +94,16 @@
 def test_whatever_is_lost_stopped_or_off_no_more_is_spent_than_the_customers_store_holds(seed: int) -> None:
     rng = random.Random(seed)
     world = World(rng, (RATE, 2.0)[seed % 2])  # full again sooner than a share is over, and much later
-    steps = (world.take, world.take, world.spend, world.spend, world.spend, world.wait, world.forget,
-             world.late)
+    steps = (
+        world.take,
+        world.take,
+        world.spend,
+        world.spend,
+        world.spend,
+        world.wait,
+        world.forget,
+        world.late,
+    )
     for _ in range(600):
         (world.change_leader if rng.random() < 0.02 else rng.choice(steps))()
         account = world.keys.accounts.told("c", world.leaders())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -26,7 +26,7 @@
 
 
 def in_chunks(data: bytes, size: int = 50_000, last: bytes = b"0\r\n\r\n") -> bytes:
-    parts = [data[i:i + size] for i in range(0, len(data), size)]
+    parts = [data[i : i + size] for i in range(0, len(data), size)]
     return b"".join(b"%x;ext=1\r\n%b\r\n" % (len(p), p) for p in parts) + last
 
 
@@ -90,17 +90,19 @@
                 else:
                     data = message("put", body=BIG)
                 for i in range(0, len(data), piece):
-                    writer.write(data[i:i + piece])
+                    writer.write(data[i : i + piece])
                     await writer.drain()
                 answer = await read_message(reader, writer)
                 assert answer.body.decode() == f"{len(BIG)} {digest(BIG)}"
             figures = await rig.figures()
             assert figures["gateway_relayed_total"] == 2 and figures["gateway_open_requests"] == 0
+
     on_loop(scenario)
 
 
 def test_a_long_body_waits_for_a_host_that_reads_slowly(tmp_path: Path) -> None:
     """What has not been read yet stays with the client: the gateway holds a few buffers of it."""
+
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -120,6 +122,7 @@
             assert left > len(many) / 2
             go.set()
             assert (await read_message(reader, writer)).body.decode() == digest(many)
+
     on_loop(scenario)
 
 
@@ -154,6 +157,7 @@
             figures = await rig.figures()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 2
             assert figures["gateway_open_requests"] == 0
+
     on_loop(scenario)
 
 
@@ -177,6 +181,7 @@
             assert left > len(BIG) * 4
             writer.transport.resume_reading()
             assert await body_of(await reader.readuntil(b"\r\n\r\n"), reader) == BIG * 8
+
     on_loop(scenario)
 
 
@@ -187,6 +192,7 @@
 
 def test_many_long_bodies_at_once_take_a_few_buffers_each(tmp_path: Path) -> None:
     """25 answers and 25 requests of 6 MB each, none of them read further: 300 MB if they were kept."""
+
     async def scenario() -> None:
         begun: list[asyncio.StreamWriter] = []
 
@@ -216,6 +222,7 @@
             assert resident_mb(rig.process.pid) - before < 50
             for _, writer in clients:
                 writer.transport.abort()
+
     on_loop(scenario)
 
 
@@ -235,6 +242,7 @@
                 await body_of(head, reader)
             assert rig.connections == 1  # what has begun is not tried again
             assert (await rig.figures())['gateway_faulted_total{priority="read"}'] == 1
+
     on_loop(scenario)
 
 
@@ -256,6 +264,7 @@
             assert await reader.readexactly(7) == b"first\r\n"
             end.set()
             assert await body_of(head, reader) == b" last"
+
     on_loop(scenario)
 
 
@@ -268,13 +277,16 @@
 
         async with Scripted(tmp_path, fails) as rig:
             assert await rig.status(message("pay", key=False)) == 503
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("answer", "status"), [
-    (reply(b"", 503, b"X-Not-Run: 1\r\n"), 503), (b"", 503), (reply(b"", 500), 502)])
+@pytest.mark.parametrize(
+    ("answer", "status"), [(reply(b"", 503, b"X-Not-Run: 1\r\n"), 503), (b"", 503), (reply(b"", 500), 502)]
+)
 def test_a_body_that_is_gone_is_not_sent_again(tmp_path: Path, answer: bytes, status: int) -> None:
     """The host answers, or breaks, in the middle of it; the client gets its answer, once, and may send on."""
+
     async def scenario() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -291,6 +303,7 @@
             await writer.drain()
             assert await reader.read() == b""
             assert rig.connections == 1
+
     on_loop(scenario)
 
 
@@ -311,6 +324,7 @@
                 await asyncio.sleep(0.01)
             writer.transport.abort()
             await gone.wait()
+
     on_loop(scenario)
 
 
@@ -326,6 +340,7 @@
             writer.write(data[-size:])
             answer = await read_message(reader, writer)
             assert answer.body.decode() == f"{size} {digest(b'x' * size)}"
+
     on_loop(scenario)
 
 
@@ -346,6 +361,7 @@
                     assert await reader.read() == b""  # and nothing behind the answer
                 writer.transport.abort()
             assert b"503" in lines
+
     on_loop(scenario)
 
 
@@ -356,11 +372,12 @@
             offer = "Connection: Upgrade\r\nUpgrade: h2c\r\n"
             for size in (0, 5, 200_000):
                 data = message("put", body=b"y" * size, more=offer) + message()
-                for half in (data[:len(data) // 2], data[len(data) // 2:]):
+                for half in (data[: len(data) // 2], data[len(data) // 2 :]):
                     writer.write(half)
                     await writer.drain()
                 assert (await read_message(reader, writer)).body.decode() == f"{size} {digest(b'y' * size)}"
                 assert (await read_message(reader, writer)).body.decode() == f"0 {digest(b'')}"
+
     on_loop(scenario)
 
 
@@ -370,6 +387,7 @@
             data = message("put", drop="Content-Length", more=CHUNKED)
             data += in_chunks(b"abc", last=b"0\r\nX-Class: pay\r\nX-Request-Id: other\r\n\r\n")
             assert await rig.status(data) == 200
+
     on_loop(scenario)
 
 
@@ -381,10 +399,11 @@
             slow.write(data[:100_000])  # and no more
             reader, writer = await rig.connect()
             for i in range(0, len(data), 20_000):
-                writer.write(data[i:i + 20_000])
+                writer.write(data[i : i + 20_000])
                 await asyncio.sleep(0.25)
             assert int((await read_message(reader, writer)).line.split()[1]) == 200
             assert (await slow_reader.readline()).split()[1] == b"408"
+
     on_loop(scenario)
 
 
@@ -418,6 +437,7 @@
                 assert await rig.status(message("put", body=body, rid=rid)) == 200
             assert [seen.body for seen in here.seen] == [body] * 8 and not gone.seen
             assert (await rig.figures())['gateway_dials_total{result="failed"}'] >= 1
+
     on_loop(scenario)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -30,12 +30,19 @@
     assert run("config", "check", str(tmp_path / "none.json")).exit_code == 2
 
 
-@pytest.mark.parametrize(("text", "field"), [
-    ("{", "cannot be read"), ("[]", "JSON object"), ("{}", "settings, cluster, folder, probing"),
-    ('{"cluster": "c", "folder": "x"}', "name: "),
-    ('{"folder": "x", "listen": "a"}', "listen: "), ('{"probing": true, "name": "c"}', "registry: "),
-    ('{"settings": {}, "listen": "127.0.0.1:0"}', "settings: grades: is missing"),
-    ('{"settings": {"bounds": {"dial_timeout_ms": 0}}}', "bounds.dial_timeout_ms")])
+@pytest.mark.parametrize(
+    ("text", "field"),
+    [
+        ("{", "cannot be read"),
+        ("[]", "JSON object"),
+        ("{}", "settings, cluster, folder, probing"),
+        ('{"cluster": "c", "folder": "x"}', "name: "),
+        ('{"folder": "x", "listen": "a"}', "listen: "),
+        ('{"probing": true, "name": "c"}', "registry: "),
+        ('{"settings": {}, "listen": "127.0.0.1:0"}', "settings: grades: is missing"),
+        ('{"settings": {"bounds": {"dial_timeout_ms": 0}}}', "bounds.dial_timeout_ms"),
+    ],
+)
 def test_a_bad_configuration_is_one_line_that_names_the_field(tmp_path: Path, text: str, field: str) -> None:
     path = tmp_path / "file.json"
     path.write_text(text)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -61,8 +61,9 @@
 
     def settings(self, **changes: object) -> api.Settings:
         changes.setdefault("classes", tuple(CLASSES.values()))
-        return settings(plans=PLANS, second_copies=self.copies, cancel=self.cancel, record=self.record,
-                        **changes)
+        return settings(
+            plans=PLANS, second_copies=self.copies, cancel=self.cancel, record=self.record, **changes
+        )
 
     # What the module is told, and what it does
 
@@ -99,8 +100,9 @@
         return asked
 
     def out(self) -> list[tuple[str, int]]:
-        return [(rid, n) for rid, asked in self.asked.items()
-                for n, out in enumerate(asked.attempts) if out.open]
+        return [
+            (rid, n) for rid, asked in self.asked.items() for n, out in enumerate(asked.attempts) if out.open
+        ]
 
     # Events, in any order
 
@@ -113,14 +115,23 @@
         self.now += 100
         self.give(api.TimerDue("sweep"))
 
-    @rule(cls=st.sampled_from(sorted(CLASSES)), plan=st.sampled_from(PLANS), customer=st.sampled_from("ab"),
-          left=st.sampled_from([4.0, 400.0, 4000.0]), units=st.sampled_from([1.0, 3.0]), kept=st.booleans())
+    @rule(
+        cls=st.sampled_from(sorted(CLASSES)),
+        plan=st.sampled_from(PLANS),
+        customer=st.sampled_from("ab"),
+        left=st.sampled_from([4.0, 400.0, 4000.0]),
+        units=st.sampled_from([1.0, 3.0]),
+        kept=st.booleans(),
+    )
     def request(self, cls: str, plan: api.Plan, customer: str, left: float, units: float, kept: bool) -> None:
         self.serial += 1
         rid = f"r{self.serial}"
         self.asked[rid] = Asked(cls, kept)
-        self.give(api.Request(rid, cls, plan.name, customer + plan.name, left, units, 2, 0, kept=kept,
-                              cls=CLASSES[cls]))
+        self.give(
+            api.Request(
+                rid, cls, plan.name, customer + plan.name, left, units, 2, 0, kept=kept, cls=CLASSES[cls]
+            )
+        )
 
     @precondition(lambda self: any(asked.state != "left" for asked in self.asked.values()))
     @rule(data=st.data())
@@ -140,8 +151,18 @@
         out.open, out.ran = False, result not in api.NEVER_RAN
         if asked.owed() and result == api.OK or asked.state == "streaming":
             asked.state = "answered"
-        self.give(api.Outcome(rid, n, out.server, result, self.now - out.sent, not asked.owed(),
-                              true_units=2.0 if result == api.OK else 0.0, unbegun=unbegun))
+        self.give(
+            api.Outcome(
+                rid,
+                n,
+                out.server,
+                result,
+                self.now - out.sent,
+                not asked.owed(),
+                true_units=2.0 if result == api.OK else 0.0,
+                unbegun=unbegun,
+            )
+        )
 
     @precondition(lambda self: self.out())
     @rule(data=st.data())
@@ -159,8 +180,10 @@
             self.give(api.Uploaded(rid))
 
     @precondition(lambda self: self.counts)
-    @rule(result=st.sampled_from([api.OK, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED]),
-          total=st.sampled_from([0.0, 5.0, 500.0]))
+    @rule(
+        result=st.sampled_from([api.OK, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED]),
+        total=st.sampled_from([0.0, 5.0, 500.0]),
+    )
     def counted(self, result: str, total: float) -> None:
         self.give(api.CountReply(self.counts.pop(0), result, total))
 
@@ -227,8 +250,9 @@
         assert all(host.open == 0 for host in self.gateway.hosts.values())
 
 
-@pytest.mark.parametrize("how", [{}, {"copies": True}, {"cancel": False}, {"copies": True, "cancel": False},
-                                 {"record": True}])
+@pytest.mark.parametrize(
+    "how", [{}, {"copies": True}, {"cancel": False}, {"copies": True, "cancel": False}, {"record": True}]
+)
 def test_no_order_of_events_loses_repeats_or_leaks_a_request(how: dict) -> None:
     case = type("Crossing", (Crossings,), how).TestCase
     case.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -12,26 +12,85 @@
 from yewstage.net.discovery import parse_listing
 
 SETTINGS = {
-    "grades": [{"name": "view", "objective_ms": 1500.0, "deadline_ms": 4000.0, "worth": 1.0,
-                "late_worth": 0.0, "effect": "safe", "key_scope": "all", "window_ms": 5000.0},
-               {"name": "send", "objective_ms": 1500.0, "deadline_ms": 4000.0, "worth": 1.0,
-                "late_worth": 0.5, "effect": "keyed", "key_scope": "cell", "window_ms": 5000.0}],
-    "packages": [{"name": "basic", "burst": 16.0, "ceiling_rate": 7.9, "hard_burst": 66.0, "over_cost": 0.8,
-                  "over_worth": 0.0, "parallel": 2, "refill": 1.9, "tolerance": 8.0, "worth_factor": 0.8}],
-    "fleet_size": 4, "me": 1, "zone": "a", "zones": ["a"], "tick_ms": 2.0, "membership_mode": "on_request",
-    "bounds": {"try_limit": 3, "cancel": True, "retry_after": True, "max_retry_after_ms": 1000.0,
-               "dial_timeout_ms": 250.0, "conn_idle_ms": 15000.0, "second_copies": False},
-    "clients": {"marks_retry": True}, "family_info": {"may_count": True, "count_wait_ms": 50.0},
+    "grades": [
+        {
+            "name": "view",
+            "objective_ms": 1500.0,
+            "deadline_ms": 4000.0,
+            "worth": 1.0,
+            "late_worth": 0.0,
+            "effect": "safe",
+            "key_scope": "all",
+            "window_ms": 5000.0,
+        },
+        {
+            "name": "send",
+            "objective_ms": 1500.0,
+            "deadline_ms": 4000.0,
+            "worth": 1.0,
+            "late_worth": 0.5,
+            "effect": "keyed",
+            "key_scope": "cell",
+            "window_ms": 5000.0,
+        },
+    ],
+    "packages": [
+        {
+            "name": "basic",
+            "burst": 16.0,
+            "ceiling_rate": 7.9,
+            "hard_burst": 66.0,
+            "over_cost": 0.8,
+            "over_worth": 0.0,
+            "parallel": 2,
+            "refill": 1.9,
+            "tolerance": 8.0,
+            "worth_factor": 0.8,
+        }
+    ],
+    "fleet_size": 4,
+    "me": 1,
+    "zone": "a",
+    "zones": ["a"],
+    "tick_ms": 2.0,
+    "membership_mode": "on_request",
+    "bounds": {
+        "try_limit": 3,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after_ms": 1000.0,
+        "dial_timeout_ms": 250.0,
+        "conn_idle_ms": 15000.0,
+        "second_copies": False,
+    },
+    "clients": {"marks_retry": True},
+    "family_info": {"may_count": True, "count_wait_ms": 50.0},
     "penalties": {"handshake": 0.08},
-    "rules": {"cold_from": 0.26, "cold_ms": 17000.0, "fall_multiple": 3.0, "tip_after_ms": 1500.0}}
+    "rules": {"cold_from": 0.26, "cold_ms": 17000.0, "fall_multiple": 3.0, "tip_after_ms": 1500.0},
+}
 WHOLE_FILE = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f", "counter": "127.0.0.1:9"}
 LISTED = {"instanceId": "s", "hostPort": "127.0.0.1:5", "zone": "a", "cell": 0, "lifecycle": "ready"}
-WRONG = ["", "x", "1", None, -1, -1e9, 1e300, float("nan"), float("inf"), 10 ** 400, [], {}, [1], {"a": 1}]
+WRONG = ["", "x", "1", None, -1, -1e9, 1e300, float("nan"), float("inf"), 10**400, [], {}, [1], {"a": 1}]
 WHOLE = ("fleet_size", "me", "try_limit", "parallel")
-MISSING = ["grades", "grades[0].name", "grades[1].objective_ms", "grades[0].deadline_ms", "grades[0].effect",
-           "grades[1].key_scope", "grades[1].window_ms", "packages", "packages[0].name", "packages[0].burst",
-           "packages[0].hard_burst", "fleet_size", "me", "rules.cold_from", "rules.cold_ms",
-           "rules.fall_multiple", "rules.tip_after_ms"]
+MISSING = [
+    "grades",
+    "grades[0].name",
+    "grades[1].objective_ms",
+    "grades[0].deadline_ms",
+    "grades[0].effect",
+    "grades[1].key_scope",
+    "grades[1].window_ms",
+    "packages",
+    "packages[0].name",
+    "packages[0].burst",
+    "packages[0].hard_burst",
+    "fleet_size",
+    "me",
+    "rules.cold_from",
+    "rules.cold_ms",
+    "rules.fall_multiple",
+    "rules.tip_after_ms",
+]
 
 
 def configured(settings: object) -> Config:
@@ -50,8 +109,12 @@
 
 def read_fields() -> list[str]:
     """The paths of all fields that a gateway reads."""
-    return [*fields.OWN, *(f"{group}.{key}" for group, keys in fields.GROUPS.items() for key in keys),
-            *(f"grades[1].{key}" for key in fields.CLASS), *(f"packages[0].{key}" for key in fields.PLAN)]
+    return [
+        *fields.OWN,
+        *(f"{group}.{key}" for group, keys in fields.GROUPS.items() for key in keys),
+        *(f"grades[1].{key}" for key in fields.CLASS),
+        *(f"packages[0].{key}" for key in fields.PLAN),
+    ]
 
 
 @pytest.mark.parametrize("path", [*read_fields(), "grades", "packages"])
@@ -77,9 +140,11 @@
 
 
 def test_names_are_told_apart_and_a_place_lies_in_its_fleet() -> None:
-    for path, value, said in (("grades[1].name", "view", "grades[1].name: two have the name 'view'"),
-                              ("me", 4, "me: must be under fleet_size, which is 4"),
-                              ("fleet_size", 1, "me: must be under fleet_size, which is 1")):
+    for path, value, said in (
+        ("grades[1].name", "view", "grades[1].name: two have the name 'view'"),
+        ("me", 4, "me: must be under fleet_size, which is 4"),
+        ("fleet_size", 1, "me: must be under fleet_size, which is 1"),
+    ):
         tree, holder, last = at(path)
         holder[last] = value
         with pytest.raises(ConfigError) as caught:
@@ -106,9 +171,16 @@
     assert listing.servers[0].status == "draining"
 
 
-@pytest.mark.parametrize(("key", "value"), [
-    ("weight", float("nan")), ("weight", "inf"), ("weight", []), ("startedAtMs", float("inf")),
-    ("cell", 1e400)])
+@pytest.mark.parametrize(
+    ("key", "value"),
+    [
+        ("weight", float("nan")),
+        ("weight", "inf"),
+        ("weight", []),
+        ("startedAtMs", float("inf")),
+        ("cell", 1e400),
+    ],
+)
 def test_a_listing_with_no_finite_number_is_refused_whole(key: str, value: object) -> None:
     with pytest.raises(ValueError, match="^s: cell, weight or startedAtMs is not a number$"):
         parse_listing({"generation": 1, "reset": True, "instances": [{**LISTED, key: value}]})
--- a/tests/test_holding_groups.py
+++ b/tests/test_holding_groups.py
@@ -167,8 +167,11 @@
         places = holders(whole, PLACES)
         group = next(g for g in whole if g != PLACES and len(holders(whole, g) & places) < 2)
         lost = [machines.by_name(name) for name in sorted(places)[:2]]
-        lost = lost if len(holders(whole, group) & {m.name for m in lost}) < 2 else [
-            machines.by_name(name) for name in sorted(places)[1:]]
+        lost = (
+            lost
+            if len(holders(whole, group) & {m.name for m in lost}) < 2
+            else [machines.by_name(name) for name in sorted(places)[1:]]
+        )
         for machine in lost:
             await machine.kill()
         client = Client([(HOST, m.listen) for m in machines.all if m.up()])
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -54,8 +54,7 @@
 
     @rule(key=KEY, by=WHO, answer=st.sampled_from(["x", "y"]))
     def done(self, key: str, by: str, answer: str) -> None:
-        assert self.write(lambda store: store.plan_done(key, by, 200, answer)) == (
-            self.owner.get(key) == by)
+        assert self.write(lambda store: store.plan_done(key, by, 200, answer)) == (self.owner.get(key) == by)
         if self.owner.get(key) == by and key not in self.ended:
             self.ended[key], self.until[key] = answer, self.now + WINDOW_MS
 
@@ -136,8 +135,10 @@
     return gateway
 
 
-@pytest.mark.parametrize(("result", "answer"), [
-    ("done", api.Recall("r")), ("held", api.Fail("r")), ("silent", api.Refuse("r", why="no record"))])
+@pytest.mark.parametrize(
+    ("result", "answer"),
+    [("done", api.Recall("r")), ("held", api.Fail("r")), ("silent", api.Refuse("r", why="no record"))],
+)
 def test_what_another_request_has_of_a_key_is_never_sent_on(result: str, answer: api.Action) -> None:
     gateway = asked()
     assert gateway.handle(20, api.Claimed("r", result)) == [answer]
@@ -166,7 +167,9 @@
 def test_one_whose_claim_comes_too_late_is_refused_and_frees_the_key() -> None:
     gateway = asked()
     assert gateway.handle(2500, api.Claimed("r", "yours")) == [
-        api.Refuse("r", why="gave up"), api.Release("r")]
+        api.Refuse("r", why="gave up"),
+        api.Release("r"),
+    ]
 
 
 # --- Gateways round a record that answers, or does not
@@ -189,8 +192,9 @@
     return reply(json.dumps(body).encode(), status=status)
 
 
-def with_keeper(tmp_path: Path, says: Callable[[str, dict], bytes | None],
-                scenario: Callable[[Rig, Keeper], object]) -> None:
+def with_keeper(
+    tmp_path: Path, says: Callable[[str, dict], bytes | None], scenario: Callable[[Rig, Keeper], object]
+) -> None:
     async def played() -> None:
         keeper = Keeper(says)
         await keeper.start()
@@ -236,16 +240,20 @@
     with_keeper(tmp_path, lambda verb, body: told(known), scenario)
 
 
-@pytest.mark.parametrize(("says", "status"), [
-    (lambda verb, body: None, 503),  # silent
-    (lambda verb, body: b"", 503),  # gone under the call
-    (lambda verb, body: b"nonsense", 503),
-    (lambda verb, body: told({"error": "no leader"}, 503), 503),
-    (lambda verb, body: told({"error": "elsewhere", "leader": "127.0.0.1:1"}, 421), 503),
-    (lambda verb, body: told({"state": "begun"}), 502),  # another has it, and nobody knows its end
-    (lambda verb, body: told({"state": "done", "status": 200}), 502),  # done, and its answer is not kept
-    (lambda verb, body: told({"state": "done", "status": 200, "answer": "%"}), 502),
-    (lambda verb, body: told({"state": "what"}), 502)])
+@pytest.mark.parametrize(
+    ("says", "status"),
+    [
+        (lambda verb, body: None, 503),  # silent
+        (lambda verb, body: b"", 503),  # gone under the call
+        (lambda verb, body: b"nonsense", 503),
+        (lambda verb, body: told({"error": "no leader"}, 503), 503),
+        (lambda verb, body: told({"error": "elsewhere", "leader": "127.0.0.1:1"}, 421), 503),
+        (lambda verb, body: told({"state": "begun"}), 502),  # another has it, and nobody knows its end
+        (lambda verb, body: told({"state": "done", "status": 200}), 502),  # done, and its answer is not kept
+        (lambda verb, body: told({"state": "done", "status": 200, "answer": "%"}), 502),
+        (lambda verb, body: told({"state": "what"}), 502),
+    ],
+)
 def test_without_a_clear_word_of_the_record_nothing_is_sent(
     tmp_path: Path, says: Callable[[str, dict], bytes | None], status: int
 ) -> None:
@@ -266,9 +274,14 @@
     with_keeper(tmp_path, lambda verb, body: None if verb == "claim" else told({"state": "free"}), scenario)
 
 
-@pytest.mark.parametrize(("holding", "says"), [
-    ("127.0.0.1:1", "holding: must be a list of addresses"), ([], "holding: must be a list of addresses"),
-    (["nowhere"], "holding[0]: 'nowhere' is not HOST:PORT")])
+@pytest.mark.parametrize(
+    ("holding", "says"),
+    [
+        ("127.0.0.1:1", "holding: must be a list of addresses"),
+        ([], "holding: must be a list of addresses"),
+        (["nowhere"], "holding[0]: 'nowhere' is not HOST:PORT"),
+    ],
+)
 def test_a_bad_field_ends_the_start(tmp_path: Path, holding: object, says: str) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"")) as rig:
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -53,8 +53,11 @@
 
 
 def test_an_answer_that_is_older_than_the_call_is_found() -> None:
-    calls = [Call("k", ("claim", "a"), 0.0, 1.0, "yours"), Call("k", ("release", "a"), 2.0, 3.0, "free"),
-             Call("k", ("claim", "b"), 4.0, 5.0, "begun")]
+    calls = [
+        Call("k", ("claim", "a"), 0.0, 1.0, "yours"),
+        Call("k", ("release", "a"), 2.0, 3.0, "free"),
+        Call("k", ("claim", "b"), 4.0, 5.0, "begun"),
+    ]
     assert breach(calls, "", claimed) == calls[1:]  # whoever had it before, it was given back
     late = replace(calls[2], begun=0.5)  # it may have come before the release
     assert not breach([*calls[:2], late], "", claimed)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -302,7 +302,6 @@
     return float(text.split(f"\n{figure} ", 1)[1].split("\n", 1)[0])
 
 
-
 ASK = (
     b"GET /api/%016x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r\r\nX-Class: view\r\nPlan: open\r\n"
     b"X-Deadline: 4000m\r\nQuota-Info: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n"
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -48,6 +48,7 @@
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
             # The units of the guess, then what the answer billed beyond it, reach the counter.
             await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
+
     on_loop(scenario)
 
 
@@ -59,6 +60,7 @@
             bodies = [(await read_message(reader, writer)).body for _ in range(5)]
             assert bodies == [b"id-%d" % i for i in range(5)]
             assert len(rig.hosts[0].seen) == 5
+
     on_loop(scenario)
 
 
@@ -72,6 +74,7 @@
                 data = b"%b%b:\t%b \t\r\n%b" % (before, line, value, rest)
             assert await rig.status(data) == 200
             assert rig.hosts[0].seen[0].headers["x-request-id"] == "9b1f03aa5c7e2d41"
+
     on_loop(scenario)
 
 
@@ -80,17 +83,20 @@
         async with Rig(tmp_path, serve) as rig:
             assert await rig.status(message(target="HTTP://origin.svc:80/api/00000000b4d65521?a=/b")) == 200
             assert rig.hosts[0].seen[0].line == "GET /api/00000000b4d65521?a=/b HTTP/1.1"
+
     on_loop(scenario)
 
 
 def test_a_refusal_comes_at_once_with_advice(tmp_path: Path) -> None:
     """What the module gives up on is not held: other answers on the way to it do not matter."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
             refused = [a for a in answers if a.line.split()[1] == "503"]
             assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
+
     on_loop(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
 
 
@@ -129,6 +135,7 @@
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
             assert rig.process.returncode is None
+
     on_loop(scenario)
 
 
@@ -141,6 +148,7 @@
             got = await reader.read()  # an error or nothing, then the end
             assert not got or got.startswith(b"HTTP/1.1 408 ")
             assert not rig.hosts[0].seen
+
     on_loop(scenario, 8)  # TERMS give it 3 s; a slow machine more
 
 
@@ -154,11 +162,14 @@
                 await asyncio.sleep(0.1)
             with contextlib.suppress(ConnectionError):
                 assert await ended == b""
+
     on_loop(scenario, 8)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (message(target="/other"), "404"), (message("nope"), "400"), (b"GET /ready HTTP/1.1\r\n\r\n", "200")])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [(message(target="/other"), "404"), (message("nope"), "400"), (b"GET /ready HTTP/1.1\r\n\r\n", "200")],
+)
 def test_who_sends_no_clients_request_keeps_no_place(tmp_path: Path, data: bytes, status: str) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
@@ -166,6 +177,7 @@
             writer.write(data)
             assert (await read_message(reader, writer)).line.split()[1] == status
             assert await reader.read() == b""
+
     on_loop(scenario, 8)
 
 
@@ -179,6 +191,7 @@
             assert (await read_message(reader, writer)).body == b"first"
             assert (await read_message(reader, writer)).line.split()[1] == "400"
             assert await reader.read() == b""
+
     on_loop(scenario)
 
 
@@ -189,22 +202,27 @@
         async with Rig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
             assert await rig.status(message(cls)) == status
             assert sum(len(host.seen) for host in rig.hosts) == attempts
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("answer", "status", "attempts"), [
-    (reply(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
-    (reply(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
-    (reply(b"", 503), 502, 1),
-    (reply(b"", 500), 502, 1),
-    (reply(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
-    (reply(b"", 204), 502, 1),
-    (b"HTTP/1.1 101 X\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", 502, 1),
-    (b"HTTP/1.1 nonsense\r\n\r\n", 502, 1),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
-])
-def test_only_x_not_run_lets_an_unsafe_request_go_again(tmp_path: Path, answer: bytes, status: int,
-                                                        attempts: int) -> None:
+@pytest.mark.parametrize(
+    ("answer", "status", "attempts"),
+    [
+        (reply(b"", 503, b"X-Not-Run: 1\r\n"), 200, 2),
+        (reply(b"", 504, b"X-Not-Run: 1\r\n"), 200, 2),
+        (reply(b"", 503), 502, 1),
+        (reply(b"", 500), 502, 1),
+        (reply(b"", 500, b"X-Not-Run: 1\r\n"), 502, 1),
+        (reply(b"", 204), 502, 1),
+        (b"HTTP/1.1 101 X\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", 502, 1),
+        (b"HTTP/1.1 nonsense\r\n\r\n", 502, 1),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
+    ],
+)
+def test_only_x_not_run_lets_an_unsafe_request_go_again(
+    tmp_path: Path, answer: bytes, status: int, attempts: int
+) -> None:
     async def scenario() -> None:
         answers = iter((answer, reply(b"served")))
 
@@ -219,6 +237,7 @@
         async with Rig(tmp_path, behave) as rig:
             assert await rig.status(message("pay")) == status
             assert len(rig.hosts[0].seen) == attempts
+
     on_loop(scenario)
 
 
@@ -229,17 +248,20 @@
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
+
     on_loop(scenario)
 
 
 def test_silence_is_failed_in_time_and_its_connection_not_used_again(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
-                       ) as rig:
+        async with Rig(
+            tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
+        ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
             await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the host is told by the close
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
+
     on_loop(scenario)
 
 
@@ -253,12 +275,14 @@
             await rig.hosts[0].until(lambda fake: fake.closed == 1)
             assert len(rig.hosts[0].seen) == 1
             assert "client left" in await rig.logged(RID.decode())
+
     on_loop(scenario, 4)  # before the attempt's own time-out would close it
 
 
 @pytest.mark.parametrize("size", [0, 50_000])
 def test_what_a_client_sent_ahead_is_dropped_when_it_closes(tmp_path: Path, size: int) -> None:
     """Nothing begins for a client who has left, also where its end lies unread behind all that it sent."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             _, writer = await rig.connect()
@@ -272,6 +296,7 @@
             await rig.logged("id-1" if size else "id-0")
             assert await rig.status(message(rid=b"last", deadline="200m")) in (502, 504)
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["id-0", "last"]
+
     on_loop(scenario, 5)  # before the attempt's own time-out would end it
 
 
@@ -287,6 +312,7 @@
             writer.write(message("pay", rid=b"first") + message("pay", rid=b"second"))
             for body in (b"first", b"second"):
                 assert (await read_message(reader, writer)).body == body
+
     on_loop(scenario)
 
 
@@ -298,11 +324,13 @@
                 writer.write(message(rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"served"
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
+
     on_loop(scenario)
 
 
 def test_an_answer_read_after_a_stall_beats_its_time_out(tmp_path: Path) -> None:
     """Our own stall must not turn an answer that came in time into a time-out."""
+
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             asked = asyncio.create_task(rig.status(message("pay")))
@@ -313,6 +341,7 @@
             await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, not past the client's 6 s
             rig.process.send_signal(signal.SIGCONT)
             assert await asked == 200
+
     on_loop(scenario)
 
 
@@ -334,6 +363,7 @@
                 assert answer.body == b"served"
                 assert answer.headers["connection"] == "close"
             assert await rig.process.wait() == 0
+
     on_loop(scenario)
 
 
@@ -346,6 +376,7 @@
             assert await asked == 504  # by the program itself, not by chance while it falls apart
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
+
     on_loop(scenario)
 
 
@@ -371,6 +402,7 @@
             await counter.until(lambda fake: sum(totals.values()) >= 6)
             directory.fake.stop()
             counter.stop()
+
     on_loop(scenario)
 
 
@@ -381,6 +413,7 @@
             rig.process.send_signal(signal.SIGHUP)
             await rig.logged("configuration not taken: ROUTER_CONFIG")
             assert await rig.status(message()) == 200
+
     on_loop(scenario)
 
 
@@ -395,6 +428,7 @@
                 await reader.readexactly(1)
             await rig.launch()
             assert await rig.status(message(rid=b"after")) == 200
+
     on_loop(scenario)
 
 
@@ -409,6 +443,7 @@
                 writer.close()
             assert await rig.status(message(rid=b"after")) == 200
             assert rig.process.returncode is None
+
     on_loop(scenario)
 
 
@@ -424,6 +459,7 @@
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
+
     on_loop(scenario, 10)  # before an idle connection would be retired
 
 
@@ -435,16 +471,25 @@
             await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
             assert await rig.status(message(rid=b"moved")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("nonsense", [reply(b"{"), reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
-                                      reply(b"", 500), b"nonsense\r\n\r\n"])
+@pytest.mark.parametrize(
+    "nonsense",
+    [
+        reply(b"{"),
+        reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
+        reply(b"", 500),
+        b"nonsense\r\n\r\n",
+    ],
+)
 def test_discoverys_nonsense_keeps_the_list(tmp_path: Path, nonsense: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
             assert await rig.status(message()) == 200
+
     on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
 
 
@@ -458,24 +503,40 @@
                     assert await rig.status(data) == 200
             rig.counter.stop()
             assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("raw", "field"), [
-    ("{", "ROUTER_CONFIG"),
-    ('{"settings": []}', "settings"),
-    ('{"settings": {"grades": []}, "listen": "x"}', "settings: grades: "),
-    ('{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}', "grades[0].objective_ms: 'soon'"),
-    ('{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2, "effect": "safe"}], '
-     '"packages": [{"name": "p"}]}}', "listen"),
-    ('{"settings": {"bounds": {"conn_idle_ms": -1}}}', "bounds.conn_idle_ms"),
-    ('{"settings": {"penalties": {"handshake": "dear"}}}', "penalties.handshake"),
-])
+@pytest.mark.parametrize(
+    ("raw", "field"),
+    [
+        ("{", "ROUTER_CONFIG"),
+        ('{"settings": []}', "settings"),
+        ('{"settings": {"grades": []}, "listen": "x"}', "settings: grades: "),
+        (
+            '{"settings": {"grades": [{"name": "a", "objective_ms": "soon"}]}}',
+            "grades[0].objective_ms: 'soon'",
+        ),
+        (
+            '{"settings": {"grades": [{"name": "a", "objective_ms": 1, "deadline_ms": 2, "effect": "safe"}], '
+            '"packages": [{"name": "p"}]}}',
+            "listen",
+        ),
+        ('{"settings": {"bounds": {"conn_idle_ms": -1}}}', "bounds.conn_idle_ms"),
+        ('{"settings": {"penalties": {"handshake": "dear"}}}', "penalties.handshake"),
+    ],
+)
 def test_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, raw: str, field: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(raw)
-    done = subprocess.run([sys.executable, "-m", "yewstage"], cwd=ROOT, capture_output=True, text=True,
-                          check=False, env={**os.environ, "ROUTER_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "yewstage"],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+        env={**os.environ, "ROUTER_CONFIG": str(path)},
+    )
     assert done.returncode == 2
     assert len(done.stderr.splitlines()) == 1
     assert field in done.stderr
@@ -487,4 +548,5 @@
             assert await rig.status(message("pay")) == 502
             line = await rig.logged("9b1f03aa5c7e2d41")
             assert "502 failed" in line and "s-0 reset in" in line and "(new connection: " in line
+
     on_loop(scenario)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -73,25 +73,42 @@
     def gone(self) -> bool:
         return False
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
-               ) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         self.got.put_nowait(status)
 
 
 def an_order(deadline_ms: float = 5000) -> Order:
     pay = api.RequestClass("pay", 3000, 6000, effect="unsafe")
-    return Order("a", pay, "team", "0" * 16, deadline_ms, 1, 1, 0, False,
-                 b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n", b"")
+    return Order(
+        "a",
+        pay,
+        "team",
+        "0" * 16,
+        deadline_ms,
+        1,
+        1,
+        0,
+        False,
+        b"POST /api/0 HTTP/1.1\r\nX-Request-Id: a\r\nContent-Length: 0\r\n",
+        b"",
+    )
 
 
 async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[Core, Script]:
     """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
     await host.start()
-    config = parse({
-        "listen": f"{LOOP}:0", "discovery": f"{LOOP}:{host.port}", "seed": "1",
-        "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
-        "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}}})
+    config = parse(
+        {
+            "listen": f"{LOOP}:0",
+            "discovery": f"{LOOP}:{host.port}",
+            "seed": "1",
+            "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
+            "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}},
+        }
+    )
     core = Core(config, asyncio.get_running_loop())
     core._apply(config.known, "kept")
     core._loop.call_soon(core._beat)
@@ -115,12 +132,15 @@
         await asyncio.sleep(0.05)
         assert client.got.empty() and len(host.seen) == 1
         host.stop()
+
     on_loop(scenario)
 
 
 def test_what_comes_whole_after_the_last_answers_of_a_drain_is_refused_and_not_begun(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Between the answers that a drain ends with and SIGKILL nothing could be answered in time."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
@@ -135,12 +155,15 @@
         assert late.got.get_nowait() == 503 and len(script.events) == count and not core._claims
         assert core.stats.requests() == 2
         host.stop()
+
     on_loop(scenario)
 
 
 def test_nothing_begins_once_the_client_has_left_though_the_settings_forbid_to_cancel(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A link that comes up for a client who left is kept for the next one, in either order of the two."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
@@ -156,6 +179,7 @@
         assert await client.got.get() == 200
         assert [seen.headers["x-request-id"] for seen in host.seen] == ["b"]
         host.stop()
+
     on_loop(scenario)
 
 
@@ -171,6 +195,7 @@
         core.request(served, an_order())
         assert await served.got.get() == 200
         host.stop()
+
     on_loop(scenario)
 
 
@@ -179,8 +204,11 @@
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         client = Answers()
-        script.plan[api.Request] = [api.Send("r1", "s-0", 1000), api.Send("r1", "nowhere", 1000),
-                                    api.Send("r1", "s-0", 1000)]  # the third is beyond the limit of two
+        script.plan[api.Request] = [
+            api.Send("r1", "s-0", 1000),
+            api.Send("r1", "nowhere", 1000),
+            api.Send("r1", "s-0", 1000),
+        ]  # the third is beyond the limit of two
         core.request(client, an_order())
         assert script.outcomes() == [api.CONNECT_FAILED, api.MOOT]
         await host.until(lambda fake: bool(fake.seen))
@@ -191,6 +219,7 @@
         assert await client.got.get() == 502
         assert not core._requests
         host.stop()
+
     on_loop(scenario)
 
 
@@ -209,6 +238,7 @@
         (outcome,) = [e for e in script.events if isinstance(e, api.Outcome)]
         assert outcome.took_ms < 400
         host.stop()
+
     on_loop(scenario)
 
 
@@ -230,6 +260,7 @@
         assert await kept[0].read() == b""  # the one that stood idle longest was closed
         server.stop_accepting()
         host.stop()
+
     on_loop(scenario)
 
 
@@ -250,12 +281,15 @@
         assert closes == [None] * 7 + ["close"] * 3
         server.stop_accepting()
         host.stop()
+
     on_loop(scenario)
 
 
 def test_a_last_answer_arrives_whole_though_bytes_come_in_the_instant_of_its_close(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A close over bytes that nobody read resets the connection, and with it what is on its way."""
+
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
@@ -271,14 +305,15 @@
                 await asyncio.sleep(0)
             core.draining = True
             client.send(b"GET /half a li")  # it lies unread as the last answer is written and the end begins
-            connection, = server.connections
+            (connection,) = server.connections
             connection.answer(200, b"x" * 60_000)
             got = b""
-            while piece := await asyncio.get_running_loop().sock_recv(client, 2 ** 16):
+            while piece := await asyncio.get_running_loop().sock_recv(client, 2**16):
                 got += piece
         assert got.endswith(b"\r\n\r\n" + b"x" * 60_000) and b"Connection: close" in got
         server.stop_accepting()
         host.stop()
+
     on_loop(scenario)
 
 
@@ -291,7 +326,7 @@
         server.accept()
         opened = [await asyncio.open_connection(*address) for _ in range(4)]
         for i in (0, 2):  # one with a request that is open, one that has just brought the half of one
-            opened[i][1].write(message()[:None if i == 0 else 40])
+            opened[i][1].write(message()[: None if i == 0 else 40])
         while {c.state() for c in server.connections} != {"open", "reading", "silent"}:
             await asyncio.sleep(0.01)
         for connection in server.connections:
@@ -305,6 +340,7 @@
             writer.close()
         server.stop_accepting()
         host.stop()
+
     on_loop(scenario)
 
 
@@ -354,15 +390,25 @@
             assert await ended.get() == result
         hosts.pool.stop()
         host.stop()
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("header", "report"), [
-    (b"load_share=0.61,concurrent=7,depth=2", {"util": 0.61, "inflight": 7, "queue": 2}),
-    (b"inflight=7, queue=2", {"inflight": 7, "queue": 2}), (b"util=full", {}), (b"util=nan", {}), (b"", {}),
-    (b"util", {}), (b"util=\xff", {})])
-def test_a_load_report_reaches_the_module(monkeypatch: pytest.MonkeyPatch, header: bytes,
-                                          report: dict[str, float]) -> None:
+@pytest.mark.parametrize(
+    ("header", "report"),
+    [
+        (b"load_share=0.61,concurrent=7,depth=2", {"util": 0.61, "inflight": 7, "queue": 2}),
+        (b"inflight=7, queue=2", {"inflight": 7, "queue": 2}),
+        (b"util=full", {}),
+        (b"util=nan", {}),
+        (b"", {}),
+        (b"util", {}),
+        (b"util=\xff", {}),
+    ],
+)
+def test_a_load_report_reaches_the_module(
+    monkeypatch: pytest.MonkeyPatch, header: bytes, report: dict[str, float]
+) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
         core, script = await core_with(monkeypatch, host)
@@ -373,6 +419,7 @@
         await asyncio.sleep(0)
         assert [e.report for e in script.events if isinstance(e, api.Outcome)] == [report]
         host.stop()
+
     on_loop(scenario)
 
 
@@ -383,6 +430,7 @@
         hosts.pool.update({"s-0": (LOOP, 1)}, set())
         hosts.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
         assert await ended.get() == api.MOOT  # after a wait for room
+
     on_loop(scenario)
 
 
@@ -400,14 +448,26 @@
         while core._pool.figures()["links_dialling"]:
             await asyncio.sleep(0.001)
         open_before = core._pool.figures()["links_idle"]
-        config = dataclasses.replace(parse({
-            "listen": f"{LOOP}:0", "discovery": f"{LOOP}:{host.port}", "seed": "1",
-            "settings": {"grades": GRADES, "packages": PACKAGES,
-                         "bounds": {"conn_idle_ms": 400, "dial_timeout_ms": 30}}}), sockets=10)
+        config = dataclasses.replace(
+            parse(
+                {
+                    "listen": f"{LOOP}:0",
+                    "discovery": f"{LOOP}:{host.port}",
+                    "seed": "1",
+                    "settings": {
+                        "grades": GRADES,
+                        "packages": PACKAGES,
+                        "bounds": {"conn_idle_ms": 400, "dial_timeout_ms": 30},
+                    },
+                }
+            ),
+            sockets=10,
+        )
         core.reconfigure(config)
         assert open_before == 8 and core._pool.figures()["links_idle"] == 3
         assert core._pool.wait_s() == 0.03
         host.stop()
+
     on_loop(scenario)
 
 
@@ -421,6 +481,7 @@
         assert (await told.get()).addresses == {"s-0": (LOOP, 1)}
         discovery.stop()
         agent.fake.stop()
+
     on_loop(scenario)
 
 
@@ -436,19 +497,30 @@
         assert (await told.get()).generation == 9
         await agent.fake.until(lambda fake: len(fake.seen) == 3)
         assert [seen.line.split("?")[1].split("&")[0] for seen in agent.fake.seen] == [
-            "after=7", "after=7", "after=9"]
+            "after=7",
+            "after=7",
+            "after=9",
+        ]
         discovery.stop()
         agent.fake.stop()
+
     on_loop(scenario)
 
 
 @pytest.mark.parametrize(("told_ms", "aim_ms", "wait_ms"), [(50, 3000, 180), (50, 600, 50), (None, 100, 50)])
 def test_a_call_to_the_counter_may_take_what_the_aims_can_spare(
-        told_ms: float | None, aim_ms: float, wait_ms: float) -> None:
-    raw = {"listen": f"{LOOP}:1", "discovery": f"{LOOP}:2", "seed": "1", "settings": {
-        "grades": [{**GRADES[0], "objective_ms": aim_ms}, {**GRADES[1], "objective_ms": 5500.0}],
-        "packages": PACKAGES,
-        "family_info": {} if told_ms is None else {"count_wait_ms": told_ms}}}
+    told_ms: float | None, aim_ms: float, wait_ms: float
+) -> None:
+    raw = {
+        "listen": f"{LOOP}:1",
+        "discovery": f"{LOOP}:2",
+        "seed": "1",
+        "settings": {
+            "grades": [{**GRADES[0], "objective_ms": aim_ms}, {**GRADES[1], "objective_ms": 5500.0}],
+            "packages": PACKAGES,
+            "family_info": {} if told_ms is None else {"count_wait_ms": told_ms},
+        },
+    }
     assert parse(raw).settings.count_wait_ms == pytest.approx(wait_ms)
 
 
@@ -470,7 +542,8 @@
 
 @pytest.mark.parametrize(("patience", "within_s"), [(ASKED, 2.0 + 1.0), (PUSHED, 1.0)])
 def test_a_silent_watch_is_opened_anew_before_what_it_misses_has_to_be_known(
-        patience: Patience, within_s: float) -> None:
+    patience: Patience, within_s: float
+) -> None:
     """Told 2 s after the wait is over; after that the settings leave a second and more for the last sends."""
     for n in range(40):
         loop = VirtualLoop()
@@ -497,8 +570,9 @@
         return getattr(self._loop, name)
 
 
-async def counter_with(monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float,
-                       loop: BreakingLoop | None = None) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
+async def counter_with(
+    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float, loop: BreakingLoop | None = None
+) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
     got: asyncio.Queue[api.CountReply] = asyncio.Queue()
@@ -521,15 +595,19 @@
         assert got.empty()
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("behave", "result"), [
-    (lambda seen: b"", api.TIMED_OUT),  # broken after the call was written: it may have been added
-    (lambda seen: reply(b"", 503), api.FULL),
-    (lambda seen: reply(b"many"), api.TIMED_OUT),
-    (lambda seen: reply(b"nan"), api.TIMED_OUT),
-])
+@pytest.mark.parametrize(
+    ("behave", "result"),
+    [
+        (lambda seen: b"", api.TIMED_OUT),  # broken after the call was written: it may have been added
+        (lambda seen: reply(b"", 503), api.FULL),
+        (lambda seen: reply(b"many"), api.TIMED_OUT),
+        (lambda seen: reply(b"nan"), api.TIMED_OUT),
+    ],
+)
 def test_what_a_counter_call_comes_to(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
     async def scenario() -> None:
         fake = Fake(behave)
@@ -539,11 +617,13 @@
         assert got.empty()
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
 def test_the_counter_is_dialled_again_after_a_connection_that_breaks_as_it_is_dialled(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         fake = Fake(lambda seen: reply(b"1"))
         counter, got = await counter_with(monkeypatch, fake, 5000, BreakingLoop(1))
@@ -552,6 +632,7 @@
             assert (await got.get()).result == result
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
@@ -567,11 +648,13 @@
         assert (await got.get()).total == 2
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
 
 
 def test_a_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
+
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
         counter, got = await counter_with(monkeypatch, fake, 30)
@@ -584,6 +667,7 @@
         assert fake.seen[0].writer is not fake.seen[1].writer
         counter.stop()
         fake.stop()
+
     on_loop(scenario, 10)
 
 
@@ -606,4 +690,5 @@
             await asyncio.sleep(0.01)
         counter.stop()
         fake.stop()
+
     on_loop(scenario)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -49,15 +49,21 @@
             writer.close()
             while (await rig.figures())["gateway_open_requests"]:
                 await asyncio.sleep(0.01)
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("call", "status"), [
-    (b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", 200), (b"GET /ops/stats?x=1 HTTP/1.1\r\n\r\n", 200),
-    (b"GET /ops/nothing HTTP/1.1\r\n\r\n", 404),
-    (b"POST /ops/stats HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405), (b"nonsense\r\n\r\n", 400),
-    (b"GET /ops/stats HTTP/1.1\r\nX: " + b"x" * 20000, 400),
-])
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        (b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"GET /ops/stats?x=1 HTTP/1.1\r\n\r\n", 200),
+        (b"GET /ops/nothing HTTP/1.1\r\n\r\n", 404),
+        (b"POST /ops/stats HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /ops/stats HTTP/1.1\r\nX: " + b"x" * 20000, 400),
+    ],
+)
 def test_a_call_has_one_answer_and_ends(tmp_path: Path, call: bytes, status: int) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, behave) as rig:
@@ -67,6 +73,7 @@
             with contextlib.suppress(ConnectionResetError):
                 assert await reader.read() == b""
             writer.close()
+
     on_loop(scenario)
 
 
@@ -84,6 +91,7 @@
         for _, other in [*stalled, (reader, writer)]:
             other.close()
         ops.stop()
+
     on_loop(scenario, 4)  # less than CALL_S, so the place came from giving way
 
 
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -35,11 +35,13 @@
     return [seen.headers["x-request-id"] for seen in rig.hosts[server].seen]
 
 
-def crossing(tmp_path: Path, steps: Callable[[Rig], Awaitable[None]], *behaves: Callable,
-             **limits: int) -> None:
+def crossing(
+    tmp_path: Path, steps: Callable[[Rig], Awaitable[None]], *behaves: Callable, **limits: int
+) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, *(behaves or (silent,)), **limits) as rig:
             await steps(rig)
+
     on_loop(scenario)
 
 
@@ -49,6 +51,7 @@
 @pytest.mark.parametrize("first", ["request", "signal"])
 def test_a_request_that_lies_unread_as_the_end_is_told_is_served(tmp_path: Path, first: str) -> None:
     """Owed to its client: its answer, whether its connection was accepted yet or not."""
+
     async def steps(rig: Rig) -> None:
         resting = await opened(rig, message(rid=b"before"))
         assert (await read_message(*resting)).body == b"served"
@@ -64,6 +67,7 @@
             assert (await read_message(reader, writer)).body == b"served"
             assert await reader.read() == b""  # whichever of signal and bytes was looked at first
         assert await rig.process.wait() == 0 and sorted(asked(rig)) == ["before", "fresh", "resting"]
+
     crossing(tmp_path, steps, serve)
 
 
@@ -79,6 +83,7 @@
             answer = await read_message(reader, writer)
             assert answer.body == b"answer %d" % i and ("connection" in answer.headers) == (i == 3)
         assert await reader.read() == b"" and await rig.process.wait() == 0
+
     crossing(tmp_path, steps)
 
 
@@ -91,6 +96,7 @@
         await rig.logged("draining")
         assert (await read_message(reader, writer)).body == b"served"
         assert await rig.process.wait() == 0
+
     crossing(tmp_path, steps, serve)
 
 
@@ -110,6 +116,7 @@
         answer = await read_message(reader, writer)
         assert (answer.line.split()[1], len(asked(rig))) == ("200" if end == "rest" else "502", 1)
         assert await rig.process.wait() == 0
+
     crossing(tmp_path, steps)
 
 
@@ -124,6 +131,7 @@
         writer.write(whole[-500:])
         assert (await read_message(reader, writer)).body == b"served"
         assert len(rig.hosts[0].seen[0].body) == size and await rig.process.wait() == 0
+
     crossing(tmp_path, steps, serve)
 
 
@@ -150,6 +158,7 @@
         rig.hosts[0].behave = serve
         assert await rig.status(message(rid=b"next")) == 200
         assert asked(rig) == (["next"] if first == "client" else ["leaves", "next"])
+
     crossing(tmp_path, steps)
 
 
@@ -175,6 +184,7 @@
         assert await rig.status(message(rid=b"next")) == 200
         begun = ["leaves"] if first == "client" else ["leaves", "leaves"]
         assert sorted(asked(rig, 0) + asked(rig, 1)) == [*begun, "next"]
+
     crossing(tmp_path, steps, silent, silent)
 
 
@@ -183,13 +193,15 @@
 
 @pytest.mark.parametrize("told", ["changes", "whole"])
 def test_work_at_a_server_that_the_list_drops_ends_there_and_nothing_new_goes_to_it(
-        tmp_path: Path, told: str) -> None:
+    tmp_path: Path, told: str
+) -> None:
     """A whole list does not name who drains: it is gone for us, also where it still answers."""
+
     async def steps(rig: Rig) -> None:
         reader, writer = await opened(rig, message(rid=b"held"))
         while not (busy := [i for i, host in enumerate(rig.hosts) if host.seen]):
             await asyncio.sleep(0)
-        left, = {0, 1} - set(busy)
+        (left,) = {0, 1} - set(busy)
         rig.hosts[left].behave = serve
         gone_one = {**rig.instances()[busy[0]], "lifecycle": "gone"}
         await rig.directory.tell([rig.instances()[left]] if told == "whole" else [gone_one], told == "whole")
@@ -198,12 +210,14 @@
         rig.hosts[busy[0]].seen[0].writer.write(reply(b"late"))
         assert (await read_message(reader, writer)).body == b"late"
         assert asked(rig, busy[0]) == ["held"] and len(asked(rig, left)) == 6
+
     crossing(tmp_path, steps, silent, silent)
 
 
 @pytest.mark.parametrize("how", ["reset", "ends"])
 def test_what_a_broken_watch_missed_is_asked_for_at_once(tmp_path: Path, how: str) -> None:
     """Owed to the server that drains: nothing new, though the watch broke instead of telling."""
+
     async def steps(rig: Rig) -> None:
         directory = rig.directory
         await directory.fake.until(lambda fake: bool(directory.waiting))
@@ -219,6 +233,7 @@
         for i in range(6):
             assert await rig.status(message(rid=b"new-%d" % i)) == 200
         assert not asked(rig, 0) and len(asked(rig, 1)) == 6
+
     crossing(tmp_path, steps, serve, serve)
 
 
@@ -237,11 +252,13 @@
         rig.counter.seen[0].writer.write(reply(b"500"))  # others have used all
         assert (await read_message(reader, writer)).line.split()[1] == "503" and not asked(rig)
         other.stop()
+
     crossing(tmp_path, steps, serve)
 
 
 def test_idle_clients_that_fill_the_descriptors_leave_room_for_all_other_links(tmp_path: Path) -> None:
     """Owed to the fleet: discovery is asked again, servers and the counter are reached, readiness is told."""
+
     async def steps(rig: Rig) -> None:
         idle = [await rig.connect() for _ in range(40)]  # more than the half of 64 that clients may have
         directory = rig.directory
@@ -257,4 +274,5 @@
         assert rig.counter.seen and not rig.process.returncode
         for _, writer in idle:
             writer.close()
+
     crossing(tmp_path, steps, serve, sockets=64)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -147,9 +147,11 @@
     assert all(homes[0] not in p.homes for p in last.placed) and last.out == (homes[0],)
     back = let_in(replace(sight, table=last, reports=at_home(last)), homes[0])
     again = settle(replace(sight, table=back, reports=at_home(back)))[-1]
-    assert {p.group: set(p.homes) for p in again.placed} == {
-        p.group: set(p.homes) for p in sight.table.placed
-    } and not again.out and not again.coming
+    assert (
+        {p.group: set(p.homes) for p in again.placed} == {p.group: set(p.homes) for p in sight.table.placed}
+        and not again.out
+        and not again.coming
+    )
     for bad, field in (
         (lambda: moved(sight, "keys-9", "m0", "m1"), "group"),
         (lambda: moved(sight, "list", away, homes[0]), "from"),
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -206,8 +206,11 @@
         del open_attempts[key]
         rec = attempts[key[0]][key[1]]
         rec[1], rec[3] = True, False
-        note(d.give(api.Outcome(key[0], key[1], rec[0], api.TIMED_OUT, 1000,
-                                answers(d, key[0], served) > 0), 1))
+        note(
+            d.give(
+                api.Outcome(key[0], key[1], rec[0], api.TIMED_OUT, 1000, answers(d, key[0], served) > 0), 1
+            )
+        )
     assert all(answers(d, rid, served) == 1 for rid in asked)
     assert not gw.held
 
@@ -237,8 +240,12 @@
     d = Driver()
     with pytest.raises(TypeError, match="not an event"):
         d.give("hello")
-    for changes, word in [({"classes": ()}, "classes"), ({"me": 3}, "me"), ({"fleet_size": 0}, "fleet_size"),
-                          ({"plans": (api.Plan("p", rate=-1),)}, "rate")]:
+    for changes, word in [
+        ({"classes": ()}, "classes"),
+        ({"me": 3}, "me"),
+        ({"fleet_size": 0}, "fleet_size"),
+        ({"plans": (api.Plan("p", rate=-1),)}, "rate"),
+    ]:
         with pytest.raises(ValueError, match=word):
             Gateway(settings(**changes), 1)
 
@@ -409,10 +416,13 @@
     assert not d.gateway.uses and not d.gateway.calls and not d.gateway.held
 
 
-@pytest.mark.parametrize(("marks", "repeat", "kind"), [
-    (True, False, api.Send), (True, True, api.Refuse), (False, False, api.Refuse)])
-def test_a_short_time_left_tells_a_retry_only_where_the_mark_does_not(marks: bool, repeat: bool, kind: type
-                                                                      ) -> None:
+@pytest.mark.parametrize(
+    ("marks", "repeat", "kind"),
+    [(True, False, api.Send), (True, True, api.Refuse), (False, False, api.Refuse)],
+)
+def test_a_short_time_left_tells_a_retry_only_where_the_mark_does_not(
+    marks: bool, repeat: bool, kind: type
+) -> None:
     d = Driver(marks_retry=marks)
     for _ in range(policy.TRIES):
         rid, _ = d.ask(after=20)
@@ -421,8 +431,9 @@
     assert [type(act) for act in out] == [kind]
 
 
-@pytest.mark.parametrize(("result", "tries"), [(api.CONNECT_FAILED, 4), (api.MOOT, 4), (api.FULL, 1),
-                                               (api.ERROR, 1)])
+@pytest.mark.parametrize(
+    ("result", "tries"), [(api.CONNECT_FAILED, 4), (api.MOOT, 4), (api.FULL, 1), (api.ERROR, 1)]
+)
 def test_only_attempts_that_met_a_server_spend_what_retries_may(result: str, tries: int) -> None:
     d = Driver(servers=8)
     d.gateway.bank = 0.0
@@ -517,8 +528,9 @@
 # --- A fleet's sum ---
 
 
-def sends_of_a_fleet(gateways: int, servers: int, each: int, starts_at: int | None = None
-                     ) -> Counter[tuple[int, str]]:
+def sends_of_a_fleet(
+    gateways: int, servers: int, each: int, starts_at: int | None = None
+) -> Counter[tuple[int, str]]:
     """How many requests each gateway sent to each server, served in 100 ms each.
 
     From request `starts_at` on, where h0 starts anew, cold.
@@ -592,7 +604,7 @@
         age = max(at - (start + 1000 * cold_at), 0.0)
         warmth = min(base.cold_from + (1 - base.cold_from) * age / base.cold_ms, 1.0)
         most = base.fall_multiple * warmth * rate / 8 * span / 1000
-        assert sum(at <= other < at + span for other in sent) <= most + 2 * most ** 0.5 + 2
+        assert sum(at <= other < at + span for other in sent) <= most + 2 * most**0.5 + 2
     assert len(sent) > 10  # and it gets work
 
 
@@ -643,6 +655,7 @@
 
 def test_a_fleet_that_grows_or_shrinks_at_sighup_agrees_on_who_holds_a_server() -> None:
     """Else a server that starts gets the parts of too many gateways, or of none."""
+
     def ranks(driver: Driver) -> dict[str, int]:
         return {name: host.rank for name, host in driver.gateway.hosts.items()}
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -29,14 +29,23 @@
     loop: VirtualLoop = field(default_factory=VirtualLoop)
     most: int = 8
     dial_ms: float = 250
-    bound: Callable[[str], int] = lambda name: 10 ** 6
+    bound: Callable[[str], int] = lambda name: 10**6
     ends: list[tuple[str, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.descriptors = Descriptors()
         self.use = self.descriptors.uses["servers"]
-        self.hosts = Hosts(self.loop, self.most, self.dial_ms, IDLE_MS, self, self.use, bound=self.bound,
-                           clock_ms=lambda: self.loop.now * 1000, rng=random.Random(1))
+        self.hosts = Hosts(
+            self.loop,
+            self.most,
+            self.dial_ms,
+            IDLE_MS,
+            self,
+            self.use,
+            bound=self.bound,
+            clock_ms=lambda: self.loop.now * 1000,
+            rng=random.Random(1),
+        )
         self.pool = self.hosts.pool
         self.pool.start()
 
@@ -111,9 +120,15 @@
     assert fleet.descriptors.held == 0 and fleet.descriptors.peak == 2
 
 
-@pytest.mark.parametrize(("answer", "reason"), [
-    (OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"), "not_reusable"),
-    (OK + OK, "not_reusable"), (OK + b"HTTP/1.1 200", "not_reusable"), (b"nonsense", "broke")])
+@pytest.mark.parametrize(
+    ("answer", "reason"),
+    [
+        (OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"), "not_reusable"),
+        (OK + OK, "not_reusable"),
+        (OK + b"HTTP/1.1 200", "not_reusable"),
+        (b"nonsense", "broke"),
+    ],
+)
 def test_links_that_cannot_be_used_again_are_closed_for_a_reason(answer: bytes, reason: str) -> None:
     fleet = Fleet()
     fleet.server(1, answer=answer)
@@ -424,8 +439,13 @@
     assert out.result == api.OK and fleet.ends[-1] == ("other", api.OK) and fleet.pool.names() == {"s1"}
 
 
-PROCESS = ("process_cpu_seconds_total", "process_resident_memory_bytes", "process_open_fds",
-           "process_max_fds", "process_start_time_seconds")
+PROCESS = (
+    "process_cpu_seconds_total",
+    "process_resident_memory_bytes",
+    "process_open_fds",
+    "process_max_fds",
+    "process_start_time_seconds",
+)
 
 
 def test_the_figures_tell_what_the_process_costs_and_what_its_sockets_are_for(tmp_path: Path) -> None:
@@ -437,8 +457,10 @@
                 await reader.readuntil(b"ok")
             figures = await rig.figures()
             assert all(figures[name] > 0 for name in PROCESS)
-            uses = {use: figures[f'gateway_descriptors{{use="{use}"}}']
-                    for use in ("clients", "servers", "counter", "discovery", "ops")}
+            uses = {
+                use: figures[f'gateway_descriptors{{use="{use}"}}']
+                for use in ("clients", "servers", "counter", "discovery", "ops")
+            }
             assert uses == {"clients": 1, "servers": 1, "counter": 4, "discovery": 1, "ops": 1}
             assert figures["process_open_fds"] > sum(uses.values())
             assert figures['gateway_dials_total{result="up"}'] == 1
@@ -446,6 +468,10 @@
             writer.close()
             rig.process.terminate()
             said = await rig.logged("ended:")
-            assert re.search(r"ended: 3 requests, \d+ us CPU for each, at the most [\d.]+ MB and \d+ "
-                             r"sockets, 1 dials to servers", said)
+            assert re.search(
+                r"ended: 3 requests, \d+ us CPU for each, at the most [\d.]+ MB and \d+ "
+                r"sockets, 1 dials to servers",
+                said,
+            )
+
     on_loop(scenario)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -928,9 +928,7 @@
                     continue
             assert [i["instanceId"] for i in told.body["instances"]] == ["s-0", "s-1"]
             await served(5)
-            done = await asyncio.to_thread(
-                run, "plumwall", "drain", "s-0", "--at", f"{LOOP}:{service.port}"
-            )
+            done = await asyncio.to_thread(run, "plumwall", "drain", "s-0", "--at", f"{LOOP}:{service.port}")
             assert done.returncode == 0 and "draining" in done.stdout
             await rig.logged("s-0 draining")
             count = len(rig.hosts[0].seen)
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -48,8 +48,9 @@
         return self.store.leases[name].token
 
     def expire(self) -> list[str]:
-        return [name for name in self.store.overdue(self.now)
-                if self.do(self.store.plan_expire(name, self.now))]
+        return [
+            name for name in self.store.overdue(self.now) if self.do(self.store.plan_expire(name, self.now))
+        ]
 
     def restart(self, now: float) -> None:
         """The same files, on a clock that began anew."""
@@ -350,7 +351,7 @@
 def test_a_last_entry_of_which_only_the_end_was_written_is_cut_off(tmp_path: Path) -> None:
     whole = written(tmp_path)
     start = whole[:-1].rindex(b"\n") + 1
-    (tmp_path / "log").write_bytes(whole[:start] + b"\0" * 20 + whole[start + 20:])
+    (tmp_path / "log").write_bytes(whole[:start] + b"\0" * 20 + whole[start + 20 :])
     assert read(tmp_path) == (None, entries(2))
 
 
@@ -358,7 +359,7 @@
     whole = written(tmp_path)
     ends = [at for at, byte in enumerate(whole[:-1]) if byte == 10]
     for at in sorted({*range(len(FIRST), ends[-1], 5), *ends[1:]}):
-        (tmp_path / "log").write_bytes(whole[:at] + bytes([whole[at] ^ 0x10]) + whole[at + 1:])
+        (tmp_path / "log").write_bytes(whole[:at] + bytes([whole[at] ^ 0x10]) + whole[at + 1 :])
         with pytest.raises(LogError) as caught:
             read(tmp_path)
         assert "log" in str(caught.value) and "\n" not in str(caught.value)
@@ -416,7 +417,7 @@
     def write(self, data: memoryview) -> int:
         if not self.room:
             raise OSError(errno.ENOSPC, "No space left on device")
-        part = data[:self.room]
+        part = data[: self.room]
         self.room -= len(part)
         return self._file.write(part)
 
@@ -428,7 +429,7 @@
     files._file = full = FullFile(files._file, 10)
     with pytest.raises(FullError, match="No space"):
         files.append(entries(2)[1])
-    full.room = 10 ** 6  # somebody made room
+    full.room = 10**6  # somebody made room
     files.append(entries(2)[1])
     files.close()
     assert read(tmp_path) == (None, entries(2))
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -142,7 +142,11 @@
 )
 def test_a_bad_configuration_names_its_field(shares: object, field: str) -> None:
     raw: dict[str, object] = {
-        "listen": "h:1", "discovery": "h:2", "seed": "1", "holding": ["h:3"], "shares": shares,
+        "listen": "h:1",
+        "discovery": "h:2",
+        "seed": "1",
+        "holding": ["h:3"],
+        "shares": shares,
         "settings": {
             "grades": [{"name": "a", "objective_ms": 1.0, "deadline_ms": 2.0, "effect": "safe"}],
             "packages": [{"name": "gold", "refill": 1.0, "burst": 2.0}],
@@ -159,11 +163,13 @@
 ) -> None:
     """`holding` wants a restart: until then nobody can be asked, which is told at once."""
     raw: dict[str, object] = {
-        "discovery": f"{HOST}:1", "seed": "1", "known": {
-            "generation": 1, "reset": True, "instances": [listed("s", 1)]},
+        "discovery": f"{HOST}:1",
+        "seed": "1",
+        "known": {"generation": 1, "reset": True, "instances": [listed("s", 1)]},
         "settings": {
             "grades": [{"name": "view", "objective_ms": 1500.0, "deadline_ms": 2000.0, "effect": "safe"}],
-            "packages": [{"name": PLAN, "refill": 5.0, "burst": 9.0}]},
+            "packages": [{"name": PLAN, "refill": 5.0, "burst": 9.0}],
+        },
     }
 
     async def scenario() -> None:
@@ -226,8 +232,15 @@
             await machines.init(machines.all, 2)
             await machines.whole()
             client, name = machines.client(), account(PLAN, CUSTOMER)
-            body = {"by": "g1.77", "serial": 1, "rate": 10.0, "burst": 20.0, "want": 8.0, "least": 1.0,
-                    "lifeMs": 60_000.0}
+            body = {
+                "by": "g1.77",
+                "serial": 1,
+                "rate": 10.0,
+                "burst": 20.0,
+                "want": 8.0,
+                "least": 1.0,
+                "lifeMs": 60_000.0,
+            }
             assert (await until_answered(client, f"/v1/shares/{name}/take", body)).body == {"units": 8.0}
             assert (await until_answered(client, f"/v1/shares/{name}/take", body)).body == {"units": 8.0}
             at = ",".join(f"{HOST}:{machine.listen}" for machine in machines.all)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -56,6 +56,7 @@
             assert rig.process.returncode is None
             for other in (idle, writer):
                 other.close()
+
     on_loop(scenario)
 
 
@@ -69,6 +70,7 @@
             assert await rig.status(message()) == 200
             rig.processes[1 - victim].send_signal(signal.SIGTERM)
             assert await rig.processes[1 - victim].wait() == 0
+
     on_loop(scenario)
 
 
@@ -81,6 +83,7 @@
             waiting = asyncio.create_task(rig.status(message()))  # in the backlog of the socket
             await rig.spawn()
             assert await waiting == 200
+
     on_loop(scenario)
 
 
@@ -101,7 +104,7 @@
             self.closed = True
 
     ours, theirs = socket.socketpair()
-    core = type("Core", (), {"budget": Budget(2 ** 20, lambda: 0.0)})
+    core = type("Core", (), {"budget": Budget(2**20, lambda: 0.0)})
     connection = clients_module.ClientConnection(type("Server", (), {"core": core}))
     connection.transport = Transport(ours)
     theirs.send(b"G")
@@ -145,11 +148,13 @@
         for name in (SERVING, WAITING):
             if name in new._locks:
                 new._release(name)
+
     on_loop(scenario)
 
 
 def test_a_next_process_is_seen_though_its_first_lock_fails(tmp_path: Path) -> None:
     """The old one holds the lock for the instant in which it looks; on a busy core that may be long."""
+
     async def scenario() -> None:
         old, looking, new = (Handover(tmp_path, "n0", asyncio.get_running_loop()) for _ in range(3))
         assert not old.start(print, print)
@@ -159,6 +164,7 @@
         while not old.succeeded():
             await asyncio.sleep(0.01)
         new.stop()
+
     on_loop(scenario)
 
 
@@ -167,6 +173,7 @@
         lone = Handover(tmp_path / "missing", "n0", asyncio.get_running_loop())
         assert not lone.start(print, print) and not lone.succeeded()
         lone.hand_over({})
+
     on_loop(scenario)
 
 
@@ -187,6 +194,7 @@
             assert await reader.read() == body
             assert await rig.process.wait() == 0
             writer.close()
+
     on_loop(scenario)
 
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -167,8 +167,15 @@
 class VirtualServer:
     """Answers each request after a while; None never answers."""
 
-    def __init__(self, loop: VirtualLoop, port: int, dial_s: float = 0.001, answer_s: float | None = 0.01,
-                 answer: bytes = OK, holds: int = 10 ** 6) -> None:
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        port: int,
+        dial_s: float = 0.001,
+        answer_s: float | None = 0.01,
+        answer: bytes = OK,
+        holds: int = 10**6,
+    ) -> None:
         self._loop, self.dial_s, self.holds = loop, dial_s, holds
         self.answer_s, self.answer = answer_s, answer
         self.silent = False
--- a/yewstage/__main__.py
+++ b/yewstage/__main__.py
@@ -40,8 +40,14 @@
 class Succession:
     """What this process shares with one before or after it on the same listening socket."""
 
-    def __init__(self, core: Core, server: Server, loop: asyncio.AbstractEventLoop,
-                 handover: Handover | None, peers: Peers | None) -> None:
+    def __init__(
+        self,
+        core: Core,
+        server: Server,
+        loop: asyncio.AbstractEventLoop,
+        handover: Handover | None,
+        peers: Peers | None,
+    ) -> None:
         self._core, self._server, self._loop, self._handover = core, server, loop, handover
         self._peers = peers
 
@@ -103,8 +109,9 @@
 class Shutdown:
     """SIGTERM: accept a little longer or leave that to a next process, finish what was taken, then end."""
 
-    def __init__(self, core: Core, server: Server, loop: asyncio.AbstractEventLoop,
-                 succession: Succession) -> None:
+    def __init__(
+        self, core: Core, server: Server, loop: asyncio.AbstractEventLoop, succession: Succession
+    ) -> None:
         self._core, self._server, self._loop, self._succession = core, server, loop, succession
         self.done = asyncio.Event()
 
@@ -161,9 +168,17 @@
         log.error(Event("configuration_refused", "configuration not taken: {error}", error=str(error)))
         return
     settings = config.settings
-    log.info(Event("reconfigured", "reconfigured: discovery {discovery}, counter {counter}, classes "
-                   "{classes:, }, {attempts} attempts", discovery=config.discovery, counter=config.counter,
-                   classes=Several(c.name for c in settings.classes), attempts=settings.try_limit))
+    log.info(
+        Event(
+            "reconfigured",
+            "reconfigured: discovery {discovery}, counter {counter}, classes "
+            "{classes:, }, {attempts} attempts",
+            discovery=config.discovery,
+            counter=config.counter,
+            classes=Several(c.name for c in settings.classes),
+            attempts=settings.try_limit,
+        )
+    )
     server.retune(names)
     server.resize(config.sockets, config.longest_upload)
     core.reconfigure(config)
@@ -198,9 +213,16 @@
         log.info(at("ops", "operators' address", await ops.start(config.ops)))
     address = server.start(config.listen, config.listen_fd)
     succession.start()
-    log.info(Event("links", "connections to hosts: idle for {idle_ms:.0f} ms at most, dialled within "
-                   "{dial_ms:.0f} ms; {descriptors} descriptors", idle_ms=config.idle_ms,
-                   dial_ms=config.dial_ms, descriptors=config.sockets))
+    log.info(
+        Event(
+            "links",
+            "connections to hosts: idle for {idle_ms:.0f} ms at most, dialled within "
+            "{dial_ms:.0f} ms; {descriptors} descriptors",
+            idle_ms=config.idle_ms,
+            dial_ms=config.dial_ms,
+            descriptors=config.sockets,
+        )
+    )
     log.info(at("listening", "listening on", address))
     gc.freeze()
     gc.set_threshold(GC_ALLOCATIONS)  # requests leave next to no cycles: look for them seldom
--- a/yewstage/checker.py
+++ b/yewstage/checker.py
@@ -49,8 +49,9 @@
         self._over = over
 
     def ask(self, host: Address) -> None:
-        self.write(b"GET /health HTTP/1.1\r\nHost: %b:%d\r\nConnection: close\r\n\r\n"
-                   % (host[0].encode(), host[1]))
+        self.write(
+            b"GET /health HTTP/1.1\r\nHost: %b:%d\r\nConnection: close\r\n\r\n" % (host[0].encode(), host[1])
+        )
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         self._end(reply.status)
@@ -94,9 +95,15 @@
 class Checker:
     """Probes at a paced rate while it holds the duty, and writes under its token."""
 
-    def __init__(self, config: CheckerConfig, watch: Watch, duty: Duty, client: Client,
-                 ask: Callable[[Address, float], Awaitable[int]] = probe,
-                 rng: random.Random | None = None) -> None:
+    def __init__(
+        self,
+        config: CheckerConfig,
+        watch: Watch,
+        duty: Duty,
+        client: Client,
+        ask: Callable[[Address, float], Awaitable[int]] = probe,
+        rng: random.Random | None = None,
+    ) -> None:
         self._config, self.watch, self.duty, self._client, self._ask = config, watch, duty, client, ask
         self._rng = rng or random.Random()
         self._findings: dict[str, Finding] = {}
@@ -140,21 +147,35 @@
         if not self.duty.held():
             return  # it ended while we asked
         try:
-            told = await self._client.call("POST", f"/v1/endpoints/{name}/verdict",
-                                           {"well": well, **self.duty.fence()})
+            told = await self._client.call(
+                "POST", f"/v1/endpoints/{name}/verdict", {"well": well, **self.duty.fence()}
+            )
         except SilentError as error:
-            log.warning(Event("verdict_lost", "no verdict on {server} could be written: {error}", server=name,
-                              error=str(error)))
+            log.warning(
+                Event(
+                    "verdict_lost",
+                    "no verdict on {server} could be written: {error}",
+                    server=name,
+                    error=str(error),
+                )
+            )
             return
         if told.status == 200:
             found.told = well
             self.written += 1
-            log.info(Event("verdict", "{server} is {verdict}", server=name,
-                           verdict="well" if well else "not well"))
+            log.info(
+                Event("verdict", "{server} is {verdict}", server=name, verdict="well" if well else "not well")
+            )
         elif told.status in (404, 409):
             self.refused += 1
-            log.warning(Event("verdict_refused", "verdict on {server} refused: {error}", server=name,
-                              error=told.body.get("error")))
+            log.warning(
+                Event(
+                    "verdict_refused",
+                    "verdict on {server} refused: {error}",
+                    server=name,
+                    error=told.body.get("error"),
+                )
+            )
 
     def ready(self) -> bool:
         """Whether the list is known; holding the duty is no condition."""
@@ -166,15 +187,21 @@
 
     def _collect(self) -> list[Metric]:
         unwell = sum(found.told is False for found in self._findings.values())
-        return [gauge("checker_holds_duty", "whether it acts", self.duty.held()),
-                gauge("checker_token", "of the duty as it held it last", self.duty.token),
-                count("checker_grants", "of the duty", self.duty.grants),
-                gauge("checker_servers", "in the list", len(self.watch.servers)),
-                gauge("checker_unwell", "by our word", unwell),
-                gauge("checker_list_age_seconds", "since the list was heard of", self.watch.age_s()),
-                count("checker_probes", "of servers", self.probes),
-                counts("checker_verdicts", "by what came of them", "result",
-                       {"written": self.written, "refused": self.refused})]
+        return [
+            gauge("checker_holds_duty", "whether it acts", self.duty.held()),
+            gauge("checker_token", "of the duty as it held it last", self.duty.token),
+            count("checker_grants", "of the duty", self.duty.grants),
+            gauge("checker_servers", "in the list", len(self.watch.servers)),
+            gauge("checker_unwell", "by our word", unwell),
+            gauge("checker_list_age_seconds", "since the list was heard of", self.watch.age_s()),
+            count("checker_probes", "of servers", self.probes),
+            counts(
+                "checker_verdicts",
+                "by what came of them",
+                "result",
+                {"written": self.written, "refused": self.refused},
+            ),
+        ]
 
 
 async def serve(config: CheckerConfig) -> None:
--- a/yewstage/holding/accounts.py
+++ b/yewstage/holding/accounts.py
@@ -88,8 +88,17 @@
         if units < ask.least or len(shares) >= MOST_SHARES:
             return None, 0.0
         given = min(ask.want, max(units / 2, ask.least))
-        entry = {"op": "take", "account": name, "by": ask.by, "serial": ask.serial, "rate": ask.rate,
-                 "burst": ask.burst, "left": units - given, "units": given, "life": ask.life_ms}
+        entry = {
+            "op": "take",
+            "account": name,
+            "by": ask.by,
+            "serial": ask.serial,
+            "rate": ask.rate,
+            "burst": ask.burst,
+            "left": units - given,
+            "units": given,
+            "life": ask.life_ms,
+        }
         return entry, given
 
     def plan_forget(self, now: float) -> list[str]:
@@ -104,8 +113,9 @@
         units, shares = self._now(account, account.rate, account.burst, now)
         return not shares and units >= account.burst
 
-    def _now(self, account: Account | None, rate: float, burst: float, now: float
-             ) -> tuple[float, list[Share]]:
+    def _now(
+        self, account: Account | None, rate: float, burst: float, now: float
+    ) -> tuple[float, list[Share]]:
         """What is in an account, and which shares are not over. It fills beside what is granted: each share
         that came to be over since then has left room from that time on only."""
         if account is None:
@@ -161,8 +171,12 @@
         if account is None:
             return None
         units, shares = self._now(account, account.rate, account.burst, now)
-        return {"rate": account.rate, "burst": account.burst, "units": round(units, 3),
-                "granted": [_told(share, now) for share in shares]}
+        return {
+            "rate": account.rate,
+            "burst": account.burst,
+            "units": round(units, 3),
+            "granted": [_told(share, now) for share in shares],
+        }
 
     def granted(self, now: float) -> Iterator[float]:
         """Units of shares that are not over."""
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -287,7 +287,10 @@
         try:
             fields = Fields(msgspec.json.decode(call.body or b"{}", type=dict[str, object]))
             work = {
-                "claim": self._claim, "done": self._done, "release": self._release, "take": self._take,
+                "claim": self._claim,
+                "done": self._done,
+                "release": self._release,
+                "take": self._take,
                 "show": self._show,
             }[verb](ledger, key, fields)
         except msgspec.MsgspecError as error:
@@ -300,9 +303,13 @@
     def _take(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
         """A share of a customer's quota, before any of it may be spent."""
         ask = Ask(
-            fields.text("by", 128), fields.whole("serial", None, 0), fields.number("rate", None, 1e-6),
-            fields.number("burst", None, 0.0), fields.number("want", None, 0.0),
-            fields.number("least", None, 0.0), fields.number("lifeMs", None, *LIFE_MS),
+            fields.text("by", 128),
+            fields.whole("serial", None, 0),
+            fields.number("rate", None, 1e-6),
+            fields.number("burst", None, 0.0),
+            fields.number("want", None, 0.0),
+            fields.number("least", None, 0.0),
+            fields.number("lifeMs", None, *LIFE_MS),
         )
         fields.done()
         granted = [0.0]
--- a/yewstage/holding/group.py
+++ b/yewstage/holding/group.py
@@ -146,8 +146,7 @@
 
     def leads(self) -> bool:
         """Whether writes are taken here."""
-        return self.planned is not None and self.replica.leading() \
-            and self._planned_term == self.replica.term
+        return self.planned is not None and self.replica.leading() and self._planned_term == self.replica.term
 
     # --- What comes in ------------------------------------------------------------------------------------
 
--- a/yewstage/holding/members.py
+++ b/yewstage/holding/members.py
@@ -50,9 +50,7 @@
         return _without(view, goes)
     stay = {m.name for m in view.members if m not in leaving}
     twice = used_twice(view.present)
-    coming = [
-        m for m in view.present if m.name in view.homes and m.name not in stay and m.name not in twice
-    ]
+    coming = [m for m in view.present if m.name in view.homes and m.name not in stay and m.name not in twice]
     if coming and view.may_copy:
         chosen = min(coming, key=lambda m: view.homes.index(m.name))
         return *view.members, structs.replace(chosen, voter=False)
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -52,8 +52,13 @@
         self.registry.listener.handle = self._call
         service = config.service
         self.passing = Passing(
-            self.replicas.holders_of_list, self.registry.later, loop, rng, self._spawn,
-            service.watches, service.most_age_ms,
+            self.replicas.holders_of_list,
+            self.registry.later,
+            loop,
+            rng,
+            self._spawn,
+            service.watches,
+            service.most_age_ms,
         )
         self.registry.pass_on = self.passing.list
 
@@ -66,9 +71,7 @@
         address = await self.registry.start()
         port = self._server.sockets[0].getsockname()[1]
         replicas = self.replicas
-        replicas.me = structs.replace(
-            replicas.me, peer=f"{host}:{port}", call=f"{address[0]}:{address[1]}"
-        )
+        replicas.me = structs.replace(replicas.me, peer=f"{host}:{port}", call=f"{address[0]}:{address[1]}")
         log.info(at("peers", "hearing others on", (host, port)))
         for name in self.config.peers:
             self._link(name)
--- a/yewstage/holding/places.py
+++ b/yewstage/holding/places.py
@@ -110,8 +110,9 @@
     return tuple(homes)
 
 
-def begin(groups: Iterable[str], members: Members, copies: int, first: float,
-          kept: Mapping[str, tuple[str, ...]]) -> Table:
+def begin(
+    groups: Iterable[str], members: Members, copies: int, first: float, kept: Mapping[str, tuple[str, ...]]
+) -> Table:
     """The first table. `kept`: homes of groups that are there already."""
     placed = []
     for group in groups:
--- a/yewstage/holding/replicas.py
+++ b/yewstage/holding/replicas.py
@@ -231,8 +231,9 @@
         led = {report.group: report for report in self.reports()}
         since = self._leads_since.get(PLACES, now)
         config = self.config
-        return self.heard.sight(self.all[PLACES].store.table, led, self.me, now, since, config.gone_ms,
-                                config.copies)
+        return self.heard.sight(
+            self.all[PLACES].store.table, led, self.me, now, since, config.gone_ms, config.copies
+        )
 
     async def look(self) -> None:
         """Bring the groups that are led here one step nearer to where they are wanted."""
--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -91,8 +91,15 @@
             for name in ("rate", "burst", "ceiling_rate", "ceiling_burst", "parallel"):
                 if getattr(p, name) < 0:
                     raise ValueError(f"plans[{p.name}].{name}: must not be negative")
-        for name in ("cold_ms", "fall_multiple", "tip_after_ms", "tick_ms", "try_limit", "handshake",
-                     "idle_ms"):
+        for name in (
+            "cold_ms",
+            "fall_multiple",
+            "tip_after_ms",
+            "tick_ms",
+            "try_limit",
+            "handshake",
+            "idle_ms",
+        ):
             if getattr(self, name) < 0:
                 raise ValueError(f"{name}: must not be negative")
 
@@ -311,6 +318,18 @@
     text: str
 
 
-Event = (ServerList | Request | Outcome | StreamStarted | Uploaded | ClientLeft | TimerDue | CountReply
-         | Claimed | Retuned | TakenOver | PredecessorGone)
+Event = (
+    ServerList
+    | Request
+    | Outcome
+    | StreamStarted
+    | Uploaded
+    | ClientLeft
+    | TimerDue
+    | CountReply
+    | Claimed
+    | Retuned
+    | TakenOver
+    | PredecessorGone
+)
 Action = Send | Refuse | Fail | Claim | Release | Recall | Cancel | Timer | Count | Subscribe | Log
--- a/yewstage/log.py
+++ b/yewstage/log.py
@@ -76,11 +76,18 @@
     class Lines(JsonFormatter):
         """Time, level, who, event, its fields, and the text that people would read."""
 
-        def add_fields(self, log_data: dict[str, object], record: logging.LogRecord,
-                       message_dict: dict[str, object]) -> None:
+        def add_fields(
+            self, log_data: dict[str, object], record: logging.LogRecord, message_dict: dict[str, object]
+        ) -> None:
             event = record.msg if isinstance(record.msg, Event) else Event("log", "")
-            log_data |= {"time": _utc(record.created), "level": record.levelname.lower(), **who,
-                         "event": event.name, **event.fields, "message": record.message}
+            log_data |= {
+                "time": _utc(record.created),
+                "level": record.levelname.lower(),
+                **who,
+                "event": event.name,
+                **event.fields,
+                "message": record.message,
+            }
             if record.exc_info:
                 log_data["exception"] = self.formatException(record.exc_info)
 
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -44,13 +44,33 @@
 ACCEPT_PAUSE_S = 0.05
 TELL_S = 5.0  # spacing of the log's word that there is no room
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout",
-           413: b"Content Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-           503: b"Service Unavailable", 504: b"Gateway Timeout"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 LINES = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
-WANTED = frozenset((b"x-request-id", b"x-class", b"plan", b"x-deadline", b"quota-info", b"x-retry",
-                    b"idempotency-key", b"content-length", b"content-type", b"expect",
-                    b"transfer-encoding"))
+WANTED = frozenset(
+    (
+        b"x-request-id",
+        b"x-class",
+        b"plan",
+        b"x-deadline",
+        b"quota-info",
+        b"x-retry",
+        b"idempotency-key",
+        b"content-length",
+        b"content-type",
+        b"expect",
+        b"transfer-encoding",
+    )
+)
 WORD = re.compile(rb"[!-~]{1,128}")
 ABSOLUTE = re.compile(rb"(?i)^http://[^/?#]*(?=/)")  # a target may name its host, which is us
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
@@ -66,8 +86,24 @@
 class _Message:
     """One request as parsed."""
 
-    __slots__ = ("url", "headers", "body", "size", "method", "keep_alive", "twice", "head", "order", "length",
-                 "upload", "headed_at", "held_s", "whole", "expects", "version")
+    __slots__ = (
+        "url",
+        "headers",
+        "body",
+        "size",
+        "method",
+        "keep_alive",
+        "twice",
+        "head",
+        "order",
+        "length",
+        "upload",
+        "headed_at",
+        "held_s",
+        "whole",
+        "expects",
+        "version",
+    )
 
     def __init__(self) -> None:
         self.url = b""
@@ -103,7 +139,7 @@
         raise BadRequestError("a header came twice")
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
-    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2 ** 33:
+    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2**33:
         raise BadRequestError("customer")
     cls = names.classes.get(headers.get(b"x-class", b""))
     plan = names.plans.get(headers.get(b"plan", b""))
@@ -114,10 +150,20 @@
         raise BadRequestError("X-Deadline")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = _quota_info(headers.get(b"quota-info", b""))
-    return Order(headers.get(b"x-request-id", b"").decode("latin-1"), cls, plan,
-                 customer.decode().lower(), time_left_ms, units, width, first,
-                 headers.get(b"x-retry") == b"1", _head(message, cls), b"",
-                 key=headers.get(b"idempotency-key", b""))
+    return Order(
+        headers.get(b"x-request-id", b"").decode("latin-1"),
+        cls,
+        plan,
+        customer.decode().lower(),
+        time_left_ms,
+        units,
+        width,
+        first,
+        headers.get(b"x-retry") == b"1",
+        _head(message, cls),
+        b"",
+        key=headers.get(b"idempotency-key", b""),
+    )
 
 
 def _framing(message: _Message) -> bytes:
@@ -221,7 +267,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
-            self._parse_on(data[upgrade.args[0]:])
+            self._parse_on(data[upgrade.args[0] :])
         except httptools.HttpParserError:
             self._spoil(400)
         if self._head > LONGEST_HEAD:
@@ -234,8 +280,11 @@
             return
         message = self._message
         if message is not None:  # its body is yet to come
-            framing = (b"Transfer-Encoding: chunked" if message.length is None
-                       else b"Content-Length: %d" % message.length)
+            framing = (
+                b"Transfer-Encoding: chunked"
+                if message.length is None
+                else b"Content-Length: %d" % message.length
+            )
             self._resuming = True
             self._parser.feed_data(b"POST / HTTP/1.1\r\n%b\r\n\r\n" % framing)
             self._resuming = False
@@ -381,8 +430,13 @@
     def _invite(self) -> None:
         """Ask for a body that waits for our word, once all before it is answered."""
         message = self._message
-        if (message is not None and message.expects and message.upload is None and not self._busy
-                and not self._queue):
+        if (
+            message is not None
+            and message.expects
+            and message.upload is None
+            and not self._busy
+            and not self._queue
+        ):
             message.expects = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -539,8 +593,9 @@
         if self._taken is not None and self._taken.upload is not None:
             self._taken.upload.detach()
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """The one answer to the request that is open."""
         self._answered()
         if self.transport.is_closing():
@@ -649,8 +704,11 @@
             if not self._busy and now - self.since > IDLE_S:
                 self.transport.abort()
         elif message is not None:
-            if self._paused_at is None and now > self._due(message) and (
-                    not self._busy or message is self._taken):
+            if (
+                self._paused_at is None
+                and now > self._due(message)
+                and (not self._busy or message is self._taken)
+            ):
                 self._late(message)
         elif not self._busy and now - self.since > (IDLE_S if self.served else HEAD_S) and not self.unread():
             self.transport.abort()  # what it has not read by now it will not read
@@ -809,14 +867,20 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                log.warning(Event("accept_failed", "accept failed: {error}",
-                                  error=str(errno.errorcode.get(error.errno, error))))
+                log.warning(
+                    Event(
+                        "accept_failed",
+                        "accept failed: {error}",
+                        error=str(errno.errorcode.get(error.errno, error)),
+                    )
+                )
                 self._pause()
                 self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
             accepted.setblocking(False)
             task = self.loop.create_task(
-                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted))
+                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
+            )
             self._pending.add(task)
             task.add_done_callback(self._accepted)
         self._pause()
@@ -829,8 +893,11 @@
         bring no request, or half of one: connections that nobody uses would hold all the places.
         """
         now = self.now()
-        spare = min((c for c in self.connections if c.spare(now)), key=lambda c: (not c.served, c.heard_at),
-                    default=None)
+        spare = min(
+            (c for c in self.connections if c.spare(now)),
+            key=lambda c: (not c.served, c.heard_at),
+            default=None,
+        )
         if spare is not None:
             spare.transport.abort()
         else:
@@ -842,15 +909,26 @@
             return
         self._told_at = self.now()
         states = Counter(connection.state() for connection in self.connections)
-        log.warning(Event("clients_full", "no room for more clients: {text}", **states,
-                          text=", ".join(f"{n} {state}" for state, n in states.items())))
+        log.warning(
+            Event(
+                "clients_full",
+                "no room for more clients: {text}",
+                **states,
+                text=", ".join(f"{n} {state}" for state, n in states.items()),
+            )
+        )
 
     def _accepted(self, task: asyncio.Task) -> None:
         # Until here the connection counted twice, which may have paused the listener with room left.
         self._pending.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.warning(Event("client_gone", "a client was gone before it was taken: {error}",
-                              error=str(task.exception())))
+            log.warning(
+                Event(
+                    "client_gone",
+                    "a client was gone before it was taken: {error}",
+                    error=str(task.exception()),
+                )
+            )
         self._resume()
 
     def _sweep(self) -> None:
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -90,8 +90,9 @@
     return raw, frozenset(_keys("", raw))
 
 
-def _parse(raw: dict[str, object], environ: Mapping[str, str], variables: Mapping[str, str],
-           keys: frozenset[str]) -> Config:
+def _parse(
+    raw: dict[str, object], environ: Mapping[str, str], variables: Mapping[str, str], keys: frozenset[str]
+) -> Config:
     for field, variable in variables.items():
         if environ.get(variable):
             raw[field] = environ[variable]
@@ -116,8 +117,9 @@
     """The object of the file as a `Config`."""
     told = _object(raw, "settings")
     settings, bounds = _settings(told), told.get("bounds", {})
-    settings = dataclasses.replace(settings, record=raw.get("holding") is not None,
-                                   plans=_shares(raw, settings.plans))
+    settings = dataclasses.replace(
+        settings, record=raw.get("holding") is not None, plans=_shares(raw, settings.plans)
+    )
     counter = raw.get("counter")
     if settings.may_count and not counter:
         raise ConfigError("counter: is missing, though the settings allow calls")
@@ -126,15 +128,25 @@
     except ValueError as error:
         raise ConfigError(f"known: {error}") from None
     return Config(
-        name=str(raw.get("name", "")), listen=address(raw, "listen"), discovery=address(raw, "discovery"),
+        name=str(raw.get("name", "")),
+        listen=address(raw, "listen"),
+        discovery=address(raw, "discovery"),
         counter=address(raw, "counter") if counter else None,
-        ops=address(raw, "ops") if raw.get("ops") else None, listen_fd=listen_fd, seed=_seed(raw),
-        sockets=_sockets(raw), settings=settings, known=known, keys=keys,
+        ops=address(raw, "ops") if raw.get("ops") else None,
+        listen_fd=listen_fd,
+        seed=_seed(raw),
+        sockets=_sockets(raw),
+        settings=settings,
+        known=known,
+        keys=keys,
         dial_ms=float(bounds.get("dial_timeout_ms", DIAL_MS)),
         idle_ms=float(bounds.get("conn_idle_ms", IDLE_MS)),
         memory_mb=_limit(raw, "memory_mb", DEFAULT_MEMORY_MB, LEAST_MEMORY_MB),
-        longest_upload=int(_limit(raw, "upload_mb", DEFAULT_UPLOAD_MB, LEAST_UPLOAD_MB) * 2 ** 20),
-        log=_log(raw), holding=_addresses(raw, "holding"), peers=_peers(raw))
+        longest_upload=int(_limit(raw, "upload_mb", DEFAULT_UPLOAD_MB, LEAST_UPLOAD_MB) * 2**20),
+        log=_log(raw),
+        holding=_addresses(raw, "holding"),
+        peers=_peers(raw),
+    )
 
 
 def _descriptor(environ: Mapping[str, str]) -> int | None:
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -35,7 +35,7 @@
 
 UPSTREAM_SHARE = 0.3  # of the descriptors
 BODY_SHARE = 0.2  # of the memory that a fresh process has left: a byte that is held costs three to four
-LEAST_ROOM = 2 * 2 ** 20
+LEAST_ROOM = 2 * 2**20
 TRANSIT_MS = 4.0  # what a request may have spent on its way to us and its answer may on its way back
 GUARD_MS = 8.0  # the guard answers this long before the client's time is up
 MODULE_MS = 20.0  # the module is told of an end this much earlier, so that it comes first
@@ -61,8 +61,9 @@
     def gone(self) -> bool:
         """Whether it has left, though its connection has not told yet."""
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """Pass the one final answer on."""
 
     def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
@@ -100,11 +101,23 @@
 class _Open:
     """A request until it is answered and its last attempt is over."""
 
-    __slots__ = ("id", "client", "order", "taken_at", "end_at", "guard", "attempts", "out", "taken",
-                 "streaming", "most")
-
-    def __init__(self, rid: str, client: Client, order: Order, taken_at: float, end_at: float,
-                 most: int) -> None:
+    __slots__ = (
+        "id",
+        "client",
+        "order",
+        "taken_at",
+        "end_at",
+        "guard",
+        "attempts",
+        "out",
+        "taken",
+        "streaming",
+        "most",
+    )
+
+    def __init__(
+        self, rid: str, client: Client, order: Order, taken_at: float, end_at: float, most: int
+    ) -> None:
         self.most = most  # attempts, as the settings had it when the request came
         self.id, self.order, self.taken_at, self.end_at = rid, order, taken_at, end_at
         self.client: Client | None = client  # None: answered, or gone
@@ -126,21 +139,38 @@
         self.stats = Stats(c.name for c in config.settings.classes)
         self._most = int(UPSTREAM_SHARE * config.sockets)
         own = self.stats.process.memory_bytes()[1]
-        self._room = max(int(BODY_SHARE * (config.memory_mb * 2 ** 20 - own)), LEAST_ROOM)
+        self._room = max(int(BODY_SHARE * (config.memory_mb * 2**20 - own)), LEAST_ROOM)
         self.budget = Budget(self._room, loop.time)
         self.longest_upload = config.longest_upload
         uses = self.stats.descriptors.uses
-        self._hosts = Hosts(loop, self._most, config.dial_ms, config.idle_ms, self, uses["servers"],
-                            bound=self._gateway.links, clock_ms=self._clock.now_ms,
-                            rng=random.Random(config.seed), budget=self.budget)
+        self._hosts = Hosts(
+            loop,
+            self._most,
+            config.dial_ms,
+            config.idle_ms,
+            self,
+            uses["servers"],
+            bound=self._gateway.links,
+            clock_ms=self._clock.now_ms,
+            rng=random.Random(config.seed),
+            budget=self.budget,
+        )
         self._pool = self._hosts.pool
-        self._discovery = Discovery(loop, config.discovery, self._listed,
-                                    config.known.generation if config.known.servers else None,
-                                    config.settings.fleet_size, random.Random(config.seed),
-                                    uses["discovery"], ASKED if config.settings.must_ask else PUSHED)
-        self._counter = (Counter(loop, config.counter, config.settings.count_wait_ms, self._post,
-                                 uses["counter"])
-                         if config.counter is not None else None)
+        self._discovery = Discovery(
+            loop,
+            config.discovery,
+            self._listed,
+            config.known.generation if config.known.servers else None,
+            config.settings.fleet_size,
+            random.Random(config.seed),
+            uses["discovery"],
+            ASKED if config.settings.must_ask else PUSHED,
+        )
+        self._counter = (
+            Counter(loop, config.counter, config.settings.count_wait_ms, self._post, uses["counter"])
+            if config.counter is not None
+            else None
+        )
         self._config = config
         self._record = self._recorded() if config.holding else None
         self._shares: Shares | None = None  # made when the first one is asked for
@@ -249,10 +279,15 @@
 
     def figures(self) -> str:
         """What operators read."""
-        return self.stats.text(self._owed, *self._gateway.rotation(), self._pool.figures(),
-                               self._body_figures(), self._ramp_figures(),
-                               *(part.figures() for part in (self._record, self._shares) if part is not None),
-                               self.more_figures())
+        return self.stats.text(
+            self._owed,
+            *self._gateway.rotation(),
+            self._pool.figures(),
+            self._body_figures(),
+            self._ramp_figures(),
+            *(part.figures() for part in (self._record, self._shares) if part is not None),
+            self.more_figures(),
+        )
 
     def _ramp_figures(self) -> dict[str, float]:
         """How pressed the back end looks, and what part of new work is let in by that."""
@@ -260,13 +295,17 @@
 
     def _body_figures(self) -> dict[str, float]:
         budget = self.budget
-        return {**{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
-                "held_bytes_peak": budget.peak, "held_bytes_limit": budget.most,
-                "streams_open": budget.streams(), "streams_stopped_total": budget.stops,
-                "bodies_refused_total": budget.refused,
-                'passed_bytes_total{way="up"}': self.stats.passed_up,
-                'passed_bytes_total{way="down"}': self.stats.passed_down,
-                **{f'streams_short_total{{cause="{cause}"}}': n for cause, n in self.stats.short.items()}}
+        return {
+            **{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
+            "held_bytes_peak": budget.peak,
+            "held_bytes_limit": budget.most,
+            "streams_open": budget.streams(),
+            "streams_stopped_total": budget.stops,
+            "bodies_refused_total": budget.refused,
+            'passed_bytes_total{way="up"}': self.stats.passed_up,
+            'passed_bytes_total{way="down"}': self.stats.passed_down,
+            **{f'streams_short_total{{cause="{cause}"}}': n for cause, n in self.stats.short.items()},
+        }
 
     def farewell(self) -> str:
         """What this life came to, for the log."""
@@ -317,9 +356,21 @@
             return rid
         if order.upload is None:
             self._take(request, left_ms)
-        self._post(api.Request(rid, order.cls.name, order.plan_name, order.customer, left_ms - MODULE_MS,
-                               order.units, order.width, order.first, order.repeat, order.upload is None,
-                               order.cls))
+        self._post(
+            api.Request(
+                rid,
+                order.cls.name,
+                order.plan_name,
+                order.customer,
+                left_ms - MODULE_MS,
+                order.units,
+                order.width,
+                order.first,
+                order.repeat,
+                order.upload is None,
+                order.cls,
+            )
+        )
         return rid
 
     def _take(self, request: _Open, left_ms: float) -> None:
@@ -335,8 +386,11 @@
         if request is not None and request.client is not None:
             if request.streaming is not None or request.order.upload is not None:
                 self.stats.cut_short("client")
-            bound = [a for a in request.attempts if a is not None
-                     and (a is request.streaming or a.upload is not None)]
+            bound = [
+                a
+                for a in request.attempts
+                if a is not None and (a is request.streaming or a.upload is not None)
+            ]
             self._close(request)
             _tell_story(request, 0, "client left")
             self._post(api.ClientLeft(rid))
@@ -346,8 +400,13 @@
 
     def _guard(self, request: _Open) -> None:
         # Guards the first rule: whatever the module or a socket does, the client gets its answer in time.
-        log.warning(Event("guarded", "a request ran to its deadline unanswered: failed by the guard",
-                          request=request.order.client_id))
+        log.warning(
+            Event(
+                "guarded",
+                "a request ran to its deadline unanswered: failed by the guard",
+                request=request.order.client_id,
+            )
+        )
         self._give_up(request)
 
     def _give_up(self, request: _Open) -> None:
@@ -356,8 +415,14 @@
             self._post(api.ClientLeft(request.id))
             self._forget_claim(request.id)
 
-    def _answer(self, request: _Open | None, status: int, reply: Reply | None = None,
-                retry_after_ms: float = 0.0, why: str = "") -> None:
+    def _answer(
+        self,
+        request: _Open | None,
+        status: int,
+        reply: Reply | None = None,
+        retry_after_ms: float = 0.0,
+        why: str = "",
+    ) -> None:
         """The one final answer; a second one is dropped."""
         if request is None or request.client is None or request.streaming is not None:
             return
@@ -398,13 +463,24 @@
         gone = {s.name for s in listing.servers if s.status == "removed"}
         if kind != "changes":  # a whole list replaces the old one
             gone |= self._pool.names() - {s.name for s in listing.servers}
-        self._pool.update(listing.addresses, gone, {s.name: s.up_since_ms for s in listing.servers},
-                          {s.name for s in listing.servers if s.status == "draining"})
+        self._pool.update(
+            listing.addresses,
+            gone,
+            {s.name: s.up_since_ms for s in listing.servers},
+            {s.name for s in listing.servers if s.status == "draining"},
+        )
         if listing.servers or kind != "changes":
             states = ", ".join(f"{s.name} {s.status}" for s in listing.servers)
-            log.info(Event("list", "list {generation}, {kind}: {states}; {dialled} hosts can be dialled",
-                           generation=listing.generation, kind=kind, states=states,
-                           dialled=len(self._pool.names())))
+            log.info(
+                Event(
+                    "list",
+                    "list {generation}, {kind}: {states}; {dialled} hosts can be dialled",
+                    generation=listing.generation,
+                    kind=kind,
+                    states=states,
+                    dialled=len(self._pool.names()),
+                )
+            )
             self._post(api.ServerList(kind, listing.servers))
 
     def _send(self, act: api.Send) -> None:
@@ -414,14 +490,25 @@
         if request is None or request.client is None or left_s <= 0 or number >= request.most:
             if request is not None:
                 request.attempts.append(None)
-            self._post(api.Outcome(act.request, number, act.server, api.MOOT, 0.0,
-                                   request is None or request.client is None))
+            self._post(
+                api.Outcome(
+                    act.request, number, act.server, api.MOOT, 0.0, request is None or request.client is None
+                )
+            )
             return
         order = request.order
         left_s = min(left_s, order.time_left_ms / 1000)  # of a long body, whose time does not run yet
         wait_s = min(act.timeout_ms / 1000, left_s) if act.timeout_ms else left_s
-        attempt = Attempt(act.request, number, act.server, order.head, time.monotonic(), order.upload,
-                          order.cls.name, order.body)
+        attempt = Attempt(
+            act.request,
+            number,
+            act.server,
+            order.head,
+            time.monotonic(),
+            order.upload,
+            order.cls.name,
+            order.body,
+        )
         request.attempts.append(attempt)
         request.out += 1
         self._hosts.send(attempt, max(wait_s, 0.0), act.start_ms / 1000)
@@ -475,8 +562,19 @@
             self._answer(request, 200, reply)
         final = request.client is None
         self._forget(request)
-        self._post(api.Outcome(attempt.request, attempt.number, attempt.server, result, took, final,
-                               true_units=units, report=report, unbegun=not attempt.touched))
+        self._post(
+            api.Outcome(
+                attempt.request,
+                attempt.number,
+                attempt.server,
+                result,
+                took,
+                final,
+                true_units=units,
+                report=report,
+                unbegun=not attempt.touched,
+            )
+        )
         self._forget_claim(attempt.request)
 
     def _took_ms(self, attempt: Attempt, answered: bool = True) -> float:
@@ -509,8 +607,14 @@
             return
         order = request.order
         self._claims[request.id] = self._record.claim(
-            order.customer, order.cls.name, order.key, request.id, act.window_ms, act.wait_ms,
-            lambda result: self._claimed(request.id, result))
+            order.customer,
+            order.cls.name,
+            order.key,
+            request.id,
+            act.window_ms,
+            act.wait_ms,
+            lambda result: self._claimed(request.id, result),
+        )
 
     def _claimed(self, rid: str, result: str) -> None:
         self._post(api.Claimed(rid, result))
@@ -552,8 +656,14 @@
             actions = self._gateway.handle(self._clock.now_ms(), event)
         except Exception:
             # Guards all other requests against one that the module breaks on.
-            log.exception(Event("module_failed", "the module failed on {on}", on=type(event).__name__,
-                                request=getattr(event, "request", getattr(event, "id", ""))))
+            log.exception(
+                Event(
+                    "module_failed",
+                    "the module failed on {on}",
+                    on=type(event).__name__,
+                    request=getattr(event, "request", getattr(event, "id", "")),
+                )
+            )
             if isinstance(event, api.Request):
                 self._answer(self._requests.get(event.id), 500, why="module")
             return
@@ -561,16 +671,23 @@
             try:
                 self._act(act)
             except Exception:
-                log.exception(Event("action_failed", "an action failed: {action}", action=type(act).__name__,
-                                    request=getattr(act, "request", "")))
+                log.exception(
+                    Event(
+                        "action_failed",
+                        "an action failed: {action}",
+                        action=type(act).__name__,
+                        request=getattr(act, "request", ""),
+                    )
+                )
 
     def _act(self, act: api.Action) -> None:
         match act:
             case api.Send():
                 self._send(act)
             case api.Refuse():
-                self._answer(self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms,
-                             why=act.why)
+                self._answer(
+                    self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms, why=act.why
+                )
             case api.Fail():
                 self._answer(self._requests.get(act.request), 502, why="failed")
             case api.Claim():
@@ -599,13 +716,23 @@
 def _tell_story(request: _Open, status: int, why: str) -> None:
     """A badly ended request in one line: what it was, why it ended so, and each attempt on the way."""
     order, took_ms = request.order, (time.monotonic() - request.taken_at) * 1000
-    log.info(Event("request",
-                   "{request} {class} {plan} of {customer} ({units:g} units, {left_ms:.0f} ms left): "
-                   "{status} {why} after {took_ms:.0f} ms; attempts: {attempts:; }",
-                   request=order.client_id, **{"class": order.cls.name}, plan=order.plan_name,
-                   customer=order.customer, units=order.units, left_ms=round(order.time_left_ms, 3),
-                   status=status, why=why, took_ms=round(took_ms, 3),
-                   attempts=Several("not sent" if a is None else a for a in request.attempts)))
+    log.info(
+        Event(
+            "request",
+            "{request} {class} {plan} of {customer} ({units:g} units, {left_ms:.0f} ms left): "
+            "{status} {why} after {took_ms:.0f} ms; attempts: {attempts:; }",
+            request=order.client_id,
+            **{"class": order.cls.name},
+            plan=order.plan_name,
+            customer=order.customer,
+            units=order.units,
+            left_ms=round(order.time_left_ms, 3),
+            status=status,
+            why=why,
+            took_ms=round(took_ms, 3),
+            attempts=Several("not sent" if a is None else a for a in request.attempts),
+        )
+    )
 
 
 def _report(text: bytes) -> dict[str, float]:
--- a/yewstage/net/counter.py
+++ b/yewstage/net/counter.py
@@ -30,8 +30,14 @@
 class Counter:
     """Every call gets exactly one `CountReply`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], wait_ms: float,
-                 replied: Callable[[api.CountReply], None], use: Use | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        wait_ms: float,
+        replied: Callable[[api.CountReply], None],
+        use: Use | None = None,
+    ) -> None:
         self._use = use or Use()
         self._loop, self._address, self._wait_s, self._replied = loop, address, wait_ms / 1000, replied
         self._slots = [_Slot(self) for _ in range(CONNECTIONS)]
@@ -109,8 +115,9 @@
 
     def usable(self) -> bool:
         """Whether a call may be written, or wait for a dial that is under way."""
-        return (self._connection is not None or self._dial is not None
-                or self._counter.now() >= self._rests_until)
+        return (
+            self._connection is not None or self._dial is not None or self._counter.now() >= self._rests_until
+        )
 
     def load(self) -> int:
         """Calls out, those on a connection that is not up yet counting for more."""
@@ -149,7 +156,8 @@
         act = call.act
         self._connection.write(
             f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.keep_ms))}"
-            " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode())
+            " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
+        )
         call.written = not self._connection.unsent
         if self._check_timer is None:
             self._check_timer = self._counter.later(SILENT_S, self._check)
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -79,8 +79,14 @@
         raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
     try:
         # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
-        server = api.Server(name, str(entry.get("zone", "")), int(entry.get("cell", 0)), status,
-                            float(entry.get("weight", 1.0)), float(entry.get("startedAtMs", 0)))
+        server = api.Server(
+            name,
+            str(entry.get("zone", "")),
+            int(entry.get("cell", 0)),
+            status,
+            float(entry.get("weight", 1.0)),
+            float(entry.get("startedAtMs", 0)),
+        )
         if not (math.isfinite(server.nominal) and math.isfinite(server.up_since_ms)):
             raise ValueError
     except (TypeError, ValueError, OverflowError):
@@ -96,10 +102,17 @@
     allows.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int],
-                 told: Callable[[Listing], None], known: int | None = None, fleet_size: int = 1,
-                 rng: random.Random | None = None, use: Use | None = None, patience: Patience = ASKED
-                 ) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        told: Callable[[Listing], None],
+        known: int | None = None,
+        fleet_size: int = 1,
+        rng: random.Random | None = None,
+        use: Use | None = None,
+        patience: Patience = ASKED,
+    ) -> None:
         self._use, self._patience = use or Use(), patience
         self._loop, self._address, self._told = loop, address, told
         self._generation = known  # of the list that we have; None: the whole list is wanted
@@ -144,15 +157,20 @@
         if self._connection is not None:
             self._write(self._connection)
             return
-        self._dial = Dial(self._loop, lambda: _Watch(self), self._address, self._patience.silent_s, self._use,
-                          self._dialled)
+        self._dial = Dial(
+            self._loop, lambda: _Watch(self), self._address, self._patience.silent_s, self._use, self._dialled
+        )
 
     def _dialled(self, connection: _Watch | None, cause: str) -> None:
         self._dial = None
         if connection is None:
             if cause == TOO_LATE:
-                log.warning(Event("discovery_unreachable",
-                                  "discovery: cannot be reached, asking again; the list is kept"))
+                log.warning(
+                    Event(
+                        "discovery_unreachable",
+                        "discovery: cannot be reached, asking again; the list is kept",
+                    )
+                )
             self._retry()
             return
         self._connection = connection
@@ -195,8 +213,13 @@
             if not listing.whole and (self._generation is None or listing.generation < self._generation):
                 raise ValueError("changes to a list that was never sent")
         except (ValueError, RecursionError) as error:
-            log.warning(Event("discovery_bad_answer", "discovery: bad answer, the list is kept: {error}",
-                              error=str(error)))
+            log.warning(
+                Event(
+                    "discovery_bad_answer",
+                    "discovery: bad answer, the list is kept: {error}",
+                    error=str(error),
+                )
+            )
             self._generation = None  # whatever was missed comes with the whole list
             connection.drop()
             return
--- a/yewstage/net/fields.py
+++ b/yewstage/net/fields.py
@@ -24,14 +24,20 @@
 
 def at_least(least: float, most: float = LARGEST) -> Check:
     """A number in a range."""
-    return lambda value: ("" if _is_number(value) and least <= value <= most
-                          else f"{value!r} is not a number from {least:g} to {most:g}")
+    return lambda value: (
+        ""
+        if _is_number(value) and least <= value <= most
+        else f"{value!r} is not a number from {least:g} to {most:g}"
+    )
 
 
 def whole(least: int, most: float = LARGEST) -> Check:
     """A whole number in a range; 3.0 is one."""
-    return lambda value: (f"{value!r} is not a whole number from {least} to {most:g}"
-                          if at_least(least, most)(value) or value != math.floor(value) else "")
+    return lambda value: (
+        f"{value!r} is not a whole number from {least} to {most:g}"
+        if at_least(least, most)(value) or value != math.floor(value)
+        else ""
+    )
 
 
 def flag(value: object) -> str:
@@ -57,25 +63,54 @@
 
 
 CLASS: dict[str, Check] = {
-    "name": name, "objective_ms": above_zero, "deadline_ms": above_zero, "worth": at_least(0),
-    "late_worth": at_least(0, 1), "effect": one_of("safe", "keyed", "unsafe"),
-    "key_scope": one_of("all", "zone", "cell"), "window_ms": at_least(0)}
+    "name": name,
+    "objective_ms": above_zero,
+    "deadline_ms": above_zero,
+    "worth": at_least(0),
+    "late_worth": at_least(0, 1),
+    "effect": one_of("safe", "keyed", "unsafe"),
+    "key_scope": one_of("all", "zone", "cell"),
+    "window_ms": at_least(0),
+}
 PLAN: dict[str, Check] = {
-    "name": name, "refill": at_least(0), "burst": at_least(0), "worth_factor": at_least(0),
-    "over_worth": at_least(0), "over_cost": at_least(0), "parallel": whole(0), "ceiling_rate": at_least(0),
-    "hard_burst": at_least(0)}
+    "name": name,
+    "refill": at_least(0),
+    "burst": at_least(0),
+    "worth_factor": at_least(0),
+    "over_worth": at_least(0),
+    "over_cost": at_least(0),
+    "parallel": whole(0),
+    "ceiling_rate": at_least(0),
+    "hard_burst": at_least(0),
+}
 STORES = (("refill", "burst"), ("ceiling_rate", "hard_burst"))  # what fills, and what it fills
 GROUPS: dict[str, dict[str, Check]] = {
-    "bounds": {"dial_timeout_ms": at_least(1), "conn_idle_ms": at_least(1), "try_limit": whole(1),
-               "max_retry_after_ms": at_least(0), "cancel": flag, "retry_after": flag, "second_copies": flag},
+    "bounds": {
+        "dial_timeout_ms": at_least(1),
+        "conn_idle_ms": at_least(1),
+        "try_limit": whole(1),
+        "max_retry_after_ms": at_least(0),
+        "cancel": flag,
+        "retry_after": flag,
+        "second_copies": flag,
+    },
     "penalties": {"handshake": at_least(0)},
     "clients": {"marks_retry": flag},
     "family_info": {"may_count": flag, "count_wait_ms": at_least(0)},
-    "rules": {"cold_from": at_least(0, 1), "cold_ms": at_least(0), "fall_multiple": above_zero,
-              "tip_after_ms": at_least(0)}}
+    "rules": {
+        "cold_from": at_least(0, 1),
+        "cold_ms": at_least(0),
+        "fall_multiple": above_zero,
+        "tip_after_ms": at_least(0),
+    },
+}
 MOST_GATEWAYS = 100_000  # each ranks all for each server
-OWN: dict[str, Check] = {"fleet_size": whole(1, MOST_GATEWAYS), "me": whole(0), "tick_ms": at_least(0),
-                         "membership_mode": one_of("pushed", "on_request")}
+OWN: dict[str, Check] = {
+    "fleet_size": whole(1, MOST_GATEWAYS),
+    "me": whole(0),
+    "tick_ms": at_least(0),
+    "membership_mode": one_of("pushed", "on_request"),
+}
 
 
 def check(settings: Mapping[str, object]) -> None:
@@ -114,8 +149,9 @@
         yield f"{key}[{i}].", entry
 
 
-def _check(value: Mapping[str, object], checks: Mapping[str, Check], path: str, needed: Collection[str]
-           ) -> None:
+def _check(
+    value: Mapping[str, object], checks: Mapping[str, Check], path: str, needed: Collection[str]
+) -> None:
     for key, check_one in checks.items():
         if key not in value:
             if key in needed:
--- a/yewstage/net/handover.py
+++ b/yewstage/net/handover.py
@@ -43,8 +43,13 @@
         """
         if self._lock(SERVING):
             if SERVING not in self._locks:
-                log.warning(Event("no_handover", "no locks in {folder}: nothing can be handed over",
-                                  folder=str(self._folder)))
+                log.warning(
+                    Event(
+                        "no_handover",
+                        "no locks in {folder}: nothing can be handed over",
+                        folder=str(self._folder),
+                    )
+                )
             (self._folder / STATE).unlink(missing_ok=True)
             return False
         self._took, self._alone = took, alone
@@ -96,8 +101,11 @@
         except FileNotFoundError:
             return None
         except (OSError, ValueError, RecursionError) as error:
-            log.warning(Event("handover_unreadable", "the state handed over cannot be read: {error}",
-                              error=str(error)))
+            log.warning(
+                Event(
+                    "handover_unreadable", "the state handed over cannot be read: {error}", error=str(error)
+                )
+            )
             return None
         if not isinstance(raw, dict) or raw.get("name") != self._name:
             return None
--- a/yewstage/net/hosts.py
+++ b/yewstage/net/hosts.py
@@ -37,12 +37,44 @@
 class Attempt:
     """One Send until its one outcome."""
 
-    __slots__ = ("request", "number", "server", "payload", "sent_at", "link", "timer", "wait_timer", "done",
-                 "idle_s", "result", "took_s", "cause", "upload", "timeout_s", "begun_at", "kind", "hosts",
-                 "waiting", "touched", "streams", "start_by", "asked_at", "body")
-
-    def __init__(self, request: str, number: int, server: str, payload: bytes, sent_at: float,
-                 upload: Upload | None = None, kind: str = "", body: bytes | None = None) -> None:
+    __slots__ = (
+        "request",
+        "number",
+        "server",
+        "payload",
+        "sent_at",
+        "link",
+        "timer",
+        "wait_timer",
+        "done",
+        "idle_s",
+        "result",
+        "took_s",
+        "cause",
+        "upload",
+        "timeout_s",
+        "begun_at",
+        "kind",
+        "hosts",
+        "waiting",
+        "touched",
+        "streams",
+        "start_by",
+        "asked_at",
+        "body",
+    )
+
+    def __init__(
+        self,
+        request: str,
+        number: int,
+        server: str,
+        payload: bytes,
+        sent_at: float,
+        upload: Upload | None = None,
+        kind: str = "",
+        body: bytes | None = None,
+    ) -> None:
         self.request, self.number, self.server, self.kind = request, number, server, kind
         # Where there is a body, `payload` lacks the time that is left: it is told when it is written.
         self.payload, self.body, self.sent_at, self.upload = payload, body, sent_at, upload
@@ -61,8 +93,13 @@
 
     def fields(self) -> dict[str, object]:
         """For the log: `idle_ms` None is a new connection."""
-        return {"server": self.server, "result": self.result, "took_ms": round(self.took_s * 1000, 3),
-                "idle_ms": None if self.idle_s is None else round(self.idle_s * 1000, 3), "cause": self.cause}
+        return {
+            "server": self.server,
+            "result": self.result,
+            "took_ms": round(self.took_s * 1000, 3),
+            "idle_ms": None if self.idle_s is None else round(self.idle_s * 1000, 3),
+            "cause": self.cause,
+        }
 
     def __str__(self) -> str:
         line = "new connection" if self.idle_s is None else f"idle for {self.idle_s * 1000:.0f} ms"
@@ -89,8 +126,16 @@
 class Hosts:
     """Sends attempts and reports how each one ended, exactly once."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int, dial_ms: float, idle_ms: float,
-                 owner: Owner, use: Use | None = None, **how: object) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        most: int,
+        dial_ms: float,
+        idle_ms: float,
+        owner: Owner,
+        use: Use | None = None,
+        **how: object,
+    ) -> None:
         self.loop, self._owner = loop, owner
         self.pool = Pool(loop, most, dial_ms, idle_ms, self, use, **how)
 
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -42,8 +42,9 @@
 class Upload:
     """A body too long to keep, on its way from a client to a host: each end holds the other back."""
 
-    def __init__(self, length: int | None, hold: Callable[[bool], None], held: Held,
-                 evict: Callable[[], None]) -> None:
+    def __init__(
+        self, length: int | None, hold: Callable[[bool], None], held: Held, evict: Callable[[], None]
+    ) -> None:
         self._length, self._hold = length, hold  # no length: sent on in chunks
         self._held, self._full, self._choked = held, False, False  # why its client is held back
         held.begin(self._choke, evict)
@@ -117,9 +118,15 @@
     again: whoever kept it would write to a dead transport for good.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, make: Callable[[], ReplyProtocol],
-                 address: tuple[str, int], within_s: float, use: Use,
-                 ended: Callable[[ReplyProtocol | None, str], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        make: Callable[[], ReplyProtocol],
+        address: tuple[str, int],
+        within_s: float,
+        use: Use,
+        ended: Callable[[ReplyProtocol | None, str], None],
+    ) -> None:
         self._loop, self._make, self._use = loop, make, use
         self._ended: Callable[[ReplyProtocol | None, str], None] | None = ended
         self._made: ReplyProtocol | None = None
--- a/yewstage/net/keyed.py
+++ b/yewstage/net/keyed.py
@@ -54,7 +54,13 @@
         self.untold = 0  # ends that were given up
 
     def claim(
-        self, customer: str, class_name: str, key: bytes, rid: str, window_ms: float, wait_ms: float,
+        self,
+        customer: str,
+        class_name: str,
+        key: bytes,
+        rid: str,
+        window_ms: float,
+        wait_ms: float,
         told: Callable[[str], None],
     ) -> Held:
         """Claim a key; `told` is called once, with a result. A key is one customer's, of one class: nobody
@@ -92,9 +98,7 @@
             "keyed_ends_waiting": len(self._tasks),
         }
 
-    async def _claim(
-        self, held: Held, window_ms: float, wait_ms: float, told: Callable[[str], None]
-    ) -> None:
+    async def _claim(self, held: Held, window_ms: float, wait_ms: float, told: Callable[[str], None]) -> None:
         until = self._loop.time() + wait_ms / 1000
         result = "silent"
         while (left_s := until - self._loop.time()) > 0 and not held.left:
@@ -105,8 +109,12 @@
                 break
             if answer is not None and answer.status not in (421, 503):
                 log.warning(
-                    Event("claim_refused", "a claim was answered {status}: {why}", status=answer.status,
-                          why=str(answer.body.get("error", "")))
+                    Event(
+                        "claim_refused",
+                        "a claim was answered {status}: {why}",
+                        status=answer.status,
+                        why=str(answer.body.get("error", "")),
+                    )
                 )
                 break
             await self._lanes.rest()
--- a/yewstage/net/ops.py
+++ b/yewstage/net/ops.py
@@ -15,9 +15,14 @@
 class Ops:
     """Answers operators however busy the process is."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, ready: Callable[[], bool],
-                 figures: Callable[[], str], use: Use | None = None,
-                 pages: Mapping[str, Callable[[], bytes]] | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        ready: Callable[[], bool],
+        figures: Callable[[], str],
+        use: Use | None = None,
+        pages: Mapping[str, Callable[[], bytes]] | None = None,
+    ) -> None:
         """`pages`: what else is told, as JSON, by path."""
         self._ready, self._figures, self._pages = ready, figures, dict(pages or {})
         self._listener = Listener(loop, self._answer, Manners(CALLERS, CALL_S, CALL_S), use)
--- a/yewstage/net/pool.py
+++ b/yewstage/net/pool.py
@@ -36,8 +36,20 @@
 DRAINED, UNUSABLE, ABANDONED, SILENT = "server_drains", "not_reusable", "given_up", "server_silent"
 DIED_IDLE, BROKE, STALLED, STOPPED = "died_idle", "broke", "stalled", "stopped"
 DIAL_RESULTS = (UP, FAILED, TIMED_OUT, NO_FILES, UNWANTED)
-CLOSE_REASONS = (RETIRED, NO_ROOM, UNLISTED, OUTLIVED, DRAINED, UNUSABLE, ABANDONED, SILENT, DIED_IDLE, BROKE,
-                 STALLED, STOPPED)
+CLOSE_REASONS = (
+    RETIRED,
+    NO_ROOM,
+    UNLISTED,
+    OUTLIVED,
+    DRAINED,
+    UNUSABLE,
+    ABANDONED,
+    SILENT,
+    DIED_IDLE,
+    BROKE,
+    STALLED,
+    STOPPED,
+)
 NONE: Mapping[str, float] = MappingProxyType({})
 
 
@@ -160,12 +172,21 @@
     dial belongs to nobody: a link that comes up when nobody waits any more is kept.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int, dial_ms: float, idle_ms: float, ends: Ends,
-                 use: Use | None = None, bound: Callable[[str], int] | None = None,
-                 clock_ms: Callable[[], float] = lambda: time.time() * 1000,
-                 rng: random.Random | None = None, budget: Budget | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        most: int,
+        dial_ms: float,
+        idle_ms: float,
+        ends: Ends,
+        use: Use | None = None,
+        bound: Callable[[str], int] | None = None,
+        clock_ms: Callable[[], float] = lambda: time.time() * 1000,
+        rng: random.Random | None = None,
+        budget: Budget | None = None,
+    ) -> None:
         self.loop, self.ends, self.clock_ms = loop, ends, clock_ms
-        self.budget = budget or Budget(2 ** 30, loop.time)
+        self.budget = budget or Budget(2**30, loop.time)
         self._use, self._rng = use or Use(), rng or random.Random()
         self._bound = bound or (lambda name: most)  # links to one server, dials included
         self._most = most
@@ -206,8 +227,13 @@
         """How long a link is worth waiting for: as long as a dial may take."""
         return self._dial_s
 
-    def update(self, addresses: dict[str, tuple[str, int]], gone: set[str],
-               born_ms: Mapping[str, float] = NONE, leaving: Collection[str] = ()) -> None:
+    def update(
+        self,
+        addresses: dict[str, tuple[str, int]],
+        gone: set[str],
+        born_ms: Mapping[str, float] = NONE,
+        leaving: Collection[str] = (),
+    ) -> None:
         """Where to dial each server, since when it runs, which drain, and which to dial no more."""
         for name in gone:
             server = self._servers.pop(name, None)
@@ -231,11 +257,16 @@
     def figures(self) -> dict[str, float]:
         """What operators read of links and dials."""
         idle = sum(len(server.idle) for server in self._servers.values())
-        return {"links_open": len(self._links), "links_idle": idle, "links_dialling": len(self._dials),
-                "links_awaited": sum(server.lines.count for server in self._servers.values()),
-                "link_reuses_total": self.reuses, "link_waits_total": self.waits,
-                **{f'dials_total{{result="{result}"}}': n for result, n in self.dialled.items()},
-                **{f'links_closed_total{{reason="{reason}"}}': n for reason, n in self.closed_by.items()}}
+        return {
+            "links_open": len(self._links),
+            "links_idle": idle,
+            "links_dialling": len(self._dials),
+            "links_awaited": sum(server.lines.count for server in self._servers.values()),
+            "link_reuses_total": self.reuses,
+            "link_waits_total": self.waits,
+            **{f'dials_total{{result="{result}"}}': n for result, n in self.dialled.items()},
+            **{f'links_closed_total{{reason="{reason}"}}': n for reason, n in self.closed_by.items()},
+        }
 
     def dials(self) -> int:
         """Dials that have ended."""
@@ -287,16 +318,25 @@
         if len(self._dials) >= DIALS or not self._room():  # guards the descriptors
             return False
         server.dialling += 1
-        dial = Dial(self.loop, lambda: Link(self, server), server.address, self._dial_s, self._use,
-                    lambda link, cause: self._dialled(server, dial, link, cause))
+        dial = Dial(
+            self.loop,
+            lambda: Link(self, server),
+            server.address,
+            self._dial_s,
+            self._use,
+            lambda link, cause: self._dialled(server, dial, link, cause),
+        )
         self._dials.add(dial)
         return True
 
     def _dialled(self, server: _Server, dial: Dial, link: Link | None, cause: str) -> None:
         server.dialling -= 1
         self._dials.discard(dial)
-        result = UP if link is not None else {TOO_LATE: TIMED_OUT, GIVEN_UP: UNWANTED,
-                                              NO_DESCRIPTOR: NO_FILES}.get(cause, FAILED)
+        result = (
+            UP
+            if link is not None
+            else {TOO_LATE: TIMED_OUT, GIVEN_UP: UNWANTED, NO_DESCRIPTOR: NO_FILES}.get(cause, FAILED)
+        )
         self.dialled[result] += 1
         if link is not None:
             self._offer(link)
--- a/yewstage/net/serve.py
+++ b/yewstage/net/serve.py
@@ -21,10 +21,17 @@
 LONGEST_CALL = 64 * 1024  # its body
 AHEAD = 4  # calls that may have come before those in front of them are answered
 SWEEP_S = 0.5
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 409: b"Conflict",
-           413: b"Content Too Large", 421: b"Misdirected Request",
-           500: b"Internal Server Error", 503:
-           b"Service Unavailable"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    421: b"Misdirected Request",
+    500: b"Internal Server Error",
+    503: b"Service Unavailable",
+}
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,9 +55,14 @@
 
     def head(self, keep: bool) -> bytes:
         """The bytes before the body."""
-        return (b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%b%b\r\n"
-                % (self.status, REASONS[self.status], self.kind, len(self.body), self.headers,
-                   b"" if keep else b"Connection: close\r\n"))
+        return b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%b%b\r\n" % (
+            self.status,
+            REASONS[self.status],
+            self.kind,
+            len(self.body),
+            self.headers,
+            b"" if keep else b"Connection: close\r\n",
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,8 +79,13 @@
 class Listener:
     """Takes connections and hands on the calls that come on them."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, handle: Callable[[Call, Caller], Answer | None],
-                 manners: Manners, use: Use | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        handle: Callable[[Call, Caller], Answer | None],
+        manners: Manners,
+        use: Use | None = None,
+    ) -> None:
         self.loop, self.handle, self.manners, self._use = loop, handle, manners, use or Use()
         self.callers: dict[Caller, None] = {}  # in the order in which they came
         self.dropped = 0  # who was slow, silent or in the way
