--- a/yewstage/net/shares.py
+++ b/yewstage/net/shares.py
@@ -46,8 +46,13 @@
         began = self._loop.time()
         self._serial += 1  # what comes late, or twice, is known by it
         body = {
-            "by": self._life, "serial": self._serial, "rate": plan.rate, "burst": plan.burst,
-            "want": act.amount, "least": act.least, "lifeMs": act.keep_ms,
+            "by": self._life,
+            "serial": self._serial,
+            "rate": plan.rate,
+            "burst": plan.burst,
+            "want": act.amount,
+            "least": act.least,
+            "lifeMs": act.keep_ms,
         }
         units = None
         while units is None and (left_s := began + WAIT_S - self._loop.time()) > 0:
--- a/yewstage/net/stats.py
+++ b/yewstage/net/stats.py
@@ -89,9 +89,11 @@
 
     def figures(self) -> list[tuple[str, float]]:
         """Names and values; what this system does not tell is left out, not guessed."""
-        figures = [("process_cpu_seconds_total", round(self.cpu_s(), 6)),
-                   ("process_start_time_seconds", round(self._started, 3)),
-                   ("process_max_fds", resource.getrlimit(resource.RLIMIT_NOFILE)[0])]
+        figures = [
+            ("process_cpu_seconds_total", round(self.cpu_s(), 6)),
+            ("process_start_time_seconds", round(self._started, 3)),
+            ("process_max_fds", resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
+        ]
         figures.append(("process_resident_memory_bytes", self.memory_bytes()[0]))
         try:
             figures.append(("process_open_fds", len(os.listdir(OPEN_FILES)) - 1))  # less the one that lists
@@ -124,8 +126,9 @@
 
     def ended(self, class_name: str, status: int) -> None:
         """A final answer has gone out to a client that was still there."""
-        counts = (self._fulfilled if status in SERVED
-                  else self._throttled if status in REFUSED else self._faulted)
+        counts = (
+            self._fulfilled if status in SERVED else self._throttled if status in REFUSED else self._faulted
+        )
         counts[class_name] += 1
 
     def refused(self, why: str) -> None:
@@ -140,22 +143,36 @@
         """Final answers given, of whatever kind."""
         return sum(sum(counts.values()) for counts in (self._fulfilled, self._throttled, self._faulted))
 
-    def text(self, open_requests: int, listed: int, avoided: int,
-             *more: Mapping[str, float]) -> str:
+    def text(self, open_requests: int, listed: int, avoided: int, *more: Mapping[str, float]) -> str:
         """All figures in the Prometheus text form; what is no count is given by who knows it."""
-        lines = [f'gateway_{kind}_total{{priority="{_escaped(name)}"}} {count}'
-                 for kind, counts in (("fulfilled", self._fulfilled), ("throttled", self._throttled),
-                                      ("faulted", self._faulted))
-                 for name, count in counts.items()]
-        lines += [f"gateway_{name} {value}" for name, value in (
-            ("relayed_total", self.relayed), ("open_requests", open_requests),
-            ("registry_entries", listed), ("out_of_rotation", avoided),
-            ("cfg_accepted_total", self.accepted), ("cfg_invalid_total", self.invalid),
-            *(pair for figures in more for pair in figures.items()))]
-        lines += [f'gateway_refusals_total{{reason="{_escaped(why)}"}} {count}'
-                  for why, count in self._refusals.items()]
-        lines += [f'gateway_descriptors{{use="{name}"}} {use.held}'
-                  for name, use in self.descriptors.uses.items()]
+        lines = [
+            f'gateway_{kind}_total{{priority="{_escaped(name)}"}} {count}'
+            for kind, counts in (
+                ("fulfilled", self._fulfilled),
+                ("throttled", self._throttled),
+                ("faulted", self._faulted),
+            )
+            for name, count in counts.items()
+        ]
+        lines += [
+            f"gateway_{name} {value}"
+            for name, value in (
+                ("relayed_total", self.relayed),
+                ("open_requests", open_requests),
+                ("registry_entries", listed),
+                ("out_of_rotation", avoided),
+                ("cfg_accepted_total", self.accepted),
+                ("cfg_invalid_total", self.invalid),
+                *(pair for figures in more for pair in figures.items()),
+            )
+        ]
+        lines += [
+            f'gateway_refusals_total{{reason="{_escaped(why)}"}} {count}'
+            for why, count in self._refusals.items()
+        ]
+        lines += [
+            f'gateway_descriptors{{use="{name}"}} {use.held}' for name, use in self.descriptors.uses.items()
+        ]
         lines += [f"{name} {value}" for name, value in self.process.figures()]
         return "\n".join(lines) + "\n"
 
@@ -163,9 +180,11 @@
         """What the process's life came to, for the log."""
         requests = self.requests()
         each_us = self.process.own_cpu_s() / max(requests, 1) * 1e6
-        return (f"{requests} requests, {each_us:.0f} us CPU for each, at the most "
-                f"{self.process.peak_bytes() / 2 ** 20:.1f} MB and {self.descriptors.peak} sockets, "
-                f"{dials} dials to servers")
+        return (
+            f"{requests} requests, {each_us:.0f} us CPU for each, at the most "
+            f"{self.process.peak_bytes() / 2**20:.1f} MB and {self.descriptors.peak} sockets, "
+            f"{dials} dials to servers"
+        )
 
 
 def _escaped(label: str) -> str:
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -45,10 +45,34 @@
 SHARE_MS, SHARE_OF_MS = 3000.0, 1000.0  # life of a share; it is asked for as what is used in so long
 # What a next process takes over, beside names and windows.
 HANDED = ("born", "q", "f", "q_seen", "ok_q", "lost", "mid", "done_rate", "warm_rate", "bank", "heard")
-HANDED_HOST = ("born", "slow", "strikes", "fails", "down_until", "died", "cold_from_ms", "credit",
-               "credit_at")
-HANDED_USE = ("width", "own", "added", "base_own", "base_at", "base_use", "base_left", "most", "left",
-              "left_at", "others", "seen", "ceiling", "ceiling_at", "luck")
+HANDED_HOST = (
+    "born",
+    "slow",
+    "strikes",
+    "fails",
+    "down_until",
+    "died",
+    "cold_from_ms",
+    "credit",
+    "credit_at",
+)
+HANDED_USE = (
+    "width",
+    "own",
+    "added",
+    "base_own",
+    "base_at",
+    "base_use",
+    "base_left",
+    "most",
+    "left",
+    "left_at",
+    "others",
+    "seen",
+    "ceiling",
+    "ceiling_at",
+    "luck",
+)
 
 
 def _finite(value: object) -> float:
@@ -71,9 +95,28 @@
 class _Host:
     """What this gateway knows of one server."""
 
-    __slots__ = ("name", "zone", "cell", "nominal", "up", "born", "cold_from_ms", "open", "slow", "strikes",
-                 "fails", "down_until", "died", "credit", "credit_at", "rank",
-                 "util", "told_at", "linked", "linked_until")
+    __slots__ = (
+        "name",
+        "zone",
+        "cell",
+        "nominal",
+        "up",
+        "born",
+        "cold_from_ms",
+        "open",
+        "slow",
+        "strikes",
+        "fails",
+        "down_until",
+        "died",
+        "credit",
+        "credit_at",
+        "rank",
+        "util",
+        "told_at",
+        "linked",
+        "linked_until",
+    )
 
     def __init__(self, server: api.Server, rank: int) -> None:
         self.name, self.rank = server.name, rank
@@ -119,11 +162,31 @@
 class _Held:
     """A request that is owed an answer, or whose attempts are still out."""
 
-    __slots__ = ("req", "cls", "use", "aim_at", "end_at", "attempts", "answered", "stream", "work",
-                 "loading", "most", "claim")
-
-    def __init__(self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float,
-                 work: float, most: int) -> None:
+    __slots__ = (
+        "req",
+        "cls",
+        "use",
+        "aim_at",
+        "end_at",
+        "attempts",
+        "answered",
+        "stream",
+        "work",
+        "loading",
+        "most",
+        "claim",
+    )
+
+    def __init__(
+        self,
+        req: api.Request,
+        cls: api.RequestClass,
+        use: _Use,
+        aim_at: float,
+        end_at: float,
+        work: float,
+        most: int,
+    ) -> None:
         self.req, self.cls, self.use, self.work, self.most = req, cls, use, work, most
         self.aim_at, self.end_at = aim_at, end_at
         self.attempts: list[_Attempt] = []
@@ -135,10 +198,39 @@
 class _Use:
     """One customer's use: the count of this window, and this gateway's part of the ceiling."""
 
-    __slots__ = ("plan", "width", "window", "name", "own", "added", "base", "base_own", "base_at", "base_use",
-                 "base_left", "most", "left", "left_at", "others", "calling", "in_call", "call_at", "asking",
-                 "open", "elsewhere", "seen", "ceiling", "ceiling_at", "luck", "loading", "share",
-                 "share_until", "share_rests", "taken", "floored")
+    __slots__ = (
+        "plan",
+        "width",
+        "window",
+        "name",
+        "own",
+        "added",
+        "base",
+        "base_own",
+        "base_at",
+        "base_use",
+        "base_left",
+        "most",
+        "left",
+        "left_at",
+        "others",
+        "calling",
+        "in_call",
+        "call_at",
+        "asking",
+        "open",
+        "elsewhere",
+        "seen",
+        "ceiling",
+        "ceiling_at",
+        "luck",
+        "loading",
+        "share",
+        "share_until",
+        "share_rests",
+        "taken",
+        "floored",
+    )
 
     def __init__(self, plan: api.Plan, width: int, now: float, age: float) -> None:
         self.plan, self.width, self.seen = plan, width, now
@@ -309,7 +401,7 @@
             mean = host.nominal * self.aim / max(self.latency.values()) / self.holders
         else:
             mean = self.done_rate * self.aim * host.nominal / self.size
-        return max(1, math.ceil(mean + mean ** 0.5))
+        return max(1, math.ceil(mean + mean**0.5))
 
     def may_repeat(self, request: str) -> bool:
         """Whether a request could be sent on again if the answer that is coming broke.
@@ -318,8 +410,14 @@
         be taken back.
         """
         held = self.held.get(request)
-        return (held is not None and held.req.kept and not held.answered and held.cls.effect == "safe"
-                and len(held.attempts) < held.most and self.bank >= 1)
+        return (
+            held is not None
+            and held.req.kept
+            and not held.answered
+            and held.cls.effect == "safe"
+            and len(held.attempts) < held.most
+            and self.bank >= 1
+        )
 
     def rotation(self) -> tuple[int, int]:
         """How many servers are listed, and how many of these get no ordinary work now."""
@@ -343,8 +441,9 @@
             host.rank = self._rank(host.name)
         self.aim = min(c.aim_ms for c in settings.classes)
         # One that is the same is the same object, by which a customer's use is known.
-        self.plans = {p.name: self.plans[p.name] if self.plans.get(p.name) == p else p
-                      for p in settings.plans}
+        self.plans = {
+            p.name: self.plans[p.name] if self.plans.get(p.name) == p else p for p in settings.plans
+        }
         self.latency = {name: value for name, value in self.latency.items() if name in known}
         self.lefts = {name: recent for name, recent in self.lefts.items() if name in same}
         self.cells = {key: cell for key, cell in self.cells.items() if key[0] in classes}
@@ -361,9 +460,18 @@
             "own": {name: getattr(self, name) for name in HANDED},
             "latency": dict(self.latency),
             "hosts": {h.name: [getattr(h, name) for name in HANDED_HOST] for h in self.hosts.values()},
-            "uses": {customer: [use.plan.name, use.window, use.name, use.base, use.open + use.elsewhere,
-                                *(getattr(use, name) for name in HANDED_USE)]
-                     for customer, use in self.uses.items()}}
+            "uses": {
+                customer: [
+                    use.plan.name,
+                    use.window,
+                    use.name,
+                    use.base,
+                    use.open + use.elsewhere,
+                    *(getattr(use, name) for name in HANDED_USE),
+                ]
+                for customer, use in self.uses.items()
+            },
+        }
         for use in self.uses.values():
             use.added = use.own  # what was not told yet is told by the next process
         return state
@@ -380,10 +488,16 @@
         try:
             own = {name: _finite(state["own"][name]) for name in HANDED}
             latency = {name: _finite(v) for name, v in state["latency"].items() if name in self.classes}
-            hosts = {name: [_finite(v) for v in values] for name, values in state["hosts"].items()
-                     if len(values) == len(HANDED_HOST)}
-            uses = {customer: self._handed_use(values) for customer, values in state["uses"].items()
-                    if values[0] in self.plans}
+            hosts = {
+                name: [_finite(v) for v in values]
+                for name, values in state["hosts"].items()
+                if len(values) == len(HANDED_HOST)
+            }
+            uses = {
+                customer: self._handed_use(values)
+                for customer, values in state["uses"].items()
+                if values[0] in self.plans
+            }
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
             self.out.append(api.Log(f"what was handed over makes no sense: {error!r}"))
             return
@@ -456,8 +570,9 @@
             return 0.0
         return max(cls.deadline_ms - req.time_left_ms, 0.0)
 
-    def _decide(self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float,
-                admitted: bool) -> None:
+    def _decide(
+        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, admitted: bool
+    ) -> None:
         """Send on or refuse, at once."""
         plan = use.plan
         over = not self._quota_has(use, req.units)
@@ -468,8 +583,9 @@
         if not fits or not self._ceiling_has(use, req.units):
             self._refuse_new(req, use, "quota" if over else "ceiling" if fits else "pressed")
             return
-        held = _Held(req, cls, use, aim_at, end_at, self.latency[cls.name] * max(req.units, 0.0),
-                     self.s.try_limit)
+        held = _Held(
+            req, cls, use, aim_at, end_at, self.latency[cls.name] * max(req.units, 0.0), self.s.try_limit
+        )
         host = self._pick(held) if held.aim_at > self.now else None
         if host is None:
             self._refuse_new(req, use, "quota" if over else "no host")
@@ -506,9 +622,13 @@
             return
         if event.result != "done":
             self._spend(held.use, -held.req.units)
-        self.out.append(api.Recall(held.req.id) if event.result == "done" else api.Fail(held.req.id)
-                        if event.result == "held" else api.Refuse(held.req.id, why="no record"
-                                                                  if event.result == "silent" else "gave up"))
+        self.out.append(
+            api.Recall(held.req.id)
+            if event.result == "done"
+            else api.Fail(held.req.id)
+            if event.result == "held"
+            else api.Refuse(held.req.id, why="no record" if event.result == "silent" else "gave up")
+        )
         self._finish(held)
 
     def _admit(self, cls: api.RequestClass, plan: api.Plan, units: float) -> bool:
@@ -565,8 +685,11 @@
         if self.q_seen < FEW:
             # Danger: outcomes show a jam an aim late, and fresh gateways would fill it until then. What is
             # out for longer than Qmax of its aim counts as full. Hurts: lost answers press a fresh gateway.
-            late = sum(a.works and self.now - a.sent > Q_MAX * h.cls.aim_ms
-                       for h in self.held.values() for a in h.attempts)
+            late = sum(
+                a.works and self.now - a.sent > Q_MAX * h.cls.aim_ms
+                for h in self.held.values()
+                for a in h.attempts
+            )
         self.f = ramp((FEW * self.q + late) / (FEW + late))
         # Staggered ramps: worth per work decides whose ramp f reaches first; the sum over cells stays f.
         total, above = sum(c.work for c in self.cells.values()), 0.0
@@ -644,14 +767,14 @@
             return False
         doubt = (max(use.others, 0.0) * (self.now - use.base_at)) ** 0.5  # the others' use may vary so much
         maybe = self._left(use) - doubt < units <= use.most
-        return use.base is None or (maybe and self.rng.random() < max(use.luck, self.heard ** CROWD))
+        return use.base is None or (maybe and self.rng.random() < max(use.luck, self.heard**CROWD))
 
     def _may_call(self) -> bool:
         """Danger: the crowd at the counter is us. Unanswered calls thin out ours; what was not told waits.
 
         Holds against a slow, silent or small counter alike. Hurts: totals are older while it acts.
         """
-        return self.rng.random() < self.heard ** CROWD or self.now > self.call_at + CALL_REST_MS
+        return self.rng.random() < self.heard**CROWD or self.now > self.call_at + CALL_REST_MS
 
     @staticmethod
     def _spend(use: _Use, units: float) -> None:
@@ -849,7 +972,7 @@
                 return host
             # Danger: speed is noise of what others send; weighing it in full herds us onto one server.
             # No zone is preferred: where traffic leans to one for good, its servers alone would bear it.
-            score = (host.open + 1) * host.slow ** 0.5 / host.nominal
+            score = (host.open + 1) * host.slow**0.5 / host.nominal
             score *= (1 + NOISE * self.rng.random()) * (1 if ours else FAR)
             if dear and not (host.linked and self.now < host.linked_until):
                 # Danger: among equals every choice opens a link, and each is one more for its server. It
@@ -902,7 +1025,7 @@
     def _down(self, host: _Host) -> None:
         if host.fails and self.now < host.down_until:
             return
-        host.down_until = self.now + min(BACKOFF_MS * 2 ** host.fails, BACKOFF_MAX_MS)
+        host.down_until = self.now + min(BACKOFF_MS * 2**host.fails, BACKOFF_MAX_MS)
         host.fails = min(host.fails + 1, 10)
         self._say("host", f"{host.name} fails: resting it")
 
@@ -924,7 +1047,8 @@
             return False
         scope = held.cls.key_scope
         return scope == "all" or all(
-            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky)
+            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky
+        )
 
     def _key_left(self, held: _Held) -> float:
         """How long its key is remembered yet: from the first send that may have run.
@@ -944,8 +1068,14 @@
         """
         timeout = max(held.aim_at - self.now - self.s.tick_ms, min(1.0, held.end_at - self.now))
         early = max(timeout / 2, PATIENCE * self._usual(held))
-        if (self.lost > LOST and held.req.kept and held.cls.effect != "unsafe" and self.bank >= 1
-                and len(held.attempts) + 1 < held.most and early + self._usual(held) < timeout):
+        if (
+            self.lost > LOST
+            and held.req.kept
+            and held.cls.effect != "unsafe"
+            and self.bank >= 1
+            and len(held.attempts) + 1 < held.most
+            and early + self._usual(held) < timeout
+        ):
             timeout = early
         self.out.append(api.Send(held.req.id, host.name, timeout, self._key_left(held)))
         attempt = _Attempt(host)
@@ -995,11 +1125,17 @@
         held.stream = True
         # Danger: how fast the client reads is not its server's load.
         attempt.stop()
-        self._learn(held, attempt, api.Outcome(event.request, event.attempt, attempt.host.name, api.OK,
-                                               event.took_ms, False))
+        self._learn(
+            held,
+            attempt,
+            api.Outcome(event.request, event.attempt, attempt.host.name, api.OK, event.took_ms, False),
+        )
         if self.s.cancel:
-            self.out.extend(api.Cancel(held.req.id, i) for i, a in enumerate(held.attempts)
-                            if a.open and i != event.attempt)
+            self.out.extend(
+                api.Cancel(held.req.id, i)
+                for i, a in enumerate(held.attempts)
+                if a.open and i != event.attempt
+            )
 
     def _uploaded(self, held: _Held | None) -> None:
         if held is not None and held.loading:
--- a/yewstage/registry/__main__.py
+++ b/yewstage/registry/__main__.py
@@ -43,8 +43,13 @@
     loop = asyncio.get_running_loop()
     store = load(config, files, loop.time() * 1000, time.time() * 1000)
     if files.cut:
-        log.warning(Event("torn_entry", "a torn last entry of {bytes} bytes was cut off: nobody was told "
-                          "of it", bytes=files.cut))
+        log.warning(
+            Event(
+                "torn_entry",
+                "a torn last entry of {bytes} bytes was cut off: nobody was told of it",
+                bytes=files.cut,
+            )
+        )
     ledger = Alone(store, files, config.snapshot_entries, loop)
     registry = Registry(config, ledger, loop, random.Random())
     ops = Ops(loop, registry.ready, registry.figures)
@@ -53,8 +58,15 @@
         loop.add_signal_handler(number, over.set)
     log.info(at("ops", "operators' address", await ops.start(config.ops)))
     address = await registry.start()
-    log.info(Event("restored", "revision {revision}, {servers} servers, {entries} entries read",
-                   revision=store.revision, servers=len(store.records), entries=files.entries))
+    log.info(
+        Event(
+            "restored",
+            "revision {revision}, {servers} servers, {entries} entries read",
+            revision=store.revision,
+            servers=len(store.records),
+            entries=files.entries,
+        )
+    )
     log.info(at("listening", "listening on", address))
     await over.wait()
     ops.stop()
--- a/yewstage/registry/client.py
+++ b/yewstage/registry/client.py
@@ -47,8 +47,9 @@
     Where the service is replicated a write may be told who leads: it is asked there, once.
     """
 
-    def __init__(self, addresses: Sequence[Address], rng: random.Random | None = None, use: Use | None = None
-                 ) -> None:
+    def __init__(
+        self, addresses: Sequence[Address], rng: random.Random | None = None, use: Use | None = None
+    ) -> None:
         self._addresses, self._rng, self._use = tuple(addresses), rng or random.Random(), use or Use()
         self._at = self._rng.randrange(len(self._addresses))
         self._leader: Address | None = None  # where writes go, as one of them told us
@@ -56,8 +57,9 @@
         self._turn = asyncio.Lock()
         self._failures = 0
 
-    async def call(self, method: str, path: str, body: dict[str, object] | None = None, wait_s: float = 0.0
-                   ) -> Told:
+    async def call(
+        self, method: str, path: str, body: dict[str, object] | None = None, wait_s: float = 0.0
+    ) -> Told:
         """One call; SilentError where nothing sensible comes back. It is not repeated here."""
         async with self._turn:
             try:
@@ -100,11 +102,14 @@
         self._failures += 1
         self._at = (self._at + 1) % len(self._addresses)
 
-    async def _exchange(self, method: str, path: str, body: dict[str, object] | None, within_s: float
-                        ) -> Reply:
+    async def _exchange(
+        self, method: str, path: str, body: dict[str, object] | None, within_s: float
+    ) -> Reply:
         data = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
-        request = (f"{method} {path} HTTP/1.1\r\nHost: registry\r\nContent-Type: application/json\r\n"
-                   f"Content-Length: {len(data)}\r\n\r\n").encode() + data
+        request = (
+            f"{method} {path} HTTP/1.1\r\nHost: registry\r\nContent-Type: application/json\r\n"
+            f"Content-Length: {len(data)}\r\n\r\n"
+        ).encode() + data
         if self._line is None or self._line.over:
             self._line = await _dial(self._leader or self._addresses[self._at], self._use)
         try:
@@ -233,8 +238,9 @@
         if listing.whole and self.servers and not listing.servers:
             # Danger: a service that lost its files knows nobody. To believe it would end all service.
             self._revision = None
-            return self._doubt(f"an empty list after {len(self.servers)} servers",
-                               self._client.between(0.5, 1.0))
+            return self._doubt(
+                f"an empty list after {len(self.servers)} servers", self._client.between(0.5, 1.0)
+            )
         if not listing.whole and (self._revision is None or listing.generation < self._revision):
             raise ValueError("changes to a list that was never told")
         if listing.whole:
@@ -265,8 +271,9 @@
     own clock.
     """
 
-    def __init__(self, client: Client, name: str, holder: str, ttl_ms: float, drift: float,
-                 now_s: Callable[[], float]) -> None:
+    def __init__(
+        self, client: Client, name: str, holder: str, ttl_ms: float, drift: float, now_s: Callable[[], float]
+    ) -> None:
         self._client, self.name, self._holder = client, name, holder
         self._ttl_ms, self._drift, self._now_s = ttl_ms, drift, now_s
         self._until = float("-inf")
@@ -295,11 +302,13 @@
         sent_at = self._now_s()
         try:
             if self.held():
-                told = await self._client.call("POST", f"/v1/leases/{self.name}/renew",
-                                               {"holder": self._holder, "token": self.token})
+                told = await self._client.call(
+                    "POST", f"/v1/leases/{self.name}/renew", {"holder": self._holder, "token": self.token}
+                )
             else:
-                told = await self._client.call("PUT", f"/v1/leases/{self.name}",
-                                               {"holder": self._holder, "ttlMs": self._ttl_ms})
+                told = await self._client.call(
+                    "PUT", f"/v1/leases/{self.name}", {"holder": self._holder, "ttlMs": self._ttl_ms}
+                )
         except SilentError:
             return self._client.rest_s()
         token = told.body.get("token")
@@ -317,8 +326,10 @@
         """Leave it to the next at once; if that fails it ends with its time."""
         self._until = float("-inf")
         try:
-            await self._client.call("DELETE", f"/v1/leases/{self.name}",
-                                    {"holder": self._holder, "token": self.token})
+            await self._client.call(
+                "DELETE", f"/v1/leases/{self.name}", {"holder": self._holder, "token": self.token}
+            )
         except SilentError as error:
-            log.warning(Event("duty_kept", "{duty} could not be given up: {error}", duty=self.name,
-                              error=str(error)))
+            log.warning(
+                Event("duty_kept", "{duty} could not be given up: {error}", duty=self.name, error=str(error))
+            )
--- a/yewstage/registry/config.py
+++ b/yewstage/registry/config.py
@@ -73,18 +73,24 @@
 def service_fields(fields: Fields) -> Config:
     """The same, among fields that belong to others."""
     config = Config(
-        listen=fields.address("listen"), ops=fields.address("ops"), folder=Path(fields.text("folder")),
-        watches=fields.whole("watches", 5000, 1), connections=fields.whole("connections", 6000, 1),
+        listen=fields.address("listen"),
+        ops=fields.address("ops"),
+        folder=Path(fields.text("folder")),
+        watches=fields.whole("watches", 5000, 1),
+        connections=fields.whole("connections", 6000, 1),
         least_ttl_ms=fields.number("least_ttl_ms", 500.0, 1.0),
         most_ttl_ms=fields.number("most_ttl_ms", 60000.0, 1.0),
         settle_ms=fields.number("settle_ms", 10000.0, 0.0),
         snapshot_entries=fields.whole("snapshot_entries", 10000, 1),
         most_age_ms=fields.number("most_age_ms", 10000.0, 1.0),
-        rules=Rules(history=fields.whole("history", 10000, 1),
-                    most_gone=fields.number("most_gone", 0.5, 0.0, 1.0),
-                    most_unwell=fields.number("most_unwell", 0.5, 0.0, 1.0),
-                    drift=fields.number("drift", 0.01, 0.0, 0.5)),
-        log=fields.choice("log", FORMATS))
+        rules=Rules(
+            history=fields.whole("history", 10000, 1),
+            most_gone=fields.number("most_gone", 0.5, 0.0, 1.0),
+            most_unwell=fields.number("most_unwell", 0.5, 0.0, 1.0),
+            drift=fields.number("drift", 0.01, 0.0, 0.5),
+        ),
+        log=fields.choice("log", FORMATS),
+    )
     if config.least_ttl_ms > config.most_ttl_ms:
         raise ConfigError("least_ttl_ms: is above most_ttl_ms")
     if config.watches > config.connections:
@@ -101,11 +107,17 @@
     if not isinstance(registry, list) or not registry:
         raise ConfigError("registry: must be a list of addresses")
     config = CheckerConfig(
-        name=fields.name("name"), registry=tuple(address({"registry": at}, "registry") for at in registry),
-        ops=fields.address("ops"), rate_per_s=fields.number("rate_per_s", 5.0, 0.001),
-        timeout_ms=fields.number("timeout_ms", 1000.0, 1.0), fails=fields.whole("fails", 3, 1),
-        passes=fields.whole("passes", 2, 1), ttl_ms=fields.number("ttl_ms", 5000.0, 100.0),
-        drift=fields.number("drift", 0.01, 0.0, 0.5), log=fields.choice("log", FORMATS))
+        name=fields.name("name"),
+        registry=tuple(address({"registry": at}, "registry") for at in registry),
+        ops=fields.address("ops"),
+        rate_per_s=fields.number("rate_per_s", 5.0, 0.001),
+        timeout_ms=fields.number("timeout_ms", 1000.0, 1.0),
+        fails=fields.whole("fails", 3, 1),
+        passes=fields.whole("passes", 2, 1),
+        ttl_ms=fields.number("ttl_ms", 5000.0, 100.0),
+        drift=fields.number("drift", 0.01, 0.0, 0.5),
+        log=fields.choice("log", FORMATS),
+    )
     fields.done("probing", "registry")
     return config
 
@@ -142,12 +154,16 @@
     def number(self, name: str, default: float | None, least: float, most: float = LARGEST) -> float:
         """A finite number within bounds."""
         value = self._take(name, default)
-        if not isinstance(value, (int, float)) or isinstance(value, bool) or not math.isfinite(value) \
-                or not least <= value <= most:
+        if (
+            not isinstance(value, (int, float))
+            or isinstance(value, bool)
+            or not math.isfinite(value)
+            or not least <= value <= most
+        ):
             raise ConfigError(f"{name}: must be a number from {least:g} to {most:g}")
         return float(value)
 
-    def whole(self, name: str, default: int | None, least: int, most: int = 2 ** 53) -> int:
+    def whole(self, name: str, default: int | None, least: int, most: int = 2**53) -> int:
         """A whole number within bounds."""
         value = self._take(name, default)
         if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
--- a/yewstage/registry/ledger.py
+++ b/yewstage/registry/ledger.py
@@ -59,8 +59,9 @@
 class Alone:
     """One process, one folder: each write is durable there before it is seen."""
 
-    def __init__(self, store: Store, files: Log, snapshot_entries: int, loop: asyncio.AbstractEventLoop
-                 ) -> None:
+    def __init__(
+        self, store: Store, files: Log, snapshot_entries: int, loop: asyncio.AbstractEventLoop
+    ) -> None:
         self.store, self._files, self._most, self._loop = store, files, snapshot_entries, loop
         self.changed: Callable[[], None] = lambda: None
         self._disk = ThreadPoolExecutor(1, "disk")  # a sync takes milliseconds: nobody else waits for it
--- a/yewstage/registry/log.py
+++ b/yewstage/registry/log.py
@@ -108,7 +108,7 @@
     def _write(self, line: bytes) -> None:
         left = memoryview(line)
         while left:
-            left = left[self._file.write(left):]
+            left = left[self._file.write(left) :]
 
     def _undo(self, error: OSError) -> None:
         """Take a part of a line off again, so that what comes next does not stand behind it."""
@@ -151,7 +151,7 @@
         data = path.read_bytes()
         if not data.startswith(FIRST):
             raise LogError(f"{path}: does not begin as a log does")
-        lines = data[len(FIRST):].split(b"\n")
+        lines = data[len(FIRST) :].split(b"\n")
         last = lines.pop()  # behind the last line end: empty, or torn
         entries, self._size = [], len(FIRST)
         for at, line in enumerate(lines, 2):
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -59,8 +59,9 @@
 class Registry:
     """Calls in, answers out."""
 
-    def __init__(self, config: Config, ledger: Ledger, loop: asyncio.AbstractEventLoop, rng: random.Random
-                 ) -> None:
+    def __init__(
+        self, config: Config, ledger: Ledger, loop: asyncio.AbstractEventLoop, rng: random.Random
+    ) -> None:
         self.config, self.ledger, self._loop, self._rng = config, ledger, loop, rng
         ledger.changed = self._changed
         self.pass_on: PassOn | None = None  # to whom calls for the list go that cannot be answered here
@@ -113,7 +114,8 @@
             ("endpoints", True, "verdict"): {"POST": self._verdict},
             ("leases", False, ""): {"GET": self._leases},
             ("leases", True, ""): {"PUT": self._acquire, "DELETE": self._release},
-            ("leases", True, "renew"): {"POST": self._renew_lease}}
+            ("leases", True, "renew"): {"POST": self._renew_lease},
+        }
         methods = routes.get((kind, bool(name), verb)) if call.path.startswith("/v1/") else None
         if methods is None:
             return failed(404, "no such path")
@@ -171,8 +173,11 @@
         if body is None:
             changes = None if after is None else self.store.changes(after)
             told = self.store.records.items() if changes is None else changes
-            listing = {"generation": self.store.revision, "reset": changes is None,
-                       "instances": [_row(name, record) for name, record in told]}
+            listing = {
+                "generation": self.store.revision,
+                "reset": changes is None,
+                "instances": [_row(name, record) for name, record in told],
+            }
             body = json.dumps(listing, separators=(",", ":")).encode()
             if len(self._encoded) >= KEPT_ENCODINGS:
                 self._encoded.pop(next(iter(self._encoded)))
@@ -248,9 +253,15 @@
             late = store.overdue(self.ledger.now())
             if store.held_back and self._loop.time() - self._told_at >= TOLD_S:
                 self._told_at = self._loop.time()
-                log.warning(Event("held_back", "{silent} of {servers} servers are silent: likelier it is "
-                                  "we who hear nothing; all are kept", silent=store.held_back,
-                                  servers=len(store.records)))
+                log.warning(
+                    Event(
+                        "held_back",
+                        "{silent} of {servers} servers are silent: likelier it is "
+                        "we who hear nothing; all are kept",
+                        silent=store.held_back,
+                        servers=len(store.records),
+                    )
+                )
             for name in late:
                 try:
                     if await self.ledger.write(lambda store, now, name=name: store.plan_expire(name, now)):
@@ -258,8 +269,14 @@
                         self.expired += 1
                         log.info(Event("expired", "{server} has not renewed in time", server=name))
                 except (FullError, ElsewhereError, LaterError) as error:
-                    log.error(Event("not_expired", "{server} could not be let go: {error}", server=name,
-                                    error=str(error)))
+                    log.error(
+                        Event(
+                            "not_expired",
+                            "{server} could not be let go: {error}",
+                            server=name,
+                            error=str(error),
+                        )
+                    )
                     break
 
     def _spawn(self, work: object) -> None:
@@ -274,11 +291,15 @@
         config = self.config
         host, port = fields.address("hostPort")
         record = Record(
-            id=name, address=f"{host}:{port}", zone=fields.optional("zone"),
+            id=name,
+            address=f"{host}:{port}",
+            zone=fields.optional("zone"),
             kind=fields.optional("machineType"),
-            cell=fields.whole("cell", 0, 0), weight=fields.number("weight", 1.0, 1e-6, 1e6),
+            cell=fields.whole("cell", 0, 0),
+            weight=fields.number("weight", 1.0, 1e-6, 1e6),
             started_at_ms=fields.number("startedAtMs", 0.0, 0.0, 1e14),
-            ttl_ms=fields.number("ttlMs", None, config.least_ttl_ms, config.most_ttl_ms))
+            ttl_ms=fields.number("ttlMs", None, config.least_ttl_ms, config.most_ttl_ms),
+        )
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
 
@@ -345,10 +366,21 @@
         now, store = self.ledger.now(), self.ledger.live()
         if store is None:
             return self._elsewhere(ElsewhereError(self.ledger.leader()))
-        return said(200, {"leases": [
-            {"name": lease.name, "holder": held.holder if held else "", "token": lease.token,
-             "endsInMs": round(store.lease_ends_ms(lease.name, now)) if held else 0}
-            for lease in store.leases.values() for held in [store.holder(lease.name, now)]]})
+        return said(
+            200,
+            {
+                "leases": [
+                    {
+                        "name": lease.name,
+                        "holder": held.holder if held else "",
+                        "token": lease.token,
+                        "endsInMs": round(store.lease_ends_ms(lease.name, now)) if held else 0,
+                    }
+                    for lease in store.leases.values()
+                    for held in [store.holder(lease.name, now)]
+                ]
+            },
+        )
 
     def _acquire(self, call: Call, caller: Caller, name: str) -> None:
         fields = _fields(call)
@@ -402,24 +434,40 @@
         return [
             gauge("registry_revision", "of the list", self.store.revision),
             gauge("registry_ready", "whether it tells a list", self.ready()),
-            gauges("registry_servers", "in the list", "lifecycle",
-                   {"ready": len(records) - out, "draining": out}),
-            gauge("registry_held_back", "servers past their time that are kept", live.held_back if live is
-            not None else 0),
+            gauges(
+                "registry_servers", "in the list", "lifecycle", {"ready": len(records) - out, "draining": out}
+            ),
+            gauge(
+                "registry_held_back",
+                "servers past their time that are kept",
+                live.held_back if live is not None else 0,
+            ),
             gauge("registry_leases_held", "duties that somebody holds", held),
             gauge("registry_connections", "open", len(self.listener.callers)),
             gauge("registry_watches", "held", len(self._watches)),
             count("registry_changes_told", "answers to watches that had waited", self.changes_told),
-            counts("registry_turned_away", "calls answered 503", "reason",
-                   {"too_many": self.turned_away, "not_ready": self.turned_away_early,
-                    "too_old": self.turned_away_old}),
+            counts(
+                "registry_turned_away",
+                "calls answered 503",
+                "reason",
+                {
+                    "too_many": self.turned_away,
+                    "not_ready": self.turned_away_early,
+                    "too_old": self.turned_away_old,
+                },
+            ),
             count("registry_dropped", "peers that were slow, silent or in the way", self.listener.dropped),
-            counts("registry_writes", "by what came of them", "result",
-                   {"done": self.writes, "refused": self.refused, "not_durable": self.failed}),
+            counts(
+                "registry_writes",
+                "by what came of them",
+                "result",
+                {"done": self.writes, "refused": self.refused, "not_durable": self.failed},
+            ),
             count("registry_renewals", "of servers and leases", self.renewals),
             count("registry_expired", "servers let go for their silence", self.expired),
             gauge("registry_log_entries", "since the last snapshot", self.ledger.log_entries),
-            gauge("registry_log_broken", "whether the log takes no more", bool(self.ledger.broken))]
+            gauge("registry_log_broken", "whether the log takes no more", bool(self.ledger.broken)),
+        ]
 
 
 def _told(store: Store, name: str, entry: Entry | None) -> dict[str, object]:
@@ -431,17 +479,28 @@
         record, revision = store.records.get(name), store.revision
     if record is None:
         return {"revision": revision}
-    return {"revision": record.revision, "registered": record.registered, "ttlMs": record.ttl_ms,
-            "lifecycle": record.lifecycle()}
+    return {
+        "revision": record.revision,
+        "registered": record.registered,
+        "ttlMs": record.ttl_ms,
+        "lifecycle": record.lifecycle(),
+    }
 
 
 def _row(name: str, record: Record | None) -> dict[str, object]:
     """A server as discovery's protocol tells it."""
     if record is None:
         return {"instanceId": name, "lifecycle": GONE}
-    return {"instanceId": name, "hostPort": record.address, "zone": record.zone, "machineType": record.kind,
-            "cell": record.cell, "lifecycle": record.lifecycle(), "weight": record.weight,
-            "startedAtMs": record.started_at_ms}
+    return {
+        "instanceId": name,
+        "hostPort": record.address,
+        "zone": record.zone,
+        "machineType": record.kind,
+        "cell": record.cell,
+        "lifecycle": record.lifecycle(),
+        "weight": record.weight,
+        "startedAtMs": record.started_at_ms,
+    }
 
 
 def _fields(call: Call) -> Fields:
--- a/yewstage/registry/store.py
+++ b/yewstage/registry/store.py
@@ -49,8 +49,15 @@
     def same_server(self, other: Record) -> bool:
         """Whether a registration says nothing new."""
         ours = (self.address, self.zone, self.kind, self.cell, self.weight, self.started_at_ms, self.ttl_ms)
-        return ours == (other.address, other.zone, other.kind, other.cell, other.weight, other.started_at_ms,
-                        other.ttl_ms)
+        return ours == (
+            other.address,
+            other.zone,
+            other.kind,
+            other.cell,
+            other.weight,
+            other.started_at_ms,
+            other.ttl_ms,
+        )
 
     def lifecycle(self) -> str:
         """What gateways are told: one that is not well gets nothing new either."""
@@ -126,15 +133,23 @@
         """
         old = self.records.get(record.id)
         if old is not None and record.started_at_ms < old.started_at_ms:
-            raise RefusedError(409, f"a later life has registered, started at {old.started_at_ms:.0f}",
-                               "startedAtMs")
+            raise RefusedError(
+                409, f"a later life has registered, started at {old.started_at_ms:.0f}", "startedAtMs"
+            )
         if old is not None and record.same_server(old):
             return None
         self._expect(record.id, expect)
         same_life = old is not None and record.started_at_ms == old.started_at_ms
         revision = self.revision + 1
-        return self._put(replace(record, draining=same_life and old.draining, well=not same_life or old.well,
-                                 registered=revision, revision=revision))
+        return self._put(
+            replace(
+                record,
+                draining=same_life and old.draining,
+                well=not same_life or old.well,
+                registered=revision,
+                revision=revision,
+            )
+        )
 
     def renew(self, name: str, registered: int | None, now: float) -> Record:
         """A server lives on; nothing is written, for a restart gives it its whole time anew."""
@@ -277,9 +292,12 @@
     def snapshot(self) -> Entry:
         """All that entries have brought about, but for the history: who asks for older gets the whole
         list."""
-        return {"revision": self.revision, "token": self.token,
-                "records": [asdict(record) for record in self.records.values()],
-                "leases": [asdict(lease) for lease in self.leases.values()]}
+        return {
+            "revision": self.revision,
+            "token": self.token,
+            "records": [asdict(record) for record in self.records.values()],
+            "leases": [asdict(lease) for lease in self.leases.values()],
+        }
 
     @classmethod
     def restored(cls, rules: Rules, state: Entry, now: float) -> Store:
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -125,8 +125,9 @@
 class Tables:
     """One member's copy."""
 
-    def __init__(self, me: str, life: int, tables: Iterable[Table], settings: Settings, rng: random.Random,
-                 now: float) -> None:
+    def __init__(
+        self, me: str, life: int, tables: Iterable[Table], settings: Settings, rng: random.Random, now: float
+    ) -> None:
         self.me, self.settings, self._rng = me, settings, rng
         self.tables = {table.name: table for table in tables}
         self.own = Origin(life)
@@ -346,7 +347,7 @@
     after, whole = part.after, part.whole
     while left:
         piece = list(_fitting(left, 64))
-        left = left[len(piece):]
+        left = left[len(piece) :]
         last = not left
         version, age_ms = (part.version, part.age_ms) if last else (piece[-1].version, -1)
         yield Part(part.mark, after, version, age_ms, tuple(piece), whole, part.floor)
--- a/yewstage/wire.py
+++ b/yewstage/wire.py
@@ -8,9 +8,16 @@
 
 from yewstage import interface as api
 
-RESULTS = {"Ok": api.OK, "Failed": api.ERROR, "QueueFull": api.FULL, "TimedOut": api.TIMED_OUT,
-           "ConnectError": api.CONNECT_FAILED, "ResetByPeer": api.RESET, "Canceled": api.CANCELLED,
-           "Ignored": api.MOOT}
+RESULTS = {
+    "Ok": api.OK,
+    "Failed": api.ERROR,
+    "QueueFull": api.FULL,
+    "TimedOut": api.TIMED_OUT,
+    "ConnectError": api.CONNECT_FAILED,
+    "ResetByPeer": api.RESET,
+    "Canceled": api.CANCELLED,
+    "Ignored": api.MOOT,
+}
 LIST_KINDS = {"Partial": "changes", "Complete": "full", "Persisted": "kept", "Error": "failed"}
 REPORTS = {"load_share": "util", "concurrent": "inflight", "depth": "queue"}  # by the interface's names
 STATUSES = ("up", "draining", "removed")
@@ -107,31 +114,53 @@
 
     classes = tuple(
         api.RequestClass(
-            name=pairs.get(f"grades.{i}.name", ""), aim_ms=num(f"grades.{i}.objective_ms"),
-            deadline_ms=num(f"grades.{i}.deadline_ms"), worth=num(f"grades.{i}.worth", 1.0),
-            late_worth=num(f"grades.{i}.late_worth"), effect=pairs.get(f"grades.{i}.effect", "safe"),
-            key_scope=pairs.get(f"grades.{i}.key_scope", "all"), window_ms=num(f"grades.{i}.window_ms"))
-        for i in range(int(num("grades.count"))))
+            name=pairs.get(f"grades.{i}.name", ""),
+            aim_ms=num(f"grades.{i}.objective_ms"),
+            deadline_ms=num(f"grades.{i}.deadline_ms"),
+            worth=num(f"grades.{i}.worth", 1.0),
+            late_worth=num(f"grades.{i}.late_worth"),
+            effect=pairs.get(f"grades.{i}.effect", "safe"),
+            key_scope=pairs.get(f"grades.{i}.key_scope", "all"),
+            window_ms=num(f"grades.{i}.window_ms"),
+        )
+        for i in range(int(num("grades.count")))
+    )
     plans = tuple(
         api.Plan(
-            name=pairs.get(f"packages.{i}.name", ""), rate=num(f"packages.{i}.refill"),
-            burst=num(f"packages.{i}.burst"), worth=num(f"packages.{i}.worth_factor", 1.0),
-            over_worth=num(f"packages.{i}.over_worth"), over_cost=num(f"packages.{i}.over_cost"),
-            ceiling_rate=num(f"packages.{i}.ceiling_rate"), ceiling_burst=num(f"packages.{i}.hard_burst"),
-            parallel=int(num(f"packages.{i}.parallel")))
-        for i in range(int(num("packages.count"))))
+            name=pairs.get(f"packages.{i}.name", ""),
+            rate=num(f"packages.{i}.refill"),
+            burst=num(f"packages.{i}.burst"),
+            worth=num(f"packages.{i}.worth_factor", 1.0),
+            over_worth=num(f"packages.{i}.over_worth"),
+            over_cost=num(f"packages.{i}.over_cost"),
+            ceiling_rate=num(f"packages.{i}.ceiling_rate"),
+            ceiling_burst=num(f"packages.{i}.hard_burst"),
+            parallel=int(num(f"packages.{i}.parallel")),
+        )
+        for i in range(int(num("packages.count")))
+    )
     return api.Settings(
-        classes=classes, plans=plans, me=int(num("me")), fleet_size=int(num("fleet_size", 1)),
+        classes=classes,
+        plans=plans,
+        me=int(num("me")),
+        fleet_size=int(num("fleet_size", 1)),
         try_limit=int(num("bounds.try_limit", 1)),
-        second_copies=yes("bounds.second_copies"), cancel=yes("bounds.cancel"),
-        retry_after=yes("bounds.retry_after"), max_retry_after_ms=num("bounds.max_retry_after_ms"),
+        second_copies=yes("bounds.second_copies"),
+        cancel=yes("bounds.cancel"),
+        retry_after=yes("bounds.retry_after"),
+        max_retry_after_ms=num("bounds.max_retry_after_ms"),
         marks_retry=yes("clients.marks_retry"),
         must_ask=pairs.get("membership_mode", "pushed") == "on_request",
-        may_count=yes("family_info.may_count"), count_wait_ms=num("family_info.count_wait_ms", 50.0),
-        tick_ms=num("tick_ms", 1.0), cold_from=num("rules.cold_from", 1.0),
-        cold_ms=num("rules.cold_ms"), fall_multiple=num("rules.fall_multiple", 1.0),
-        tip_after_ms=num("rules.tip_after_ms"), handshake=num("penalties.handshake"),
-        idle_ms=num("bounds.conn_idle_ms", 15000.0))
+        may_count=yes("family_info.may_count"),
+        count_wait_ms=num("family_info.count_wait_ms", 50.0),
+        tick_ms=num("tick_ms", 1.0),
+        cold_from=num("rules.cold_from", 1.0),
+        cold_ms=num("rules.cold_ms"),
+        fall_multiple=num("rules.fall_multiple", 1.0),
+        tip_after_ms=num("rules.tip_after_ms"),
+        handshake=num("penalties.handshake"),
+        idle_ms=num("bounds.conn_idle_ms", 15000.0),
+    )
 
 
 def server(parts: list[str]) -> api.Server:
@@ -148,14 +177,24 @@
 
 
 def _request(f: list[str]) -> api.Request:
-    return api.Request(f[0], f[1], f[2], f[3], number(f[4]), number(f[5]), integer(f[6]), integer(f[7]),
-                       bool(integer(f[8]) & 2))
+    return api.Request(
+        f[0],
+        f[1],
+        f[2],
+        f[3],
+        number(f[4]),
+        number(f[5]),
+        integer(f[6]),
+        integer(f[7]),
+        bool(integer(f[8]) & 2),
+    )
 
 
 def _outcome(f: list[str]) -> api.Outcome:
     number(f[6])  # the customer's use, in which the module takes no interest
-    return api.Outcome(f[0], integer(f[1]), f[2], one_of(RESULTS, f[3]), number(f[4]), flag(f[5]),
-                       number(f[7]), report(f[8]))
+    return api.Outcome(
+        f[0], integer(f[1]), f[2], one_of(RESULTS, f[3]), number(f[4]), flag(f[5]), number(f[7]), report(f[8])
+    )
 
 
 def _peer(f: list[str]) -> Ignored:
