--- a/benchmarks/beside.py
+++ b/benchmarks/beside.py
@@ -153,7 +153,7 @@
         folder = Path(name)
         async with Machines(folder, 3) as machines:
             await machines.init(machines.all, KEYED)
-            whole = await machines.whole()
+            whole = await machines.wait_until_replicated()
             with_replica, without = _Side("with", folder, 0), _Side("without", folder, 1)
             for machine, core in zip(machines.all, (0 if shared else 6, 7, 7), strict=True):
                 os.sched_setaffinity(machine.process.pid, {core})
@@ -163,7 +163,7 @@
             writing = asyncio.create_task(_write(machines))
             told = await asyncio.gather(with_replica.play(seconds), without.play(seconds))
             writing.cancel()
-            after = {group: here["term"] for group, here in (await machines.whole()).items()}
+            after = {group: here["term"] for group, here in (await machines.wait_until_replicated()).items()}
             for side in (with_replica, without):
                 await side.stop()
         for side, (count, p50, p99, p999) in zip(("with a replica", "without"), told, strict=True):
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -20,11 +20,11 @@
 
 from plumwall.emulator.process import kill, raise_descriptors, spawn_module
 from plumwall.faults.machines import HOST, Machines, hindered
-from yewstage.holding.kinds import LIST, group_of
-from yewstage.registry.client import Client, Told
+from yewstage.holding.group_names import LIST_GROUP, group_of
+from yewstage.registry.client import ServiceClient, ServiceReply
 
 
-async def until_done(client: Client, method: str, path: str, body: dict[str, object]) -> Told:
+async def until_done(client: ServiceClient, method: str, path: str, body: dict[str, object]) -> ServiceReply:
     """One write, asked again while no leader says yes: that time counts, too."""
     while (told := await client.call(method, path, body)).status == 503:
         await asyncio.sleep(0.02)
@@ -32,12 +32,12 @@
     return told
 
 
-async def writes(clients: list[Client], seconds: float, first: int = 0) -> tuple[float, list[float]]:
+async def writes(clients: list[ServiceClient], seconds: float, first: int = 0) -> tuple[float, list[float]]:
     """Writes a second, and what each took, ms; lives are numbered behind `first`, for no life goes back."""
     took: list[float] = []
     until = time.perf_counter() + seconds
 
-    async def one(client: Client, writer: int) -> None:
+    async def one(client: ServiceClient, writer: int) -> None:
         number = first
         while time.perf_counter() < until:
             number += 1
@@ -77,18 +77,18 @@
     )
     while "listening on" not in (line := (await process.stderr.readline()).decode()):
         assert line, "it ended at its start"
-    clients = [Client([(HOST, int(line.rsplit(":", 1)[1]))]) for _ in range(options.writers)]
+    clients = [ServiceClient([(HOST, int(line.rsplit(":", 1)[1]))]) for _ in range(options.writers)]
     say("one process", *await writes(clients, options.seconds))
     kill(process)
     await process.wait()
 
 
-async def claims(clients: list[Client], keyed: int, seconds: float) -> tuple[float, list[float]]:
+async def claims(clients: list[ServiceClient], keyed: int, seconds: float) -> tuple[float, list[float]]:
     """Claims of new keys a second, each writer in one group, and what each took, ms."""
     took: list[float] = []
     until = time.perf_counter() + seconds
 
-    async def one(client: Client, writer: int) -> None:
+    async def one(client: ServiceClient, writer: int) -> None:
         number, mine = 0, f"keys-{1 + writer % keyed}"
         while time.perf_counter() < until:
             number += 1
@@ -109,7 +109,7 @@
     """Keys over so many groups, on nine machines."""
     async with Machines(folder, options.machines, sync_ms=options.sync_ms) as machines:
         await machines.init(machines.all, keyed)
-        await machines.whole()
+        await machines.wait_until_replicated()
         clients = [machines.client() for _ in range(options.writers)]
         say(
             f"keys in {keyed} groups, {options.machines} machines",
@@ -121,9 +121,9 @@
     """So many writes to one group, and what the disks hold meanwhile."""
     async with Machines(folder, 3) as machines:
         await machines.init(machines.all)
-        await machines.whole()
+        await machines.wait_until_replicated()
         leader = await machines.leader()
-        clients = [Client([(HOST, leader.listen)]) for _ in range(options.writers)]
+        clients = [ServiceClient([(HOST, leader.listen)]) for _ in range(options.writers)]
         most = [0]
 
         async def look() -> None:
@@ -137,10 +137,10 @@
             done += len((await writes(clients, 5.0, done))[1])
         took_s = time.perf_counter() - began
         looking.cancel()
-        status = await machines.whole()
+        status = await machines.wait_until_replicated()
         print(
             f"{done:,} writes of {options.writers} servers' records in {took_s:.0f} s, index "
-            f"{status[LIST]['commit']:,}: at the most {most[0]:,} bytes on a disk"
+            f"{status[LIST_GROUP]['commit']:,}: at the most {most[0]:,} bytes on a disk"
         )
 
 
@@ -148,24 +148,24 @@
     """Three replicas."""
     async with Machines(folder, 3, sync_ms=options.sync_ms) as machines:
         await machines.init(machines.all)
-        await machines.whole()
+        await machines.wait_until_replicated()
         leader = await machines.leader()
-        clients = [Client([(HOST, leader.listen)]) for _ in range(options.writers)]
+        clients = [ServiceClient([(HOST, leader.listen)]) for _ in range(options.writers)]
         say("three replicas", *await writes(clients, options.seconds))
-        here = (await machines.status(leader))["groups"][LIST]
+        here = (await machines.status(leader))["groups"][LIST_GROUP]
         print(f"{'bytes on disk of the leader':28} {here['diskBytes']:,} after index {here['commit']:,}")
         if options.watches:
             await watched(machines, clients[0], options.watches)
 
 
-async def watched(machines: Machines, writer: Client, count: int) -> None:
+async def watched(machines: Machines, writer: ServiceClient, count: int) -> None:
     """How long until the last of many watches, spread over all replicas, is told of a write."""
     told = await writer.call("PUT", "/v1/endpoints/watched", {"hostPort": f"{HOST}:1", "ttlMs": 60000})
     path = f"/v1/endpoints?after={told.body['revision']}&wait_ms=60000"
-    clients = [Client([(HOST, machines.all[i % 3].listen)]) for i in range(count)]
+    clients = [ServiceClient([(HOST, machines.all[i % 3].listen)]) for i in range(count)]
     at: list[float] = []
 
-    async def one(client: Client) -> None:
+    async def one(client: ServiceClient) -> None:
         told = await client.call("GET", path, None, 60.0)
         assert told.status == 200 and told.body["instances"], told
         at.append(time.perf_counter())
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -22,7 +22,7 @@
     net = Net(size, seed)
     for i in range(size):
         net.start(i)
-    rows = [seat.swim.me for seat in net.seats]
+    rows = [seat.swim.own_row for seat in net.seats]
     for seat in net.seats:
         for row in rows:
             seat.swim.know(row, net._clock(seat.number))
--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -16,9 +16,9 @@
 from tempfile import TemporaryDirectory
 
 from benchmarks.scenes import Transport
-from yewstage.net.serve import Caller
+from yewstage.net.http_server import HttpConnection
+from yewstage.registry.backend import SingleNodeBackend
 from yewstage.registry.config import service
-from yewstage.registry.ledger import Alone
 from yewstage.registry.log import Log
 from yewstage.registry.server import Registry
 from yewstage.registry.store import Record, Rules, Store
@@ -35,7 +35,7 @@
     def __init__(self, registry: Registry, heard: list[float]) -> None:
         loop = asyncio.get_running_loop()
         self._heard = heard
-        self.caller = Caller(registry.listener)
+        self.caller = HttpConnection(registry.listener)
         self.caller.connection_made(Transport(lambda data: None, lambda exc: None, loop.call_soon))
         self.caller.transport.writelines = self._told
 
@@ -57,7 +57,9 @@
     files.load()
     store = Store(config.rules, 1)
     loop = asyncio.get_running_loop()
-    registry = Registry(config, Alone(store, files, config.snapshot_entries, loop), loop, random.Random(1))
+    registry = Registry(
+        config, SingleNodeBackend(store, files, config.snapshot_entries, loop), loop, random.Random(1)
+    )
     for n in range(SERVERS):
         store.apply(store.plan_register(record(n)), 0.0)
     heard: list[float] = []
--- a/benchmarks/scenes.py
+++ b/benchmarks/scenes.py
@@ -196,7 +196,7 @@
         loop = Loop(self._loop, answers)
         config = tree.config.parse(CONFIG)
         core = tree.core.Core(config, loop)
-        self.server = tree.clients.Server(core, loop, config.sockets)
+        self.server = tree.clients.ClientListener(core, loop, config.sockets)
         self._clients = [Client(self, data, fresh) for _ in range(CLIENTS)]
         self._left = 0
         self._over: asyncio.Future | None = None
@@ -261,8 +261,8 @@
                         api.OK,
                         60.0,
                         True,
-                        true_units=2.0,
-                        report={"util": 0.4, "inflight": 3, "queue": 0},
+                        billed_units=2.0,
+                        load_report={"util": 0.4, "inflight": 3, "queue": 0},
                     ),
                     out,
                 )
--- a/plumwall/cli/check.py
+++ b/plumwall/cli/check.py
@@ -10,7 +10,7 @@
 from plumwall.cli.console import FILE, BadFileError, as_json, fields
 from yewstage.holding.config import HoldingConfig, holding
 from yewstage.interface import Plan
-from yewstage.net.clients import Names
+from yewstage.net.clients import ClassAndPlanNames
 from yewstage.net.config import Config, ConfigError, load
 from yewstage.registry.config import CheckerConfig, checker, read, service
 from yewstage.registry.config import Config as RegistryConfig
@@ -55,7 +55,7 @@
 
 def _gateway(file: Path) -> dict[str, object]:
     made: Config = load({"ROUTER_CONFIG": str(file)})
-    Names(made.settings)
+    ClassAndPlanNames(made.settings)
     return {
         "name": made.name,
         "listen": _text(made.listen),
@@ -63,9 +63,9 @@
         "classes": ", ".join(c.name for c in made.settings.classes),
         "plans": ", ".join(p.name for p in made.settings.plans),
         "fleet": made.settings.fleet_size,
-        "known": len(made.known.servers),
+        "known": len(made.fallback_listing.servers),
         "holding": ", ".join(map(_text, made.holding)) or "none",
-        "shares": ", ".join(_share(plan) for plan in made.settings.plans if plan.shares) or "none",
+        "shares": ", ".join(_share(plan) for plan in made.settings.plans if plan.uses_quota_shares) or "none",
         "peers": f"{_text(made.peers.listen)} in {made.peers.settings.cluster}" if made.peers else "none",
     }
 
--- a/plumwall/cli/holding.py
+++ b/plumwall/cli/holding.py
@@ -21,12 +21,12 @@
 from plumwall.cli.servers import ask, at_option
 from plumwall.cli.service import become, chosen_format, log_format
 from yewstage.holding.config import holding as read_config
-from yewstage.holding.kinds import LIST, MOST_KEYED, PLACES
-from yewstage.holding.members import to_begin
-from yewstage.holding.recover import begin_again, read_backups
+from yewstage.holding.group_names import LIST_GROUP, MOST_KEYED, PLACEMENT_GROUP
+from yewstage.holding.member_changes import founder_and_members
+from yewstage.holding.recover import read_backups, restore_cluster
 from yewstage.net.config import Address, ConfigError
 from yewstage.raft.disk import DiskError
-from yewstage.registry.client import ask_once
+from yewstage.registry.client import get_once
 from yewstage.registry.config import read
 
 WAIT_S = 2.0
@@ -53,7 +53,7 @@
 
 
 async def _statuses(at: list[Address]) -> list[dict[str, object]]:
-    return list(await asyncio.gather(*(ask_once(one, "/v1/holding/status", WAIT_S) for one in at)))
+    return list(await asyncio.gather(*(get_once(one, "/v1/holding/status", WAIT_S) for one in at)))
 
 
 def _trouble(status: dict[str, object]) -> str:
@@ -160,13 +160,13 @@
     for (host, port), told in zip(at, statuses, strict=True):
         if not told:
             raise WorkFailedError(f"no answer from {host}:{port}; all have to be there")
-        if told["epoch"] or any(group != LIST for group in told["groups"]):
+        if told["epoch"] or any(group != LIST_GROUP for group in told["groups"]):
             raise WorkFailedError(
                 f"{told['id']} at {host}:{port} holds something already; nothing was changed"
             )
     if len({told["cluster"] for told in statuses}) > 1:
         raise WorkFailedError("they are of several clusters; nothing was changed")
-    first, members = to_begin(statuses, PLACES)
+    first, members = founder_and_members(statuses, PLACEMENT_GROUP)
     body = {"members": members, "first": time.time() * 1000, "keyed": keyed}
     told = ask([at[first]], "POST", "/v1/holding/init", body)
     click.echo(f"{told['groups']} groups begun on {', '.join(sorted(s['id'] for s in statuses))}")
@@ -269,7 +269,7 @@
     try:
         known = read_config(read(str(config)))
         found = read_backups(sources)
-        name = begin_again(known, found, time.time() * 1000, without)
+        name = restore_cluster(known, found, time.time() * 1000, without)
     except (ConfigError, DiskError) as error:
         raise BadFileError(str(error)) from None
     told = ", ".join(f"{group} at index {backup.index}" for group, backup in sorted(found.items()))
--- a/plumwall/cli/limits.py
+++ b/plumwall/cli/limits.py
@@ -7,7 +7,7 @@
 from plumwall.cli.console import as_json, fields
 from plumwall.cli.servers import ask, at_option
 from yewstage.net.config import Address
-from yewstage.policy import account
+from yewstage.policy import quota_account_name
 
 
 @click.command()
@@ -27,7 +27,7 @@
     Example:
       plumwall limits 00000000000000aa --plan basic --at 127.0.0.1:8501,127.0.0.1:8502
     """
-    name = account(plan, customer)
+    name = quota_account_name(plan, customer)
     told = ask(at, "POST", f"/v1/shares/{name}/show", {}, quiet=json_)["account"]
     shares = told["granted"] if told else []
     fields(
--- a/plumwall/cli/members.py
+++ b/plumwall/cli/members.py
@@ -10,7 +10,7 @@
 from plumwall.cli.console import WorkFailedError, as_json, say_json, say_table
 from plumwall.cli.servers import addresses
 from yewstage.net.config import Address
-from yewstage.registry.client import ask_once
+from yewstage.registry.client import get_once
 
 WAIT_S = 2.0
 SEEN = ("name", "zone", "region", "state", "for", "incarnation", "by", "seen otherwise by")
@@ -71,7 +71,7 @@
 
 
 async def _told(at: list[Address]) -> list[dict[str, object]]:
-    return list(await asyncio.gather(*(ask_once(one, "/ops/members", WAIT_S) for one in at)))
+    return list(await asyncio.gather(*(get_once(one, "/ops/members", WAIT_S) for one in at)))
 
 
 def _well(told: list[dict[str, object]]) -> bool:
--- a/plumwall/cli/play.py
+++ b/plumwall/cli/play.py
@@ -30,7 +30,7 @@
 from plumwall.cli.service import log_format
 from plumwall.emulator.fleet import StartError
 from plumwall.emulator.metrics import Exporter
-from plumwall.emulator.run import DEPLOY, Look, Options, Outcome, Run
+from plumwall.emulator.run import DEPLOY, Options, Run, RunOutcome, RunStatus
 from yewstage.log import TEXT
 from yewstage.net.config import Address
 
@@ -59,7 +59,7 @@
         """Where the run is."""
         err.print(f"[dim]{text}[/dim]") if self._live is not None else click.echo(text, err=True)
 
-    def look(self, seen: Look) -> None:
+    def look(self, seen: RunStatus) -> None:
         """Figures once a second."""
         if self._live is not None:
             self._live.update(
@@ -76,10 +76,10 @@
                 f"{seen.fault or 'none'}"
             )
 
-    def _table(self, seen: Look) -> Table:
+    def _table(self, seen: RunStatus) -> Table:
         rows = []
-        for name in sorted(seen.figures or seen.gateways, key=lambda n: (len(n), n)):
-            second, figures = seen.gateways.get(name), seen.figures.get(name, {})
+        for name in sorted(seen.metrics or seen.gateways, key=lambda n: (len(n), n)):
+            second, figures = seen.gateways.get(name), seen.metrics.get(name, {})
             counts = (
                 (second.tries, second.served, second.refused, second.failed, second.p50_ms, second.p99_ms)
                 if second
@@ -305,7 +305,7 @@
 
 
 async def _hold(run: Run, screen: Screen) -> None:
-    task = asyncio.ensure_future(run.hold())
+    task = asyncio.ensure_future(run.serve_until_cancelled())
     while not task.done() and not run.t0:
         await asyncio.sleep(0.1)
     if run.t0:
@@ -380,7 +380,7 @@
     report(outcome, json_)
 
 
-def report(outcome: Outcome | None, json_: bool) -> None:
+def report(outcome: RunOutcome | None, json_: bool) -> None:
     """Figures and findings; the exit status says whether all is well."""
     if outcome is None:
         raise WorkFailedError("ended before the run was over")
@@ -396,7 +396,7 @@
         raise WorkFailedError(f"rules broken: {broken}")
 
 
-def _print(outcome: Outcome) -> None:
+def _print(outcome: RunOutcome) -> None:
     rows = [tuple(getattr(row, name) for name in row.__struct_fields__) for row in outcome.rows]
     out.print(
         table(
@@ -417,7 +417,7 @@
     out.print(f"records and logs: {outcome.folder}", markup=False)
 
 
-def _print_verdict(outcome: Outcome) -> None:
+def _print_verdict(outcome: RunOutcome) -> None:
     verdict, service = outcome.verdict, outcome.verdict.service
     out.print(
         f"service {service.whole:.3f} whole, {service.worst_window:.3f} worst 10 s (from "
--- a/plumwall/cli/scenario.py
+++ b/plumwall/cli/scenario.py
@@ -88,9 +88,9 @@
       plumwall scenario draw zone-lost --seed 3
       plumwall scenario draw zone-lost --seed 3 --all > day.jsonl
     """
-    from plumwall.world.drawn import Drawn  # numpy is needed here alone
+    from plumwall.world.generator import GeneratedWorld  # numpy is needed here alone
 
-    day = Drawn(found(name), seed)
+    day = GeneratedWorld(found(name), seed)
     if all_:
         for line in day.lines():
             click.echo(line)
--- a/plumwall/cli/servers.py
+++ b/plumwall/cli/servers.py
@@ -17,7 +17,7 @@
     waiting,
 )
 from yewstage.net.config import Address
-from yewstage.registry.client import Client, SilentError, Told
+from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 from yewstage.registry.config import NAME
 
 TRIES = 2  # of each address; repeating any of these calls is harmless
@@ -52,8 +52,8 @@
 ) -> dict[str, object]:
     """One call, repeated while nobody answers or nobody leads; fails with what the service said."""
 
-    async def call() -> Told:
-        client = Client(at)
+    async def call() -> ServiceReply:
+        client = ServiceClient(at)
         try:
             with waiting("asking the list service", quiet) as say:
                 for left in reversed(range(TRIES * len(at))):
@@ -62,18 +62,18 @@
                         if told.status != 503 or not left:
                             return told
                         say(str(told.body.get("error", "")))  # another one may know better
-                    except SilentError as error:
+                    except NoAnswerError as error:
                         say(f"no answer: {error}")
                         if not left:
                             raise
-                    await asyncio.sleep(client.rest_s())
+                    await asyncio.sleep(client.backoff_s())
         finally:
             client.close()
         raise AssertionError("unreachable: the last try answers or raises")
 
     try:
         told = asyncio.run(call())
-    except SilentError as error:
+    except NoAnswerError as error:
         raise WorkFailedError(f"no answer from the list service: {error}") from None
     if told.status != 200:
         raise WorkFailedError(f"{told.status}: {told.body.get('error', 'no reason given')}")
--- a/plumwall/cli/torture.py
+++ b/plumwall/cli/torture.py
@@ -54,7 +54,7 @@
             spent = asyncio.run(SharesTorture(read, out or Path(folder), seed, say).play(rounds))
             return tell_shares(plan, seed, read, spent, time.monotonic() - began, json_)
         drawn = work.draw(read, rounds, seed)
-        outcome = asyncio.run(work.torture(read, drawn, out or Path(folder), say))
+        outcome = asyncio.run(work.run_torture(read, drawn, out or Path(folder), say))
     fields(
         {
             "plan": plan,
--- a/plumwall/emulator/backing.py
+++ b/plumwall/emulator/backing.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from plumwall import records as r
-from plumwall.emulator.door import Door, Slot, respond
+from plumwall.emulator.listening_socket import ListeningSocket, Slot, respond
 from plumwall.world.counter import Counter
 from plumwall.world.directory import DRAINING, GONE, READY, Agent, Directory, Entry
-from plumwall.world.drawn import Change, Drawn, GatewaySpec, between
+from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld, draw_between
 
 COUNT = "/v1/count/"
 LIST = "/v1/endpoints"
@@ -29,17 +29,20 @@
 
     def __init__(
         self,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         loop: asyncio.AbstractEventLoop,
         write: Callable[[r.Record], None],
         address: Callable[[GatewaySpec], str],
         now: Callable[[], float],
     ) -> None:
-        figures, rng = drawn.scenario.counter, drawn.dice.stream("counter")
+        figures, rng = drawn.scenario.counter, drawn.random_streams.stream("counter")
         self._drawn, self._loop, self._write, self._now, self._address = drawn, loop, write, now, address
         self._zone = drawn.scenario.fleet.zones[0]  # where it stands
         self.model = Counter(
-            between(rng, figures.calls_per_s), figures.parts, between(rng, figures.call_ms), figures.queue_ms
+            draw_between(rng, figures.calls_per_s),
+            figures.parts,
+            draw_between(rng, figures.call_ms),
+            figures.queue_ms,
         )
         self.doors = {g.name: self._door(g) for g in drawn.gateways}
         self._cut: frozenset[str] = frozenset()
@@ -50,7 +53,7 @@
         for door in self.doors.values():
             door.open()
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """What the fault plan says of it."""
         if change.kind == "counter_down":
             self.model.fail()
@@ -86,8 +89,10 @@
         for door in self.doors.values():
             door.close()
 
-    def _door(self, gateway: GatewaySpec) -> Door:
-        return Door(self._loop, self._address(gateway), lambda slot: self._asked(slot, gateway.name))
+    def _door(self, gateway: GatewaySpec) -> ListeningSocket:
+        return ListeningSocket(
+            self._loop, self._address(gateway), lambda slot: self._asked(slot, gateway.name)
+        )
 
     def _silence(self, names: frozenset[str]) -> None:
         for name in names:
@@ -171,8 +176,8 @@
             timer.cancel()
         self.door.close()
 
-    def _door(self) -> Door:
-        return Door(self._loop, self._host, self._asked, gone=self._unwatch)
+    def _door(self) -> ListeningSocket:
+        return ListeningSocket(self._loop, self._host, self._asked, gone=self._unwatch)
 
     def _asked(self, slot: Slot) -> None:
         path, _, query = slot.message.url.decode("latin-1").partition("?")
@@ -186,7 +191,7 @@
         except ValueError:
             slot.answer(respond(400))
             return
-        news = self.agent.news(after)
+        news = self.agent.changes_since(after)
         if news is None or news or not wait:
             self._answer(slot, after)
             return
@@ -194,7 +199,7 @@
         self._watches[slot] = after, timer
 
     def _answer(self, slot: Slot, after: int | None) -> None:
-        news = self.agent.news(after)
+        news = self.agent.changes_since(after)
         told = list(self.agent.entries.values()) if news is None else news
         slot.answer(
             respond(
@@ -232,7 +237,7 @@
 
     def __init__(
         self,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         loop: asyncio.AbstractEventLoop,
         write: Callable[[r.Record], None],
         address: Callable[[GatewaySpec], str],
@@ -243,7 +248,7 @@
         self.counter = CounterDesk(drawn, loop, write, address, self.now)
         self._address = address
         self.agents: dict[str, AgentDesk] = {}
-        self._directory = Directory(drawn.scenario.listing, drawn.dice.stream("directory"))
+        self._directory = Directory(drawn.scenario.listing, drawn.random_streams.stream("directory"))
         self._specs = {server.name: server for server in drawn.servers}
         self._started: dict[str, float] = {}  # Unix time of each server's present life
 
@@ -280,7 +285,7 @@
         """The load begins at a time."""
         self.t0, self.counter.begun = t0, True
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """Carry out what the fault plan says of the list and the counter."""
         self.counter.change(change)
         if change.kind == "list_late":
@@ -313,7 +318,7 @@
         for desk in self.agents.values():
             desk.close()
 
-    def _news(self, change: Change, what: str, lifecycle: str) -> None:
+    def _news(self, change: FaultEvent, what: str, lifecycle: str) -> None:
         """Word of a server's life is on its way to every agent; it says which life it is of."""
         if lifecycle == READY:
             self._started[change.target] = round(time.time() * 1000, 3)
--- a/plumwall/emulator/clients.py
+++ b/plumwall/emulator/clients.py
@@ -18,16 +18,16 @@
 from plumwall.emulator.identity import request_id
 from plumwall.emulator.process import is_ready
 from plumwall.emulator.tally import Tally
-from plumwall.world.drawn import Change, Drawn, FirstTry, between
+from plumwall.world.generator import FaultEvent, FirstTry, GeneratedWorld, draw_between
 
-LOOK_S = 0.1  # spacing of the front's look whether a gateway that was down is ready again
+HEALTH_POLL_S = 0.1  # spacing of the front's look whether a gateway that was down is ready again
 DIAL_S = 1.0
 AHEAD_S = 0.002  # the loop's timers know no less
 LONGEST_SLEEP_MS = 50.0  # retries may come to be due meanwhile
 LONGEST = 4096  # of an answer's body that is looked at
 
 
-class Pending:
+class PendingTry:
     """A try on its way."""
 
     __slots__ = ("first", "number", "id", "gateway", "due", "fresh", "line", "timer", "over", "late")
@@ -45,14 +45,14 @@
     def __init__(self, target: Target) -> None:
         self._target = target
         self._parser = httptools.HttpResponseParser(self)
-        self.pending: Pending | None = None
+        self.pending: PendingTry | None = None
         self.closed = False
         self._begin()
 
     def _begin(self) -> None:
         self._body, self._retry, self._any = b"", 0.0, False
 
-    def send(self, pending: Pending, data: bytes) -> None:
+    def send(self, pending: PendingTry, data: bytes) -> None:
         """Write a request."""
         self.pending = pending
         self._begin()
@@ -75,13 +75,13 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._end(r.CUT)
+            self._end(r.TRUNCATED)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
         self._target.lost(self)
         if self.pending is not None:
-            self._end(r.CUT if self._any else r.CLOSED)
+            self._end(r.TRUNCATED if self._any else r.CLOSED)
 
     # httptools
 
@@ -124,7 +124,7 @@
 class Target:
     """A gateway as the front sees it: whether it sends there, and its connections."""
 
-    def __init__(self, front: Front, name: str, address: str) -> None:
+    def __init__(self, front: LoadGenerator, name: str, address: str) -> None:
         self._front, self.name = front, name
         host, _, port = address.rpartition(":")
         self._address = host, int(port)
@@ -133,7 +133,7 @@
         self._lines: set[Line] = set()
         self._dialling: set[asyncio.Task] = set()
 
-    def send(self, pending: Pending) -> None:
+    def send(self, pending: PendingTry) -> None:
         """Send a try on an idle connection, or on a new one."""
         while self._idle:
             line = self._idle.pop()
@@ -142,14 +142,14 @@
                 return
         self.send_afresh(pending)
 
-    def send_afresh(self, pending: Pending) -> None:
+    def send_afresh(self, pending: PendingTry) -> None:
         """On a new connection."""
         pending.fresh = True
         task = self._front.loop.create_task(self._dial(pending))
         self._dialling.add(task)
         task.add_done_callback(self._dialling.discard)
 
-    async def _dial(self, pending: Pending) -> None:
+    async def _dial(self, pending: PendingTry) -> None:
         try:
             async with asyncio.timeout(DIAL_S):
                 _, line = await self._front.loop.create_connection(lambda: Line(self), *self._address)
@@ -162,12 +162,12 @@
         else:
             self._write(line, pending)
 
-    def _write(self, line: Line, pending: Pending) -> None:
+    def _write(self, line: Line, pending: PendingTry) -> None:
         pending.line = line
         left = pending.due + pending.first.try_ms - self._front.now()
         if left < 1:
             self.idle(line)
-            self._front.ended(pending, r.UNTOLD, 0, 0.0)
+            self._front.ended(pending, r.NOT_SENT, 0, 0.0)
             return
         line.send(pending, self._front.bytes_of(pending, left))
         self._front.sent(pending, left)
@@ -188,11 +188,11 @@
         self._front.spoke_unasked(self.name)
         line.drop()
 
-    def made_by_server(self, pending: Pending, body: bytes) -> bool:
+    def made_by_server(self, pending: PendingTry, body: bytes) -> bool:
         """Whether a body is what one of our servers made for this request."""
         return not self._front.known_servers or body.startswith(b'{"id":"%b"' % pending.id.encode())
 
-    def ended(self, pending: Pending, how: str, status: int, retry_s: float) -> None:
+    def ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
         """A try has come to its end here. A kept connection may have been closed as we wrote: once more."""
         if how == r.CLOSED and not pending.fresh:
             self._front.resend(pending)
@@ -215,12 +215,12 @@
             return False
 
 
-class Front:
+class LoadGenerator:
     """Sends each try when it is due to one of its customer's gateways, and retries as clients do."""
 
     def __init__(
         self,
-        drawn: Drawn,
+        world: GeneratedWorld,
         loop: asyncio.AbstractEventLoop,
         write: Callable[[r.Record], None],
         gateways: Mapping[str, str],
@@ -229,20 +229,22 @@
         overdue_ms: float = 550.0,
         known_servers: bool = True,
     ) -> None:
-        self.drawn, self.loop, self._write, self._overdue_ms = drawn, loop, write, overdue_ms
+        self.world, self.loop, self._write, self._overdue_ms = world, loop, write, overdue_ms
         self.t0 = 0.0
         self.tally = Tally(
-            [c.name for c in drawn.scenario.classes], [drawn.plans[c.plan].name for c in drawn.customers]
+            [c.name for c in world.scenario.classes], [world.plans[c.plan].name for c in world.customers]
         )
         self.known_servers = known_servers  # their answers name the request
-        self._names = [g.name for g in drawn.gateways]
+        self._names = [g.name for g in world.gateways]
         self.targets = {name: Target(self, name, gateways[name]) for name in self._names}
-        self._todo: deque[FirstTry] = deque(t for t in drawn.tries if t.index % shards == shard)
+        self._todo: deque[FirstTry] = deque(t for t in world.tries if t.index % shards == shard)
         self._retries: list[tuple[float, int, int, FirstTry]] = []
         self.open = 0
-        self._salt = drawn.seed
-        self._notice_ms = between(drawn.dice.stream("notice"), drawn.scenario.clients.notice_s) * 1000
-        self._heads = [self._head(i) for i in range(len(drawn.scenario.classes))]
+        self._salt = world.seed
+        self._notice_ms = (
+            draw_between(world.random_streams.stream("notice"), world.scenario.clients.notice_s) * 1000
+        )
+        self._heads = [self._head(i) for i in range(len(world.scenario.classes))]
         self._watching: set[asyncio.Task] = set()
         self.over = asyncio.Event()
 
@@ -254,7 +256,7 @@
         """Ask from now on."""
         self._turn()
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The front finds out late that a gateway is gone, and by its word that it is back."""
         if change.kind not in ("gateway_kill", "gateway_restart"):
             return
@@ -292,37 +294,37 @@
         self.loop.call_later(max(AHEAD_S, (following - now) / 1000), self._turn)
 
     def _send(self, first: FirstTry, number: int, due: float) -> None:
-        gateway = self.drawn.gateway_of(first, number, due)
+        gateway = self.world.gateway_of(first, number, due)
         names = self._names
-        width = self.drawn.customers[first.customer].width
-        begins = self.drawn.customers[first.customer].first
+        width = self.world.customers[first.customer].width
+        begins = self.world.customers[first.customer].first
         if not self.targets[names[gateway]].up:  # another of its set, the next one round
             ring = [(gateway + step) % len(names) for step in range(1, len(names))]
             ring = [g for g in ring if (g - begins) % len(names) < width and self.targets[names[g]].up]
             gateway = ring[0] if ring else gateway
-        pending = Pending(
+        pending = PendingTry(
             first, number, request_id(first.index, number, gateway, self._salt), names[gateway], due
         )
         self.open += 1
         self.tally.offered(due, self.now())
         self.targets[pending.gateway].send(pending)
 
-    def bytes_of(self, pending: Pending, left_ms: float) -> bytes:
+    def bytes_of(self, pending: PendingTry, left_ms: float) -> bytes:
         """The request on the wire."""
         first = pending.first
-        customer = self.drawn.customers[first.customer]
+        customer = self.world.customers[first.customer]
         method, cls, tail = self._heads[first.cls]
         retry = "X-Retry: 1\r\n" if pending.number else ""
         key = f"Idempotency-Key: {first.index:016x}\r\n" if cls.effect == "keyed" else ""
         return (
             f"{method} /api/{customer.id}?work_ms={first.work_ms} HTTP/1.1\r\nHost: origin.svc\r\n"
             f"X-Request-Id: {pending.id}\r\nX-Class: {cls.name}\r\n"
-            f"Plan: {self.drawn.plans[customer.plan].name}\r\nX-Deadline: {left_ms:.0f}m\r\n"
+            f"Plan: {self.world.plans[customer.plan].name}\r\nX-Deadline: {left_ms:.0f}m\r\n"
             f"Quota-Info: units={first.guess},spread={customer.width},first={customer.first}\r\n"
             f"{key}{retry}{tail}"
         ).encode()
 
-    def sent(self, pending: Pending, left_ms: float) -> None:
+    def sent(self, pending: PendingTry, left_ms: float) -> None:
         """Its last byte is written."""
         now = self.now()
         self._write(
@@ -345,7 +347,7 @@
         else:
             pending.timer = self.loop.call_later(left_ms / 1000, self._late, pending)
 
-    def resend(self, pending: Pending) -> None:
+    def resend(self, pending: PendingTry) -> None:
         """The gateway closed a kept connection as we wrote on it: once more, on a new one."""
         if pending.over or pending.late:
             self.ended(pending, r.CLOSED, 0, 0.0)
@@ -358,23 +360,23 @@
 
     # --- Ends ---------------------------------------------------------------------------------------------
 
-    def _leave(self, pending: Pending) -> None:
+    def _leave(self, pending: PendingTry) -> None:
         pending.line.pending = None
         pending.line.drop()
         self.ended(pending, r.LEFT, 0, 0.0)
 
-    def _late(self, pending: Pending) -> None:
+    def _late(self, pending: PendingTry) -> None:
         """Its time is up. Whether an answer still comes is listened for a while; its client goes on."""
         pending.late = True
         self._retry(pending, 0.0)
         pending.timer = self.loop.call_later(self._overdue_ms / 1000, self._overdue, pending)
 
-    def _overdue(self, pending: Pending) -> None:
+    def _overdue(self, pending: PendingTry) -> None:
         pending.line.pending = None
         pending.line.drop()
         self.ended(pending, r.TIMED_OUT, 0, 0.0)
 
-    def ended(self, pending: Pending, how: str, status: int, retry_s: float) -> None:
+    def ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
         """A try is over."""
         if pending.over:
             return
@@ -386,15 +388,17 @@
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
         self.tally.ended(pending, how, status, now)
         if not pending.late and how != r.LEFT and not (how == r.WHOLE and status == 200):
-            self._retry(pending, retry_s * 1000, refused=status in (429, 503) or how in (r.REFUSED, r.UNTOLD))
+            self._retry(
+                pending, retry_s * 1000, refused=status in (429, 503) or how in (r.REFUSED, r.NOT_SENT)
+            )
 
-    def _retry(self, pending: Pending, retry_ms: float, refused: bool = False) -> None:
+    def _retry(self, pending: PendingTry, retry_ms: float, refused: bool = False) -> None:
         """A client asks again: after what was refused always, after what failed if that does no harm."""
-        first, clients = pending.first, self.drawn.scenario.clients
-        cls = self.drawn.scenario.classes[first.cls]
+        first, clients = pending.first, self.world.scenario.clients
+        cls = self.world.scenario.classes[first.cls]
         if pending.number >= clients.retries or not (refused or cls.effect != "unsafe"):
             return
-        backoff = between_luck(clients.backoff_ms, first.backoff_luck[pending.number]) * 2**pending.number
+        backoff = interpolate(clients.backoff_ms, first.backoff_luck[pending.number]) * 2**pending.number
         wait = max(backoff, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
         at = self.now() + wait
         if at < first.due_ms + cls.deadline_ms:
@@ -404,16 +408,16 @@
         await asyncio.sleep(after_s)
         target.up = await target.ready()
         while not target.up:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(HEALTH_POLL_S)
             target.up = await target.ready()
 
     def _head(self, cls: int) -> tuple[str, object, str]:
-        made = self.drawn.scenario.classes[cls]
+        made = self.world.scenario.classes[cls]
         if made.effect == "safe":
             return "GET", made, "\r\n"
         return "POST", made, "Content-Length: 2\r\n\r\n{}"
 
 
-def between_luck(span: object, luck: float) -> float:
+def interpolate(span: object, luck: float) -> float:
     """A number of a span, by a luck drawn ahead."""
     return span.least + (span.most - span.least) * luck
--- a/plumwall/emulator/fleet.py
+++ b/plumwall/emulator/fleet.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from plumwall.emulator.process import cpu_s, end, is_ready, kill, limits, resident_mb, spawn
-from plumwall.world.drawn import Drawn, GatewaySpec
+from plumwall.world.generator import GatewaySpec, GeneratedWorld
 
 READY_S = 20.0
 LOOK_S = 0.02
@@ -51,7 +51,7 @@
     def __init__(
         self,
         spec: GatewaySpec,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         root: Path,
         command: str,
         folder: Path,
@@ -159,7 +159,7 @@
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGHUP)
 
-    async def figures(self) -> dict[str, float]:
+    async def metrics(self) -> dict[str, float]:
         """What its operators' address says; empty if it says nothing in time."""
         host, _, port = self.ops.rpartition(":")
         try:
@@ -210,7 +210,7 @@
         fleet = self._drawn.scenario.fleet
         known = self._folder / f"known-{self.spec.name}.json"
         listing = msgspec.json.decode(known.read_bytes()) if known.exists() else None
-        seed = int(self._drawn.dice.stream("gateway", self.spec.name, self.lives).integers(2**63))
+        seed = int(self._drawn.random_streams.stream("gateway", self.spec.name, self.lives).integers(2**63))
         raw = {
             "name": self.spec.name,
             "listen": self.listen,
--- a/plumwall/emulator/hosts.py
+++ b/plumwall/emulator/hosts.py
@@ -11,11 +11,11 @@
 import numpy as np
 
 from plumwall import records as r
-from plumwall.emulator.door import Door, Incoming, Slot, respond
 from plumwall.emulator.identity import gateway_of
+from plumwall.emulator.listening_socket import Incoming, ListeningSocket, Slot, respond
 from plumwall.emulator.registrar import Registrar
-from plumwall.world.drawn import Change, Drawn, GatewaySpec, ServerSpec
-from plumwall.world.server import ERROR, SERVED, Job, Pod, Server
+from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld, ServerSpec
+from plumwall.world.server import ERROR, SERVED, DeduplicationGroup, Job, Server
 from yewstage.net.config import Address
 
 IDLE_LOOK_S = 1.0
@@ -28,7 +28,7 @@
     def __init__(
         self,
         spec: ServerSpec,
-        pod: Pod,
+        pod: DeduplicationGroup,
         run: HostsOf,
         gateways: Sequence[GatewaySpec],
         rng: np.random.Generator,
@@ -41,10 +41,10 @@
         self._ways = {g.name: run.way_ms(g, spec) for g in gateways}
         self._cut: frozenset[str] = frozenset()
 
-    def _own_doors(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, Door]:
+    def _own_doors(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, ListeningSocket]:
         """An address for each gateway: whose call it is, is known before it says a word."""
         return {
-            g.name: Door(
+            g.name: ListeningSocket(
                 run.loop,
                 run.address(g),
                 self._asker(g.name),
@@ -55,9 +55,9 @@
             for g in gateways
         }
 
-    def _shared_door(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, Door]:
+    def _shared_door(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, ListeningSocket]:
         """One address for all, as a list that all share tells it: the request's id says whose it is."""
-        door = Door(
+        door = ListeningSocket(
             run.loop,
             run.address(gateways[0]),
             self._asked_by_any,
@@ -182,12 +182,12 @@
         self._open[slot] = job
         job.done = (slot, gateway)
         connections = sum(len(door.lines) for door in set(self.doors.values()))
-        was_standing = not model.fallen
+        was_standing = not model.has_collapsed
         if connections > self.spec.connections:
             result = "full"
         else:
             result = model.offer(now, job)
-        if model.fallen and was_standing:
+        if model.has_collapsed and was_standing:
             self._run.write(r.ServerIs(now, self.spec.name, "fallen"))
         if result != SERVED:
             job.result = result
@@ -281,7 +281,7 @@
 
     def __init__(
         self,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         loop: asyncio.AbstractEventLoop,
         write: Callable[[r.Record], None],
         shard: int,
@@ -294,18 +294,18 @@
         self.t0 = 0.0  # when the load begins, milliseconds
         self.windows = {c.name: c.window_ms for c in drawn.scenario.classes}
         self._units = [first.units for first in drawn.tries]
-        self._lost, self._luck = 0.0, drawn.dice.stream("lost", shard)
-        network, rng = drawn.scenario.network, drawn.dice.stream("network")
+        self._lost, self._luck = 0.0, drawn.random_streams.stream("lost", shard)
+        network, rng = drawn.scenario.network, drawn.random_streams.stream("network")
         self._same = float(rng.uniform(network.same_ms.least, network.same_ms.most))
         self._cross = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
-        pods: dict[int, Pod] = {}
+        pods: dict[int, DeduplicationGroup] = {}
         self.hosts = {
             spec.name: Host(
                 spec,
-                pods.setdefault(spec.cell, Pod()),
+                pods.setdefault(spec.cell, DeduplicationGroup()),
                 self,
                 drawn.gateways,
-                drawn.dice.stream("server", spec.name),
+                drawn.random_streams.stream("server", spec.name),
             )
             for spec in drawn.servers
             if spec.cell % shards == shard
@@ -350,7 +350,7 @@
             for g in self.drawn.gateways
         }
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """Carry out what the fault plan says, where it concerns a server of ours."""
         if change.kind == "answers_lost":
             self._lost = change.size
@@ -385,7 +385,7 @@
         elif kind == "server_stop":
             self._registrar.left(host.spec.name)
 
-    def _change_host(self, host: Host, change: Change) -> None:
+    def _change_host(self, host: Host, change: FaultEvent) -> None:
         if change.kind == "server_crash":
             host.crash()
         elif change.kind == "server_stop":
--- a/plumwall/emulator/door.py
+++ b/plumwall/emulator/listening_socket.py
@@ -57,7 +57,7 @@
 class Incoming(asyncio.Protocol):
     """One accepted connection: requests in, answers in their order."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: ListeningSocket) -> None:
         self._door = door
         self._parser = httptools.HttpRequestParser(self)
         self._message: Message | None = None
@@ -137,7 +137,7 @@
         self._door.asked(slot)
 
 
-class Door:
+class ListeningSocket:
     """One address at which one other party may call. Closed at first: it refuses."""
 
     def __init__(
--- a/plumwall/emulator/listservice.py
+++ b/plumwall/emulator/listservice.py
@@ -10,7 +10,7 @@
 from plumwall.emulator.fleet import StartError, free_port
 from plumwall.emulator.process import end, kill, spawn_module
 from plumwall.faults.machines import HOST, Machines
-from plumwall.world.drawn import HOLDING_MACHINES
+from plumwall.world.generator import HOLDING_MACHINES
 
 CHECKERS = 2  # one holds the duty, one waits for it
 START_S, END_S, LOOK_S = 10.0, 5.0, 0.02
@@ -98,7 +98,7 @@
             await self._machines.open()
             await self._machines.init(self._machines.all)
             async with asyncio.timeout(START_S):
-                await self._machines.whole()
+                await self._machines.wait_until_replicated()
         except (RuntimeError, TimeoutError) as error:
             raise StartError(f"the holding did not start: {error}") from None
         return self._addresses()
--- a/plumwall/emulator/process.py
+++ b/plumwall/emulator/process.py
@@ -115,7 +115,7 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Lines:
+class JsonLinesWorker:
     """A worker that takes and gives JSON lines."""
 
     def __init__(
--- a/plumwall/emulator/registrar.py
+++ b/plumwall/emulator/registrar.py
@@ -8,9 +8,9 @@
 
 from plumwall import records as r
 from plumwall.world.directory import DRAINING, GONE, READY
-from plumwall.world.drawn import ServerSpec
+from plumwall.world.generator import ServerSpec
 from yewstage.net.config import Address
-from yewstage.registry.client import Client, SilentError
+from yewstage.registry.client import NoAnswerError, ServiceClient
 
 TTL_MS = 3000.0
 RENEW_S = TTL_MS / 3000
@@ -27,7 +27,7 @@
         write: Callable[[r.Record], None],
         now: Callable[[], float],
     ) -> None:
-        self._client, self._gateways, self._write, self._now = Client(at), gateways, write, now
+        self._client, self._gateways, self._write, self._now = ServiceClient(at), gateways, write, now
         self._here: dict[str, tuple[ServerSpec, str, float]] = {}  # spec, address, start
         self._news: dict[str, int] = {}  # by server, how much has become of it
         self._tasks: set[asyncio.Task] = set()
@@ -113,7 +113,7 @@
         """One call; whether it was done. A service that is silent is asked again at the next renewal."""
         try:
             told = await self._client.call(method, path, body)
-        except SilentError:
+        except NoAnswerError:
             self.failures += 1
             return False
         return told.status == 200
--- a/plumwall/emulator/run.py
+++ b/plumwall/emulator/run.py
@@ -17,11 +17,11 @@
 from plumwall.emulator.identity import host_of
 from plumwall.emulator.listservice import HeldList, ListService
 from plumwall.emulator.metrics import Exporter
-from plumwall.emulator.process import ROOT, Lines, raise_descriptors, spawn_module
+from plumwall.emulator.process import ROOT, JsonLinesWorker, raise_descriptors, spawn_module
 from plumwall.emulator.tally import Row, Second, Tally
 from plumwall.emulator.timing import not_before
 from plumwall.judge import Judge, Verdict
-from plumwall.world.drawn import Change, Drawn
+from plumwall.world.generator import FaultEvent, GeneratedWorld
 
 DEPLOY = ROOT / "deploy" / "balancer.toml"
 LEAD_S = 0.5  # from the last word to all workers to the beginning of the load
@@ -44,17 +44,17 @@
     gateways: list[str] = []  # addresses of gateways that are up already: only the load is played
 
 
-class Look(Struct):
+class RunStatus(Struct):
     """The state of a run, for who watches it."""
 
     at_s: float
     gateways: dict[str, Second]
     states: dict[str, str]
-    figures: dict[str, dict[str, float]]
+    metrics: dict[str, dict[str, float]]
     fault: str
 
 
-class Outcome(Struct):
+class RunOutcome(Struct):
     """What a run came to."""
 
     verdict: Verdict | None  # none where only the load was ours
@@ -78,13 +78,13 @@
         self,
         options: Options,
         say: Callable[[str], None] = lambda text: None,
-        look: Callable[[Look], None] = lambda seen: None,
+        look: Callable[[RunStatus], None] = lambda seen: None,
         exporter: Exporter | None = None,
     ) -> None:
         self.options, self._say, self._look = options, say, look
         self._exporter = exporter or Exporter()
         self.scenario = options.scenario
-        self.drawn = Drawn(self.scenario, options.seed)
+        self.drawn = GeneratedWorld(self.scenario, options.seed)
         self.folder = options.folder
         self.t0 = 0.0
         self._network = (
@@ -94,7 +94,7 @@
             [c.name for c in self.scenario.classes],
             [self.drawn.plans[c.plan].name for c in self.drawn.customers],
         )
-        self._workers: dict[str, Lines] = {}
+        self._workers: dict[str, JsonLinesWorker] = {}
         self._answers: dict[str, asyncio.Future] = {}
         self.gateways: dict[str, Gateway] = {}
         self.registry: ListService | HeldList | None = None
@@ -107,7 +107,7 @@
         self._done = asyncio.Event()
         self._failure = ""
 
-    async def play(self) -> Outcome:
+    async def play(self) -> RunOutcome:
         """All of it. Whatever happens, nothing that was started stays."""
         try:
             await self.set_up()
@@ -119,7 +119,7 @@
             self._say("judging the run")
         return self.judge()
 
-    async def hold(self) -> None:
+    async def serve_until_cancelled(self) -> None:
         """The world and its gateways without a load, until cancelled."""
         try:
             await self.set_up()
@@ -184,14 +184,14 @@
                 self._writer.flush()
                 self._file.close()
 
-    def judge(self) -> Outcome:
+    def judge(self) -> RunOutcome:
         """The verdict, from the records of all processes; also kept in the run's folder."""
         verdict = None
         if not self.options.gateways:
             files = [*sorted(self.folder.glob("*-[0-9]*.jsonl")), self.folder / "run.jsonl"]
-            verdict = Judge(self.drawn, r.read(files)).verdict()
+            verdict = Judge(self.drawn, r.read_records(files)).verdict()
         seconds = max(self.tally.last_offered_ms / 1000, 1e-3)
-        outcome = Outcome(
+        outcome = RunOutcome(
             verdict,
             self.tally.rows(),
             self.tally.void(),
@@ -248,7 +248,9 @@
             limit=LINE,
         )
         name = f"{role}-{shard}"
-        worker = Lines(process, lambda line: self._heard(name, line), lambda code: self._lost(name, code))
+        worker = JsonLinesWorker(
+            process, lambda line: self._heard(name, line), lambda code: self._lost(name, code)
+        )
         self._workers[name] = worker
         worker.tell(
             {
@@ -333,7 +335,7 @@
     def _now(self) -> float:
         return time.monotonic() * 1000 - self.t0
 
-    def _change(self, change: Change) -> None:
+    def _change(self, change: FaultEvent) -> None:
         """Carry out what the fault plan says of gateways, and note all that it says."""
         self._writer.write(r.Fault(self._now(), change.kind, change.target, change.size))
         self._exporter.fault(change.kind)
@@ -377,7 +379,7 @@
             await asyncio.sleep(1.0)
             figures = await self._figures()
             self._look(
-                Look(
+                RunStatus(
                     self._now() / 1000,
                     dict(self._seconds),
                     dict(self._states),
@@ -388,7 +390,7 @@
 
     async def _figures(self) -> dict[str, dict[str, float]]:
         """What each gateway's operators' address says; refusals are kept, since they end with its life."""
-        told = await asyncio.gather(*(gateway.figures() for gateway in self.gateways.values()))
+        told = await asyncio.gather(*(gateway.metrics() for gateway in self.gateways.values()))
         for gateway, figures in zip(self.gateways.values(), told, strict=True):
             refusals = {
                 name.split('"')[1]: value for name, value in figures.items() if name.startswith(REFUSALS)
--- a/plumwall/emulator/worker.py
+++ b/plumwall/emulator/worker.py
@@ -19,11 +19,11 @@
 from plumwall import records as r
 from plumwall import scenario as scenarios
 from plumwall.emulator.backing import Backing
-from plumwall.emulator.clients import Front
+from plumwall.emulator.clients import LoadGenerator
 from plumwall.emulator.hosts import HostsOf
 from plumwall.emulator.identity import host_of
 from plumwall.emulator.timing import not_before
-from plumwall.world.drawn import Change, Drawn, GatewaySpec
+from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld
 from yewstage.net.config import Address, address
 
 TICK_S = 1.0
@@ -48,7 +48,7 @@
 
     def __init__(self, orders: Orders, loop: asyncio.AbstractEventLoop) -> None:
         self.orders, self.loop = orders, loop
-        self.drawn = Drawn(scenarios.decode_json(orders.scenario), orders.seed)
+        self.drawn = GeneratedWorld(scenarios.decode_json(orders.scenario), orders.seed)
         self.folder = Path(orders.folder)
         self._file = (self.folder / f"{orders.role}-{orders.shard}.jsonl").open("wb")
         self.writer = r.Writer(self._file)
@@ -111,7 +111,7 @@
     async def _register(self, at: list[Address]) -> None:
         self._worker.say(registered=await self._hosts.register(at))
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The fault plan."""
         self._hosts.change(change)
 
@@ -136,7 +136,7 @@
             name = line["move"]
             self._worker.say(**{f"moved {name}": self._backing.move(name)})
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The fault plan."""
         self._backing.change(change)
 
@@ -150,14 +150,14 @@
 
     def __init__(self, worker: Worker) -> None:
         self._worker = worker
-        self._front: Front | None = None
+        self._front: LoadGenerator | None = None
         worker.say(clients=True)
 
     def told(self, line: dict[str, object]) -> None:
         """Where gateways are; when the load begins."""
         worker, rules = self._worker, self._worker.drawn.scenario.rules
         if "gateways" in line:
-            self._front = Front(
+            self._front = LoadGenerator(
                 worker.drawn,
                 worker.loop,
                 worker.writer.write,
@@ -172,7 +172,7 @@
             gc.freeze()
             worker.loop.call_later(max(0.0, line["go"] - time.monotonic() * 1000) / 1000, self._begin)
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The fault plan."""
         if not self._worker.orders.bare:
             self._front.change(change)
--- a/plumwall/faults/fleet.py
+++ b/plumwall/faults/fleet.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 from plumwall.faults.gateways import GatewayProcess, listed
-from plumwall.faults.links import DatagramStandIn
+from plumwall.faults.links import UdpFaultProxy
 from plumwall.faults.machines import HOST, ZONES
-from yewstage.registry.client import ask_once
+from yewstage.registry.client import get_once
 
 LOOK_S = 0.02
 STATUS_S = 1.0
@@ -32,7 +32,7 @@
         self.keys, self._period_ms, self._rng = keys, period_ms, random.Random(seed)
         self.names = [f"g{i}" for i in range(size)]
         self.zone = {name: ZONES[i % len(ZONES)] for i, name in enumerate(self.names)}
-        self.links: dict[tuple[str, str], DatagramStandIn] = {}
+        self.links: dict[tuple[str, str], UdpFaultProxy] = {}
         settings = SETTINGS | {"fleet_size": size}
         raw = {
             "discovery": f"{HOST}:1",
@@ -47,7 +47,7 @@
         for one in self.names:
             for other in self.names:
                 if one != other:
-                    link = self.links[one, other] = DatagramStandIn((HOST, 1), self._rng)
+                    link = self.links[one, other] = UdpFaultProxy((HOST, 1), self._rng)
                     await link.start(HOST)
         await asyncio.gather(*(self.start(name) for name in self.names))
         return self
@@ -100,7 +100,7 @@
         for one in from_:
             for other in to:
                 if one != other:
-                    self.links[one, other].there.lost = 1.0
+                    self.links[one, other].forward.lost = 1.0
 
     def split(self, part: Iterable[str]) -> None:
         """A part hears nothing of the rest, nor the rest of it."""
@@ -112,7 +112,7 @@
     def lose(self, share: float) -> None:
         """Each datagram is lost by itself."""
         for link in self.links.values():
-            link.there.lost = share
+            link.forward.lost = share
 
     def heal(self) -> None:
         """All links are as new."""
@@ -123,7 +123,7 @@
 
     async def status(self, name: str) -> dict[str, object]:
         """What one says; nothing where it does not answer."""
-        return await ask_once((HOST, self.gateways[name].ops), "/ops/members", STATUS_S)
+        return await get_once((HOST, self.gateways[name].ops), "/ops/members", STATUS_S)
 
     async def states(self, name: str) -> dict[str, str]:
         """How one sees each."""
--- a/plumwall/faults/keyed.py
+++ b/plumwall/faults/keyed.py
@@ -102,7 +102,7 @@
         changes = {"gone_ms": plan.gone_ms}
         async with Machines(self._folder, plan.machines, **changes) as machines:
             await machines.init(machines.all, plan.keyed)
-            await machines.whole()
+            await machines.wait_until_replicated()
             try:
                 await self._start_gateways(machines)
                 clients = [asyncio.create_task(self._client(i, rng)) for i, rng in enumerate(self._rngs[1:])]
@@ -153,7 +153,7 @@
         await asyncio.gather(machines.start(machine), gateway.start())
         try:
             async with asyncio.timeout(ROUND_S):
-                await machines.whole()
+                await machines.wait_until_replicated()
         except TimeoutError:
             raise RuntimeError(f"round {number}: not whole after {ROUND_S:.0f} s") from None
         self.outcome.whole_s.append(time.monotonic() - began)
--- a/plumwall/faults/links.py
+++ b/plumwall/faults/links.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Way:
+class Direction:
     """One direction."""
 
     open: asyncio.Event = field(default_factory=asyncio.Event)
@@ -40,12 +40,12 @@
             writer.transport.abort()
 
 
-class StandIn:
+class TcpFaultProxy:
     """One link, from whoever dials it to its target."""
 
     def __init__(self, target: tuple[str, int] | None = None) -> None:
         self.target = target
-        self.there, self.back = Way(), Way()
+        self.forward, self.backward = Direction(), Direction()
         self.refusing = False
         self.address = ("", 0)
         self._pairs: set[_Pair] = set()
@@ -68,19 +68,22 @@
 
     # --- Faults -------------------------------------------------------------------------------------------
 
-    def cut(self, there: bool = True, back: bool = True) -> None:
+    def cut(self, forward: bool = True, backward: bool = True) -> None:
         """Lose all that goes these ways; connections stay up, as those of a silent network do."""
-        self.there.lossy, self.back.lossy = self.there.lossy or there, self.back.lossy or back
+        self.forward.lossy, self.backward.lossy = (
+            self.forward.lossy or forward,
+            self.backward.lossy or backward,
+        )
 
-    def hold(self, there: bool = True, back: bool = True) -> None:
+    def pause(self, forward: bool = True, backward: bool = True) -> None:
         """Keep what goes these ways until it is let go."""
-        for way, chosen in ((self.there, there), (self.back, back)):
+        for way, chosen in ((self.forward, forward), (self.backward, backward)):
             if chosen:
                 way.open.clear()
 
     def slow(self, delay_s: float, bytes_per_s: float = 0.0) -> None:
         """Both ways take longer."""
-        for way in (self.there, self.back):
+        for way in (self.forward, self.backward):
             way.delay_s, way.bytes_per_s = delay_s, bytes_per_s
 
     def reset(self) -> None:
@@ -96,7 +99,7 @@
     def heal(self) -> None:
         """As new. Connections that lost something end."""
         self.refusing = False
-        for way in (self.there, self.back):
+        for way in (self.forward, self.backward):
             way.lossy, way.delay_s, way.bytes_per_s = False, 0.0, 0.0
             way.open.set()
         for pair in [pair for pair in self._pairs if pair.holed]:
@@ -120,8 +123,8 @@
             self._pairs.add(pair)
             try:
                 await asyncio.gather(
-                    self._carry(reader, far_writer, self.there, pair),
-                    self._carry(far_reader, writer, self.back, pair),
+                    self._carry(reader, far_writer, self.forward, pair),
+                    self._carry(far_reader, writer, self.backward, pair),
                 )
             finally:
                 self._pairs.discard(pair)
@@ -132,7 +135,7 @@
             self._tasks.discard(task)
 
     async def _carry(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way, pair: _Pair
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Direction, pair: _Pair
     ) -> None:
         try:
             while data := await reader.read(READ):
@@ -165,12 +168,12 @@
     dropped: int = 0
 
 
-class DatagramStandIn:
+class UdpFaultProxy:
     """One link for datagrams, from whoever sends to it to its target; answers go back to who sent last."""
 
     def __init__(self, target: tuple[str, int], rng: random.Random) -> None:
         self.target, self._rng = target, rng
-        self.there, self.back = Drops(), Drops()
+        self.forward, self.backward = Drops(), Drops()
         self.address = ("", 0)
         self._from: tuple[str, int] | None = None
         self._near: asyncio.DatagramTransport | None = None
@@ -195,7 +198,7 @@
 
     def heal(self) -> None:
         """As new; what was held goes on, in an order of its own."""
-        for way in (self.there, self.back):
+        for way in (self.forward, self.backward):
             way.lost = way.repeated = way.delay_s = 0.0
             way.holding = False
             held, way.held = way.held, []
@@ -205,10 +208,10 @@
 
     def _came(self, data: bytes, sender: tuple[str, int]) -> None:
         self._from = sender
-        self._take(data, self.there)
+        self._take(data, self.forward)
 
     def _answered(self, data: bytes, sender: tuple[str, int]) -> None:
-        self._take(data, self.back)
+        self._take(data, self.backward)
 
     def _take(self, data: bytes, way: Drops) -> None:
         if self._rng.random() < way.lost:
@@ -224,7 +227,7 @@
                 self._pass(data, way)
 
     def _pass(self, data: bytes, way: Drops) -> None:
-        out, to = (self._far, self.target) if way is self.there else (self._near, self._from)
+        out, to = (self._far, self.target) if way is self.forward else (self._near, self._from)
         if not out.is_closing() and to is not None:
             way.passed += 1
             out.sendto(data, to)
--- a/plumwall/faults/machines.py
+++ b/plumwall/faults/machines.py
@@ -15,11 +15,11 @@
 
 from plumwall.emulator.process import kill, spawn_module
 from plumwall.faults.child import Child
-from plumwall.faults.links import StandIn
-from yewstage.holding.kinds import LIST, PLACES
-from yewstage.holding.members import to_begin
+from plumwall.faults.links import TcpFaultProxy
+from yewstage.holding.group_names import LIST_GROUP, PLACEMENT_GROUP
+from yewstage.holding.member_changes import founder_and_members
 from yewstage.raft.disk import framed
-from yewstage.registry.client import Client, ask_once
+from yewstage.registry.client import ServiceClient, get_once
 
 HOST = "127.0.0.1"
 ZONES = ("a", "b", "c")
@@ -40,7 +40,7 @@
     def __init__(self, name: str, zone: str, folder: Path, changes: dict[str, object]) -> None:
         super().__init__(name)
         self.zone, self.folder, self.changes = zone, folder, changes
-        self.links: dict[str, StandIn] = {}  # to the others, by name
+        self.links: dict[str, TcpFaultProxy] = {}  # to the others, by name
         self.peer = self.listen = self.ops = 0
         self.module = "yewstage.holding"
         # What is worse than it should be, from the next start on.
@@ -152,7 +152,7 @@
         for machine in self.all:
             for other in self.all:
                 if other is not machine:
-                    machine.links[other.name] = StandIn()
+                    machine.links[other.name] = TcpFaultProxy()
                     await machine.links[other.name].start(HOST)
         for machine in self.all:
             await self.start(machine)
@@ -189,25 +189,27 @@
             for link in machine.links.values():
                 link.heal()
 
-    def client(self) -> Client:
+    def client(self) -> ServiceClient:
         """A client that knows them all."""
-        return Client([(HOST, machine.listen) for machine in self.all])
+        return ServiceClient([(HOST, machine.listen) for machine in self.all])
 
     async def status(self, machine: Machine) -> dict[str, object]:
         """What one says of itself; nothing if it does not answer."""
-        return await ask_once((HOST, machine.listen), "/v1/holding/status", STATUS_S)
+        return await get_once((HOST, machine.listen), "/v1/holding/status", STATUS_S)
 
     async def init(self, chosen: list[Machine], keyed: int = 1) -> None:
         """Begin a cluster on these."""
-        first, members = to_begin([await self.status(machine) for machine in chosen], PLACES)
-        client = Client([(HOST, chosen[first].listen)])
+        first, members = founder_and_members(
+            [await self.status(machine) for machine in chosen], PLACEMENT_GROUP
+        )
+        client = ServiceClient([(HOST, chosen[first].listen)])
         body = {"members": members, "first": time.time() * 1000, "keyed": keyed}
         told = await client.call("POST", "/v1/holding/init", body)
         client.close()
         if told.status != 200:
             raise RuntimeError(f"init: {told}")
 
-    async def leader(self, group: str = LIST) -> Machine:
+    async def leader(self, group: str = LIST_GROUP) -> Machine:
         """Who leads a group, once somebody does."""
         while True:
             for machine in self.all:
@@ -215,7 +217,7 @@
                     return machine
             await asyncio.sleep(0.05)
 
-    async def leads(self, machine: Machine, group: str = LIST) -> bool:
+    async def leads(self, machine: Machine, group: str = LIST_GROUP) -> bool:
         """Whether one says that it leads a group."""
         here = (await self.status(machine)).get("groups", {}).get(group, {})
         return here.get("role") == "leader"
@@ -224,7 +226,7 @@
         """One of them."""
         return next(machine for machine in self.all if machine.name == name)
 
-    async def whole(self) -> dict[str, dict[str, object]]:
+    async def wait_until_replicated(self) -> dict[str, dict[str, object]]:
         """Wait until every copy of every group is there, on the disk that its machine has now, at its home,
         in as many zones as there are, and no change is under way; what each group's leader says of it."""
         while True:
--- a/plumwall/faults/members.py
+++ b/plumwall/faults/members.py
@@ -133,8 +133,8 @@
                 fleet.lose(0.2)
             case "late":
                 for link in fleet.links.values():
-                    link.there.delay_s = self._plan.period_ms / 2000
-                    link.there.repeated = 0.2
+                    link.forward.delay_s = self._plan.period_ms / 2000
+                    link.forward.repeated = 0.2
 
     async def _mend(self, fault: str, hit: set[str]) -> None:
         self.fleet.heal()
--- a/plumwall/faults/shares.py
+++ b/plumwall/faults/shares.py
@@ -21,10 +21,10 @@
 import numpy as np
 
 from plumwall.faults.gateways import GatewayProcess, check_weights, listed
-from plumwall.faults.links import StandIn
+from plumwall.faults.links import TcpFaultProxy
 from plumwall.faults.machines import HOST, Machine, Machines
-from yewstage.holding.kinds import group_of
-from yewstage.policy import account
+from yewstage.holding.group_names import group_of
+from yewstage.policy import quota_account_name
 
 FAULTS = (
     "quiet",
@@ -110,7 +110,7 @@
         self._marks: list[tuple[float, int, int]] = []  # time, units so far, outages so far
         self._outages = 0
         self._gateways: list[GatewayProcess] = []
-        self._ways: list[list[StandIn]] = []  # of each gateway, to each machine
+        self._ways: list[list[TcpFaultProxy]] = []  # of each gateway, to each machine
 
     async def play(self, rounds: int) -> SharesOutcome:
         """All rounds, or up to the first breach."""
@@ -118,7 +118,7 @@
         port = server.sockets[0].getsockname()[1]
         async with Machines(self._folder, self._plan.machines, gone_ms=3000.0) as machines:
             await machines.init(machines.all, 2)
-            await machines.whole()
+            await machines.wait_until_replicated()
             work: list[asyncio.Task] = []
             try:
                 await self._start_gateways(machines, port)
@@ -162,7 +162,7 @@
         for number in range(plan.gateways):
             ways = []
             for machine in machines.all:
-                ways.append(StandIn((HOST, machine.listen)))
+                ways.append(TcpFaultProxy((HOST, machine.listen)))
                 await ways[-1].start(HOST)
             self._ways.append(ways)
             raw: dict[str, object] = {
@@ -223,7 +223,7 @@
             gave = self._plan.rate * (time.monotonic() - began)
             self.outcome.quiet.append((self._count[0] - before) / gave)
         async with asyncio.timeout(ROUND_S):
-            await machines.whole()
+            await machines.wait_until_replicated()
         served = self._count[0]
         async with asyncio.timeout(ROUND_S):
             while self._count[0] < served + self._plan.rate:  # it is served again
@@ -231,7 +231,7 @@
         self._check()
 
     async def _strike(
-        self, fault: str, gateway: GatewayProcess, ways: list[StandIn], machines: Machines
+        self, fault: str, gateway: GatewayProcess, ways: list[TcpFaultProxy], machines: Machines
     ) -> None:
         match fault:
             case "quiet":
@@ -285,7 +285,7 @@
     @staticmethod
     async def _leader(machines: Machines) -> Machine:
         """Who grants this customer's shares."""
-        return await machines.leader(group_of(account(PLAN, CUSTOMER), 2))
+        return await machines.leader(group_of(quota_account_name(PLAN, CUSTOMER), 2))
 
     @staticmethod
     async def _restart(down: list[Machine], machines: Machines, after_s: float) -> None:
--- a/plumwall/faults/torture.py
+++ b/plumwall/faults/torture.py
@@ -27,9 +27,9 @@
 from plumwall.faults.machines import HOST, ZONES, Machine, Machines
 from plumwall.faults.members import MembersPlan
 from plumwall.faults.shares import SharesPlan
-from yewstage.holding.kinds import LIST
-from yewstage.holding.places import name_of
-from yewstage.registry.client import Client, Duty, SilentError, Told
+from yewstage.holding.group_names import LIST_GROUP
+from yewstage.holding.placement import name_of
+from yewstage.registry.client import LeaseHolder, NoAnswerError, ServiceClient, ServiceReply
 
 PLANS = Path(__file__).parent / "plans"
 ROUND_S = 60.0  # by when all copies must be there again
@@ -117,7 +117,7 @@
 
 
 @dataclass
-class Outcome:
+class TortureOutcome:
     """What came of all rounds."""
 
     rounds: int = 0
@@ -135,7 +135,7 @@
     history: list[str] = field(default_factory=list)  # the calls that show a breach; else the last ones
 
 
-class Load:
+class TortureLoad:
     """Writers, and two who want a duty."""
 
     def __init__(self, machines: Machines, plan: Plan) -> None:
@@ -146,9 +146,9 @@
         self.writes = self.unsure = 0
         self.last_at = time.monotonic()
         self.longest_s = 0.0  # without a write since this was set to 0
-        self.duties: list[Duty] = []
+        self.duties: list[LeaseHolder] = []
         self.tokens: list[tuple[str, int]] = []
-        self._clients: list[Client] = []
+        self._clients: list[ServiceClient] = []
         self._tasks: list[asyncio.Task] = []
         self.breach = ""
         self.shows: list[str] = []  # the calls that show it
@@ -162,7 +162,7 @@
             self._tasks.append(asyncio.create_task(self._write(writer)))
         for name, drift in (("h1", -DRIFT), ("h2", DRIFT)):
             clock = partial(_drifting, 1 + drift)
-            duty = Duty(self._client(), "duty", name, 1500.0, 0.01, clock)
+            duty = LeaseHolder(self._client(), "duty", name, 1500.0, 0.01, clock)
             self.duties.append(duty)
             self._tasks.append(asyncio.create_task(self._hold(duty, name)))
         for claimer in range(CLAIMERS if self._plan.keyed else 0):
@@ -179,7 +179,7 @@
         for client in self._clients:
             client.close()
 
-    def _client(self) -> Client:
+    def _client(self) -> ServiceClient:
         client = self._machines.client()
         self._clients.append(client)
         return client
@@ -208,7 +208,7 @@
             del self.history[:-2000]
             await asyncio.sleep(0.01)
 
-    async def _put(self, client: Client, key: str, version: int) -> Told | None:
+    async def _put(self, client: ServiceClient, key: str, version: int) -> ServiceReply | None:
         """One try. A repeat of one that came about says nothing new and is taken; else the revision must be
         that of the version before."""
         words = {
@@ -220,13 +220,13 @@
         try:
             async with asyncio.timeout(2.0):
                 return await client.call("PUT", f"/v1/endpoints/{key}", words)
-        except (SilentError, TimeoutError):
+        except (NoAnswerError, TimeoutError):
             return None
 
-    async def _hold(self, duty: Duty, name: str) -> None:
+    async def _hold(self, duty: LeaseHolder, name: str) -> None:
         token, rounds = 0, 0
         while True:
-            rest_s = await duty.hold()
+            rest_s = await duty.acquire_or_renew()
             if duty.token != token:
                 token = duty.token
                 if self.tokens and token <= self.tokens[-1][1] and self.tokens[-1][0] != name:
@@ -234,8 +234,8 @@
                     self.shows = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
                 self.tokens.append((name, token))
             await asyncio.sleep(min(rest_s, 0.4))
-            rounds += duty.held()
-            if rounds % 5 == 4 and duty.held():
+            rounds += duty.is_held()
+            if rounds % 5 == 4 and duty.is_held():
                 await duty.release()  # now and then it passes on
                 await asyncio.sleep(0.5)
 
@@ -250,14 +250,14 @@
                 await self._shared(client, key, "release", by)
             await asyncio.sleep(0.005)
 
-    async def _shared(self, client: Client, key: str, verb: str, by: str) -> object:
+    async def _shared(self, client: ServiceClient, key: str, verb: str, by: str) -> object:
         """One call, noted with its answer if it has one; 503 does not say whether it came about."""
         begun, told = time.monotonic(), None
         body = {"by": by, **({"windowMs": 600_000.0} if verb == "claim" else {})}
         try:
             async with asyncio.timeout(2.0):
                 told = await client.call("POST", f"/v1/keys/{key}/{verb}", body)
-        except (SilentError, TimeoutError):
+        except (NoAnswerError, TimeoutError):
             pass
         known = told is not None and told.status == 200
         state = told.body.get("state") if known else None
@@ -286,7 +286,7 @@
 
     async def _look(self) -> None:
         while True:
-            if sum(duty.held() for duty in self.duties) > 1:
+            if sum(duty.is_held() for duty in self.duties) > 1:
                 self.breach = f"two hold the duty at once: {self.tokens[-2:]}"
                 self.shows = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
             await asyncio.sleep(0.002)
@@ -309,22 +309,22 @@
     return time.monotonic() * rate
 
 
-class Torture:
+class TortureRunner:
     """Plays rounds."""
 
     def __init__(
         self, machines: Machines, plan: Plan, say: Callable[[str], None] = lambda text: None
     ) -> None:
         self._machines, self._plan, self._say = machines, plan, say
-        self.load = Load(machines, plan)
-        self.outcome = Outcome()
+        self.load = TortureLoad(machines, plan)
+        self.outcome = TortureOutcome()
         self._wrong: list[Call] = []
 
-    async def play(self, rounds: list[Round]) -> Outcome:
+    async def play(self, rounds: list[Round]) -> TortureOutcome:
         """All rounds, or up to the first breach."""
         machines = self._machines
         await machines.init(machines.all, self._plan.keyed)
-        await machines.whole()
+        await machines.wait_until_replicated()
         self.load.start()
         try:
             for turn in rounds:
@@ -355,7 +355,10 @@
         elif turn.fault == "all_killed":
             hit = self._machines.all
         elif turn.fault == "member_lost":
-            names = sorted(name_of(m["id"]) for m in (await self._machines.whole())[LIST]["members"])
+            names = sorted(
+                name_of(m["id"])
+                for m in (await self._machines.wait_until_replicated())[LIST_GROUP]["members"]
+            )
             hit = [self._machines.by_name(names[turn.at % len(names)])]
         self._say(f"round {turn.number}: {turn.fault} {', '.join(m.name for m in hit)}")
         self.load.longest_s, self.load.last_at = 0.0, time.monotonic()
@@ -379,7 +382,7 @@
 
     async def _whole_or_broken(self) -> None:
         """Wait until every copy is there, or a promise was broken."""
-        whole = asyncio.create_task(self._machines.whole())
+        whole = asyncio.create_task(self._machines.wait_until_replicated())
         try:
             while not whole.done():
                 if self.load.breach:
@@ -423,20 +426,20 @@
         """Every member's list has all that was acknowledged before it was asked; within the round's time it
         has to have heard of it."""
         known = dict(self.load.acknowledged)
-        status = await self._machines.whole()
-        names = {name_of(member["id"]) for member in status[LIST]["members"]}
+        status = await self._machines.wait_until_replicated()
+        names = {name_of(member["id"]) for member in status[LIST_GROUP]["members"]}
         for machine in self._machines.all:
             if machine.name in names:
                 await self._tells(machine, known)
 
     async def _tells(self, machine: Machine, known: dict[str, int]) -> None:
-        client = Client([(HOST, machine.listen)])
+        client = ServiceClient([(HOST, machine.listen)])
         try:
             while True:
                 missing = ""
                 try:
                     told = await client.call("GET", "/v1/endpoints")
-                except SilentError:
+                except NoAnswerError:
                     told = None
                 if told is not None and told.status == 200:
                     have = {row["instanceId"]: row.get("startedAtMs", 0) for row in told.body["instances"]}
@@ -457,9 +460,11 @@
             client.close()
 
 
-async def torture(plan: Plan, rounds: list[Round], folder: Path, say: Callable[[str], None]) -> Outcome:
+async def run_torture(
+    plan: Plan, rounds: list[Round], folder: Path, say: Callable[[str], None]
+) -> TortureOutcome:
     """Start the machines, play, end them."""
     async with Machines(
         folder, plan.machines, copies=plan.copies, gone_ms=plan.gone_ms, most_ttl_ms=TTL_MS
     ) as machines:
-        return await Torture(machines, plan, say).play(rounds)
+        return await TortureRunner(machines, plan, say).play(rounds)
--- a/plumwall/judge.py
+++ b/plumwall/judge.py
@@ -15,8 +15,8 @@
 
 from plumwall import records as r
 from plumwall.scenario import Class, Scenario
-from plumwall.world.drawn import Drawn, FirstTry
-from plumwall.world.quota import Store
+from plumwall.world.generator import FirstTry, GeneratedWorld
+from plumwall.world.quota import TokenBucket
 from plumwall.world.server import ERROR, NEVER_RAN, SERVED
 
 WINDOW_MS, STRIDE_MS = 10_000.0, 1_000.0
@@ -131,7 +131,7 @@
 class Judge:
     """One run."""
 
-    def __init__(self, drawn: Drawn, records: Sequence[r.Record]) -> None:
+    def __init__(self, drawn: GeneratedWorld, records: Sequence[r.Record]) -> None:
         self._drawn, self._scenario = drawn, drawn.scenario
         self._slack = drawn.scenario.rules.socket_ms
         self._of: dict[type, list] = defaultdict(list)
@@ -167,7 +167,7 @@
         for answered in self._of[r.Answered]:
             if answered.id in self.tries:
                 self.tries[answered.id].answered = answered
-            elif answered.how in (r.REFUSED, r.UNTOLD):
+            elif answered.how in (r.REFUSED, r.NOT_SENT):
                 self._unasked.append(answered)
             elif answered.how == r.DOUBLE:
                 self.findings.add(
@@ -321,15 +321,15 @@
 
     def _ceilings(self) -> None:
         """What all gateways send on for a customer stays under its plan's ceiling."""
-        stores: dict[int, Store] = {}
+        stores: dict[int, TokenBucket] = {}
         for one in sorted((t for t in self.tries.values() if t.attempts), key=_sent_at):
             customer = one.first.customer
             plan = self._drawn.plans[self._drawn.customers[customer].plan]
             if not plan.ceiling_rate:
                 continue
-            store = stores.setdefault(customer, Store.full(plan.ceiling_rate, plan.ceiling_burst))
+            store = stores.setdefault(customer, TokenBucket.full(plan.ceiling_rate, plan.ceiling_burst))
             now = _sent_at(one)
-            store.settle(now, one.first.guess)
+            store.adjust(now, one.first.guess)
             slack = plan.ceiling_slack + plan.ceiling_rate * 3 * self._slack / 1000
             if store.units < -slack:
                 self.findings.add(
@@ -440,7 +440,7 @@
     def __init__(
         self,
         scenario: Scenario,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         tries: dict[str, Try],
         of: dict[type, list],
         unasked: Iterable[r.Answered],
@@ -524,7 +524,7 @@
     def _settle(self) -> None:
         """Which tries were inside their quota when first sent on, all gateways together, and which of
         those that were refused could have been."""
-        stores: dict[int, Store] = {}
+        stores: dict[int, TokenBucket] = {}
         events: list[tuple[float, int, Try]] = []
         for one in self._tries.values():
             if one.attempts:
@@ -538,20 +538,20 @@
                 events.append((one.asked.at, ASKED, one))
         for at, what, one in sorted(events, key=lambda e: e[:2]):
             plan = self._plan(one.first)
-            store = stores.setdefault(one.first.customer, Store.full(plan.rate, plan.burst))
+            store = stores.setdefault(one.first.customer, TokenBucket.full(plan.rate, plan.burst))
             if what == ASKED:
-                one.room = store.fill(at) >= one.first.guess
+                one.room = store.refill(at) >= one.first.guess
             elif what == SENT:
                 one.inside = store.take(at, one.first.guess)
             elif one.inside:
-                store.settle(at, one.first.units - one.first.guess)
+                store.adjust(at, one.first.units - one.first.guess)
 
     def _offer(self) -> None:
         """What a gateway that saw all first tries would let in."""
-        stores: dict[int, Store] = {}
+        stores: dict[int, TokenBucket] = {}
         for chain in sorted(self._chains.values(), key=lambda c: c.first.due_ms):
             plan = self._plan(chain.first)
-            store = stores.setdefault(chain.first.customer, Store.full(plan.rate, plan.burst))
+            store = stores.setdefault(chain.first.customer, TokenBucket.full(plan.rate, plan.burst))
             if store.take(chain.first.due_ms, chain.first.units):
                 chain.offered = self._worth(chain.first)
 
--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from yewstage.holding.group import Group, Kept, first_data
-from yewstage.raft.core import LEADER, BusyError, NotLeaderError, Replica, Saved, Settings, first_state
+from yewstage.holding.group import Group, ReplicatedStore, first_data
+from yewstage.raft.core import LEADER, BusyError, DurableState, NotLeaderError, Replica, Settings, first_state
 from yewstage.raft.messages import AnyMessage, Member, Members
 from yewstage.registry.store import Entry, Record, Rules, Store
 
@@ -37,7 +37,7 @@
 class Disk:
     """What is durable of a replica, and what was written but is not yet."""
 
-    saved: Saved = field(default_factory=Saved)
+    saved: DurableState = field(default_factory=DurableState)
     pending: list = field(default_factory=list)
 
     def sync(self) -> int:
@@ -73,7 +73,7 @@
 
 
 @dataclass
-class Planted:
+class PlantedBug:
     """A mistake to be found: each names the part that is replaced."""
 
     replica: type[Replica] = Replica
@@ -85,10 +85,10 @@
 class Cluster:
     """Replicas of one group that holds the list, and what must hold of them all."""
 
-    store: type[Kept] = Store
+    store: type[ReplicatedStore] = Store
 
-    def __init__(self, size: int = 3, planted: Planted | None = None) -> None:
-        self.planted = planted or Planted()
+    def __init__(self, size: int = 3, planted: PlantedBug | None = None) -> None:
+        self.planted = planted or PlantedBug()
         self.disks = 0
         members = tuple(self._member(f"n{i}") for i in range(size))
         first = first_state(members, self._first())
@@ -96,7 +96,7 @@
             Node(m, Disk(replace(first, entries=[])), None, i * 3.6e6) for i, m in enumerate(members)
         ]
         self.network: list[AnyMessage] = []
-        self.cut: set[tuple[int, int]] = (
+        self.cut_links: set[tuple[int, int]] = (
             set()
         )  # machines, by direction: what one sends the other does not get
         self.time = 0.0  # true time, ms, which no replica knows
@@ -252,14 +252,14 @@
 
     def change(self, i: int, members: Members) -> bool:
         """An operator changes the members."""
-        return self._asked(i, self._ask(i, lambda group: group.replica.change(self.now(i), members)))
+        return self._asked(i, self._ask(i, lambda group: group.replica.change_members(self.now(i), members)))
 
     def hand_over(self, i: int, to: int) -> bool:
         """A leader is asked to hand leadership over."""
         name = self.nodes[to].member.id
 
         def ask(group: Group) -> int:
-            group.replica.hand_to(self.now(i), name)
+            group.replica.transfer_leadership(self.now(i), name)
             return 1
 
         return self._asked(i, self._ask(i, ask))
@@ -284,14 +284,14 @@
             other = self.leaders.setdefault(replica.term, life)
             if other != life:
                 raise BreachError(f"term {replica.term} has two leaders: {other}, {life}")
-            if replica.forgot and not self.planted.keeps_name:
+            if replica.durability_losses and not self.planted.keeps_name:
                 raise BreachError(f"{node.member.id} accuses a disk that has forgotten nothing")
         before = node.group.applied
         log = {e.index: (e.term, e.data) for e in replica.entries}
         result = node.group.take(self.now(i))
         node.disk.pending += result.writes
         places = {n.member.id: j for j, n in enumerate(self.nodes)}
-        self.network += [m for m in result.messages if (i, places.get(m.dst, i)) not in self.cut]
+        self.network += [m for m in result.messages if (i, places.get(m.dst, i)) not in self.cut_links]
         for index in range(before + 1, node.group.applied + 1):
             entry = log.get(index) or {e.index: (e.term, e.data) for e in replica.entries}.get(index)
             if entry is not None and self.committed.setdefault(index, entry) != entry:
@@ -344,12 +344,12 @@
     def check_kept(self) -> None:
         """Who leads knows all that was acknowledged."""
         for node in self.nodes:
-            if node.group is not None and node.group.leads() and not self._deposed(node):
+            if node.group is not None and node.group.is_leader() and not self._deposed(node):
                 missing = self._missing(node.group.planned)
                 if missing:
                     raise BreachError(f"leader {node.member.id} does not know {missing}")
 
-    def _missing(self, planned: Kept) -> list[str]:
+    def _missing(self, planned: ReplicatedStore) -> list[str]:
         """What was promised and a leader does not know."""
         return sorted(self.acknowledged - set(planned.records))
 
@@ -376,7 +376,7 @@
                     meet = meet or other.term == entry.term
                     if meet and other != entry:
                         raise BreachError(
-                            f"logs of {a.me} and {b.me} differ at {entry.index} below a common entry"
+                            f"logs of {a.own_id} and {b.own_id} differ at {entry.index} below a common entry"
                         )
 
     def check(self) -> None:
--- a/plumwall/model/explore.py
+++ b/plumwall/model/explore.py
@@ -14,7 +14,7 @@
 import numpy as np
 from msgspec import structs
 
-from plumwall.model.cluster import SETTINGS, TTL_MS, BreachError, Cluster, Planted
+from plumwall.model.cluster import SETTINGS, TTL_MS, BreachError, Cluster, PlantedBug
 from plumwall.model.keyed import KeyedCluster
 from plumwall.model.scenes import SCENES
 from yewstage.raft.messages import Members
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """What a search came to."""
 
     plans: int = 0
@@ -53,9 +53,9 @@
     elif name == "wait":
         cluster.wait(WAITS[args[0]])
     elif name == "cut":
-        cluster.cut.add((args[0], args[1]))
+        cluster.cut_links.add((args[0], args[1]))
     elif name == "heal":
-        cluster.cut.clear()
+        cluster.cut_links.clear()
     elif not _at(cluster, name, *args):
         return False
     cluster.check()
@@ -169,7 +169,7 @@
         case "cut":
             return [i for i, _ in nodes]
         case "heal":
-            return [0] if cluster.cut else []
+            return [0] if cluster.cut_links else []
         case "forget" if not isinstance(cluster, KeyedCluster):
             return []
     return [i for i, n in nodes if n.group is not None]
@@ -182,7 +182,7 @@
     if name == "wait":
         return name, str(rng.choice(len(WAITS), p=(0.6, 0.15, 0.2, 0.05)))
     if name in CALLS and rng.random() < 0.9:
-        places = [i for i in places if cluster.nodes[i].group.leads()] or places
+        places = [i for i in places if cluster.nodes[i].group.is_leader()] or places
     if name == "heal":
         return (name,)
     i = str(rng.choice(places))
@@ -194,11 +194,11 @@
 
 
 def walk(
-    seed: int, length: int, planted: Planted | None = None, scenes: Sequence[str] = tuple(SCENES)
-) -> Found:
+    seed: int, length: int, planted: PlantedBug | None = None, scenes: Sequence[str] = tuple(SCENES)
+) -> SearchResult:
     """One random plan from one of the scenes. Messages that pile up are lost, as on links that are full."""
     rng = np.random.default_rng(np.random.SeedSequence(seed))
-    found = Found(plans=1, seed=seed, scene=str(rng.choice(list(scenes))))
+    found = SearchResult(plans=1, seed=seed, scene=str(rng.choice(list(scenes))))
     began, done = time.perf_counter(), []
     try:
         cluster = SCENES[found.scene](planted)
@@ -239,7 +239,7 @@
     return True
 
 
-def shorten(found: Found, planted: Planted | None = None) -> tuple[Step, ...]:
+def shorten(found: SearchResult, planted: PlantedBug | None = None) -> tuple[Step, ...]:
     """The fewest steps of a plan that still end in a breach."""
     return shortened(found.plan, lambda plan: breaks(found.scene, plan, planted))
 
@@ -262,7 +262,7 @@
     return plan
 
 
-def breaks(scene: str, plan: tuple[Step, ...], planted: Planted | None = None) -> int:
+def breaks(scene: str, plan: tuple[Step, ...], planted: PlantedBug | None = None) -> int:
     """After how many steps a plan ends in a breach; 0: it does not."""
     cluster = SCENES[scene](planted)
     for number, step in enumerate(plan, 1):
@@ -276,12 +276,12 @@
 def search(
     seeds: Iterable[int],
     length: int,
-    planted: Planted | None = None,
+    planted: PlantedBug | None = None,
     scenes: Sequence[str] = tuple(SCENES),
-    say: Callable[[Found], None] = lambda found: None,
-) -> Found:
+    say: Callable[[SearchResult], None] = lambda found: None,
+) -> SearchResult:
     """Random plans, one after the other, until one breaks something."""
-    total = Found()
+    total = SearchResult()
     for seed in seeds:
         found = walk(seed, length, planted, scenes)
         total.plans += 1
@@ -359,7 +359,7 @@
         for name in ("crash", "tick"):
             if name in can:
                 yield name, str(i)
-        if node.group.leads():
+        if node.group.is_leader():
             yield from _calls(i, can)
     if "wait" in can:
         yield "wait", "2"
@@ -376,10 +376,10 @@
             yield "change", str(i), str(choice)
 
 
-def every(scene: str, depth: int, planted: Planted | None = None, most: int = 10**9) -> Found:
+def every(scene: str, depth: int, planted: PlantedBug | None = None, most: int = 10**9) -> SearchResult:
     """All orders of the steps that are possible from a scene, to a depth, each state once; no more than
     `most` states."""
-    found, began = Found(scene=scene), time.perf_counter()
+    found, began = SearchResult(scene=scene), time.perf_counter()
     try:
         first = SCENES[scene](planted)
     except BreachError as breach:
--- a/plumwall/model/keyed.py
+++ b/plumwall/model/keyed.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from plumwall.model.cluster import RULES, TTL_MS, BreachError, Cluster, Planted
+from plumwall.model.cluster import RULES, TTL_MS, BreachError, Cluster, PlantedBug
 from yewstage.holding.group import encode_entry
-from yewstage.holding.keys import BEGUN, DONE, Keys, claiming
+from yewstage.holding.keys import BEGUN, DONE, KeyStore, claim_plan
 from yewstage.registry.store import Entry
 
 KEYS = 2
@@ -30,9 +30,9 @@
 class KeyedCluster(Cluster):
     """Replicas of one group of keys."""
 
-    store = Keys
+    store = KeyStore
 
-    def __init__(self, size: int = 3, planted: Planted | None = None) -> None:
+    def __init__(self, size: int = 3, planted: PlantedBug | None = None) -> None:
         self.claims: dict[tuple[int, int], tuple[str, str, float, dict[str, object]]] = {}
         self.ends: dict[tuple[int, int], tuple[str, str, float]] = {}
         self.open: dict[str, str] = {}  # claims that were not answered yet, by key: they are repeated
@@ -42,7 +42,7 @@
         super().__init__(size, planted)
 
     def _first(self) -> bytes:
-        return encode_entry(Keys(RULES).snapshot())
+        return encode_entry(KeyStore(RULES).snapshot())
 
     def _calls(self) -> tuple[dict[tuple[int, int], object], ...]:
         return *super()._calls(), self.claims, self.ends
@@ -54,7 +54,7 @@
         self.serial += 1
         key = f"k{self.serial % KEYS}"
         by, told = self.open.setdefault(key, f"r{self.serial}"), {}
-        plan = claiming(key, by, WINDOW_MS, told)
+        plan = claim_plan(key, by, WINDOW_MS, told)
         ticket = self._ask(i, lambda group: group.write(self.now(i), plan))
         if ticket:
             self.claims[i, ticket] = key, by, self.time, told
@@ -71,7 +71,7 @@
         status = 200 + int(by[1:]) % 100
         self.statuses.setdefault(by, set()).add(status)
 
-        def plan(store: Keys, now: float) -> Entry | None:
+        def plan(store: KeyStore, now: float) -> Entry | None:
             return store.plan_done(key, by, status, "")
 
         ticket = self._ask(i, lambda group: group.write(self.now(i), plan))
@@ -83,7 +83,7 @@
         del self.owners[key]  # from now on another one may have it
         self.over.add(by)
 
-        def plan(store: Keys, now: float) -> Entry | None:
+        def plan(store: KeyStore, now: float) -> Entry | None:
             return store.plan_release(key, by)
 
         return self._asked(i, self._ask(i, lambda group: group.write(self.now(i), plan)))
@@ -91,7 +91,7 @@
     def forget(self, i: int) -> bool:
         """A leader lets go what is past its window."""
 
-        def plan(store: Keys, now: float) -> Entry | None:
+        def plan(store: KeyStore, now: float) -> Entry | None:
             return store.plan_forget(now)
 
         return self._asked(i, self._ask(i, lambda group: group.write(self.now(i), plan)))
@@ -130,8 +130,8 @@
     def _has_ended(self, owner: Owner | None, before: float) -> bool:
         return owner is not None and owner.done and self._holds(owner) and before > owner.since
 
-    def _missing(self, planned: Keys) -> list[str]:
+    def _missing(self, planned: KeyStore) -> list[str]:
         """Keys whose owner a leader does not know. Its claim counts from when it was asked for."""
-        known = {key: record.by for key, record in planned.records.items()}
+        known = {key: record.claimant for key, record in planned.records.items()}
         held = {key: owner.by for key, owner in self.owners.items() if self._holds(owner)}
         return sorted(key for key, by in held.items() if known.get(key) != by)
--- a/plumwall/model/members.py
+++ b/plumwall/model/members.py
@@ -11,10 +11,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from yewstage.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, Letter, Row, opened, sealed
+from yewstage.membership.messages import ALIVE, DEAD, LEFT, SUSPECT, Datagram, MemberRow, seal, unseal
 from yewstage.membership.swim import Settings, Swim
 from yewstage.shared import tables
-from yewstage.shared.spread import Shared
+from yewstage.shared.anti_entropy import SharedTables
 
 KEY = b"k" * 32
 HOUR_MS = 3_600_000.0
@@ -26,7 +26,7 @@
 
     number: int
     swim: Swim | None = None
-    shared: Shared | None = None
+    shared: SharedTables | None = None
     lives: int = 0
     stalled_until: float = 0.0  # it runs, and does nothing
     due: float = -1.0  # of the look that is in the queue
@@ -64,7 +64,7 @@
         self.now = 0.0
         self._queue: list[tuple[float, int, int, bytes | None]] = []
         self._order = itertools.count()
-        self.found: list[tuple[float, int, Row]] = []  # when which member came to know what
+        self.found: list[tuple[float, int, MemberRow]] = []  # when which member came to know what
         self.dropped: Counter[str] = Counter()
 
     def name(self, i: int) -> str:
@@ -77,12 +77,12 @@
         seat.lives += 1
         zone = f"z{i % self.zones}"
         life = self.rng.getrandbits(48)
-        me = Row(name or self.name(i), life, f"at:{i}", zone, f"r{i % self.zones // 2}", 1)
+        me = MemberRow(name or self.name(i), life, f"at:{i}", zone, f"r{i % self.zones // 2}", 1)
         seeds = [f"at:{j}" for j in (0, 1) if j != i]
         seat.swim = Swim(me, self.settings, seeds, random.Random(self.rng.random()), self._clock(i))
         if self.tables:
             rng = random.Random(self.rng.random())
-            seat.shared = Shared(seat.swim, self.tables, tables.Settings(), rng, self._clock(i))
+            seat.shared = SharedTables(seat.swim, self.tables, tables.Settings(), rng, self._clock(i))
         self._look(seat)
 
     def kill(self, i: int) -> None:
@@ -128,7 +128,7 @@
         self.now = until
 
     def _came(self, seat: Seat, data: bytes) -> None:
-        seat.swim.handle(self._clock(seat.number), opened(data, self.settings.cluster, (KEY,)))
+        seat.swim.handle(self._clock(seat.number), unseal(data, self.settings.cluster, (KEY,)))
 
     def _look(self, seat: Seat) -> None:
         out = seat.swim.take()
@@ -145,8 +145,8 @@
             seat.due = max(due, self.now)
             self._put(seat.due, seat.number, None)
 
-    def _send(self, seat: Seat, to: int, letter: Letter) -> None:
-        data = sealed(letter, KEY)
+    def _send(self, seat: Seat, to: int, letter: Datagram) -> None:
+        data = seal(letter, KEY)
         seat.sent += len(data)
         seat.letters += 1
         if (seat.number, to) in self.links.cut or self.rng.random() < self.links.loss:
@@ -165,8 +165,8 @@
 
     def agreed(self) -> bool:
         """Whether all that run hold just all that run to be there."""
-        lives = {seat.swim.me.life for seat in self.up()}
-        return all({r.life for r in s.swim.rows() if r.state == ALIVE} == lives for s in self.up())
+        lives = {seat.swim.own_row.start_id for seat in self.up()}
+        return all({r.start_id for r in s.swim.rows() if r.state == ALIVE} == lives for s in self.up())
 
     def until_agreed(self, within_ms: float, step_ms: float = 100.0) -> float:
         """How long that takes, ms; TimeoutError if it does not come to be."""
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -16,25 +16,25 @@
 from msgspec import structs
 
 from plumwall.model.cluster import BreachError
-from plumwall.model.explore import Found, Step, shortened
-from yewstage.holding.hearsay import FRESH_MS, Hearsay
-from yewstage.holding.kinds import PLACES, names
-from yewstage.holding.members import View, lost, next_change
-from yewstage.holding.places import (
+from plumwall.model.explore import SearchResult, Step, shortened
+from yewstage.holding.group_names import PLACEMENT_GROUP, all_group_names
+from yewstage.holding.member_changes import GroupView, lost, next_change
+from yewstage.holding.peer_reports import PRESENCE_TIMEOUT_MS, PeerReports
+from yewstage.holding.placement import (
     AT_ONCE,
-    Report,
-    Sight,
-    Table,
-    begin,
-    let_in,
+    ClusterView,
+    LeaderReport,
+    PlacementTable,
+    first_table,
     name_of,
     next_table,
-    taken_out,
+    with_machine,
+    without_machine,
 )
 from yewstage.raft.messages import Member, Members, one_apart
 from yewstage.registry.store import RefusedError
 
-SIZE, COPIES, GROUPS = 7, 3, names(2)
+SIZE, COPIES, GROUPS = 7, 3, all_group_names(2)
 GONE_MS, ELECTION_MS = 6000.0, 500.0
 WAITS = (200.0, 1000.0, 3000.0, 8000.0)
 LOOKS = 300  # by when, with all machines there and heard, every copy has to be where it is wanted
@@ -47,8 +47,8 @@
 
     member: Member
     up: bool = True
-    table: Table = field(default_factory=Table)
-    heard: Hearsay = field(default_factory=Hearsay)
+    table: PlacementTable = field(default_factory=PlacementTable)
+    heard: PeerReports = field(default_factory=PeerReports)
     since: dict[str, float] = field(default_factory=dict)  # when it began to lead which group
 
 
@@ -68,8 +68,8 @@
 class Decisions:
     """The parts that decide; tests replace one by a mistake."""
 
-    next_change: Callable[[View], Members | None] = next_change
-    next_table: Callable[[Sight], Table | None] = next_table
+    next_change: Callable[[GroupView], Members | None] = next_change
+    next_table: Callable[[ClusterView], PlacementTable | None] = next_table
 
 
 class World:
@@ -81,7 +81,7 @@
         self.machines = [Machine(self._member(f"m{i}", "abc"[i % 3])) for i in range(SIZE)]
         self.time = 0.0
         self.cut: set[tuple[int, int]] = set()
-        self.table = begin(GROUPS, tuple(m.member for m in self.machines), COPIES, 0.0, {})
+        self.table = first_table(GROUPS, tuple(m.member for m in self.machines), COPIES, 0.0, {})
         self.groups = {p.group: Copies(p.members, {m.id for m in p.members}) for p in self.table.placed}
 
     def _member(self, name: str, zone: str) -> Member:
@@ -145,7 +145,7 @@
         if group.leader < 0 and voter and me in group.whole and self._majority(group, group.members, i):
             group.leader, group.term, group.heard = i, group.term + 1, {}
             group.confirmed_at = self.time
-            if g == PLACES:
+            if g == PLACEMENT_GROUP:
                 self.machines[i].table = self.table
 
     def copy(self, g: str) -> None:
@@ -171,7 +171,7 @@
     def stop(self, i: int) -> None:
         """A process ends."""
         machine = self.machines[i]
-        machine.up, machine.table, machine.heard, machine.since = False, Table(), Hearsay(), {}
+        machine.up, machine.table, machine.heard, machine.since = False, PlacementTable(), PeerReports(), {}
         for group in self.groups.values():
             if group.leader == i:
                 self._depose(group)
@@ -189,7 +189,7 @@
     def _led(self, i: int) -> list[str]:
         return [g for g, group in self.groups.items() if group.leader == i]
 
-    def _view(self, i: int, g: str, may_copy: bool = True) -> View:
+    def _view(self, i: int, g: str, may_copy: bool = True) -> GroupView:
         me, group = self.machines[i], self.groups[g]
         since = me.since.get(g, self.time)
         silent = {
@@ -198,16 +198,23 @@
             if m.id != me.member.id
         }
         placed = me.table.of(g)
-        homes = placed.homes if placed is not None else ()
-        there = me.heard.there(me.member, self.time)
-        return View(
-            me.member.id, group.members, homes, silent, there, frozenset(group.whole), FRESH_MS, may_copy
+        homes = placed.machine_names if placed is not None else ()
+        there = me.heard.present_members(me.member, self.time)
+        return GroupView(
+            me.member.id,
+            group.members,
+            homes,
+            silent,
+            there,
+            frozenset(group.whole),
+            PRESENCE_TIMEOUT_MS,
+            may_copy,
         )
 
-    def _report(self, i: int, g: str) -> Report:
+    def _report(self, i: int, g: str) -> LeaderReport:
         group = self.groups[g]
         members = tuple((m.id, m.voter) for m in group.members)
-        return Report(g, group.term, members, lost(self._view(i, g), GONE_MS))
+        return LeaderReport(g, group.term, members, lost(self._view(i, g), GONE_MS))
 
     def look(self, i: int) -> None:
         """What a process does five times a second."""
@@ -219,12 +226,12 @@
                 self._depose(self.groups[g])
         led = self._led(i)
         me.since = {g: me.since.get(g, self.time) for g in led}
-        if PLACES in led:
+        if PLACEMENT_GROUP in led:
             me.table = self.table
         copying = sum(any(not m.voter for m in self.groups[g].members) for g in led)
         for g in sorted(led):
             copying += self._step(i, g, copying < AT_ONCE)
-        if PLACES in led and self.groups[PLACES].leader == i:
+        if PLACEMENT_GROUP in led and self.groups[PLACEMENT_GROUP].leader == i:
             self._plan(i, self.decide.next_table)
 
     def _step(self, i: int, g: str, may_copy: bool) -> bool:
@@ -251,14 +258,14 @@
                 group.confirmed_at = self.time
                 return
 
-    def _sight(self, i: int) -> Sight:
+    def _sight(self, i: int) -> ClusterView:
         me = self.machines[i]
         led = {g: self._report(i, g) for g in self._led(i)}
-        since = me.since.get(PLACES, self.time)
+        since = me.since.get(PLACEMENT_GROUP, self.time)
         return me.heard.sight(self.table, led, me.member, self.time, since, GONE_MS, COPIES)
 
-    def _plan(self, i: int, decide: Callable[[Sight], Table | None]) -> None:
-        places = self.groups[PLACES]
+    def _plan(self, i: int, decide: Callable[[ClusterView], PlacementTable | None]) -> None:
+        places = self.groups[PLACEMENT_GROUP]
         if places.leader != i or not self._majority(places, places.members, i):
             return
         try:
@@ -272,9 +279,9 @@
 
     def operator(self, i: int, out: bool) -> None:
         """An operator takes a machine out, or lets it in."""
-        leader, name = self.groups[PLACES].leader, self.machines[i].member.name
+        leader, name = self.groups[PLACEMENT_GROUP].leader, self.machines[i].member.name
         if leader >= 0:
-            self._plan(leader, lambda sight: (taken_out if out else let_in)(sight, name))
+            self._plan(leader, lambda sight: (without_machine if out else with_machine)(sight, name))
 
     # --- What must hold -----------------------------------------------------------------------------------
 
@@ -297,14 +304,16 @@
         most = min(COPIES, len({m.zone for m in usable}))
         for placed in self.table.placed:
             group = self.groups[placed.group]
-            if sorted(name_of(m.id) for m in group.members) != sorted(placed.homes):
-                return f"{placed.group} is at {[m.id for m in group.members]}, wanted at {placed.homes}"
+            if sorted(name_of(m.id) for m in group.members) != sorted(placed.machine_names):
+                return (
+                    f"{placed.group} is at {[m.id for m in group.members]}, wanted at {placed.machine_names}"
+                )
             if any(self.at(m.id) < 0 or m.id not in group.whole or not m.voter for m in group.members):
                 return f"{placed.group} has a copy that is not whole: {[m.id for m in group.members]}"
-            if len(placed.homes) != COPIES or set(placed.homes) & set(self.table.out):
-                return f"{placed.group} has homes {placed.homes}"
+            if len(placed.machine_names) != COPIES or set(placed.machine_names) & set(self.table.out):
+                return f"{placed.group} has homes {placed.machine_names}"
             if len({m.zone for m in group.members}) < most:
-                return f"{placed.group} stands in fewer than {most} zones: {placed.homes}"
+                return f"{placed.group} stands in fewer than {most} zones: {placed.machine_names}"
         return ""
 
     def settle(self) -> None:
@@ -380,7 +389,7 @@
 }
 
 
-def walk(seed: int, length: int, decisions: Decisions | None = None) -> Found:
+def walk(seed: int, length: int, decisions: Decisions | None = None) -> SearchResult:
     """One random plan, then all that is left to be brought where it is wanted."""
     rng, began = np.random.default_rng(np.random.SeedSequence(seed)), time.perf_counter()
     weights = np.array(list(KINDS.values())) / sum(KINDS.values())
@@ -389,7 +398,7 @@
         (str(name), str(a), str(b))
         for name, (a, b) in zip(drawn, rng.integers(0, (SIZE, 84), (length, 2)), strict=True)
     )
-    found = Found(plans=1, seed=seed, scene="places", steps=length)
+    found = SearchResult(plans=1, seed=seed, scene="places", steps=length)
     ends, why = ending(plan, decisions)
     if why:
         found.breach, found.plan = why, plan[:ends]
@@ -410,9 +419,9 @@
     return 0, ""
 
 
-def search(seeds: Iterable[int], length: int, decisions: Decisions | None = None) -> Found:
+def search(seeds: Iterable[int], length: int, decisions: Decisions | None = None) -> SearchResult:
     """Random plans, one after the other, until one breaks something."""
-    total = Found(scene="places")
+    total = SearchResult(scene="places")
     for seed in seeds:
         found = walk(seed, length, decisions)
         total = replace(
@@ -423,20 +432,20 @@
     return total
 
 
-def shorten(found: Found, decisions: Decisions | None = None) -> tuple[Step, ...]:
+def shorten(found: SearchResult, decisions: Decisions | None = None) -> tuple[Step, ...]:
     """The fewest steps that still end in a breach."""
     return shortened(found.plan, lambda plan: ending(plan, decisions)[0])
 
 
-def hasty(view: View) -> Members | None:
+def hasty(view: GroupView) -> Members | None:
     """A mistake to be found: a copy is taken out before the one in its place has come."""
-    leaving = [m for m in view.members if m.voter and m.name not in view.homes and m.id != view.me]
-    if view.homes and leaving:
+    leaving = [m for m in view.members if m.voter and m.name not in view.machine_names and m.id != view.me]
+    if view.machine_names and leaving:
         return tuple(m for m in view.members if m != leaving[0])
     return next_change(view)
 
 
-def crowding(sight: Sight) -> Table | None:
+def crowding(sight: ClusterView) -> PlacementTable | None:
     """A mistake to be found: zones are not looked at when a copy finds its place."""
     blind = tuple(structs.replace(m, zone="") for m in sight.present)
     return next_table(replace(sight, present=blind))
--- a/plumwall/model/planted.py
+++ b/plumwall/model/planted.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from plumwall.model.cluster import Planted
-from yewstage.holding.group import Group, Result, encode_entry
+from plumwall.model.cluster import PlantedBug
+from yewstage.holding.group import Group, GroupOutput, encode_entry
 from yewstage.raft.core import Replica
 from yewstage.raft.messages import MEMBERS, AnyMessage, Members, VoteReply, encode
 
@@ -19,18 +19,18 @@
 class _CountsOldTerms(Replica):
     def _may_commit(self) -> None:
         index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._stable)
-        if index > self.commit:
+        if index > self.commit_index:
             self._committed(index)
 
 
 class _ReadsAtOnce(Replica):
     def read(self, now: float, ticket: int) -> None:
         self._must_lead(now)
-        self.out.reads.append((ticket, self.commit))
+        self.out.reads.append((ticket, self.commit_index))
 
 
 class _ChangesAtOnce(Replica):
-    def change(self, now: float, members: Members) -> int:
+    def change_members(self, now: float, members: Members) -> int:
         self._must_lead(now)
         entry = self._append(MEMBERS, encode(members))
         for name in self.peers:
@@ -47,20 +47,20 @@
 
 
 class _TrustsOldTimes(Group):
-    def _lead_or_not(self, now: float, result: Result) -> None:
+    def _lead_or_not(self, now: float, result: GroupOutput) -> None:
         fresh = self.planned is None
         super()._lead_or_not(now, result)
         if fresh and self.planned is not None:
             self.planned = type(self.store).restored(self.rules, self.store.snapshot(), now - 1e6)
 
 
-PLANTED: dict[str, Planted] = {
-    "vote-not-durable": Planted(_HastyVoter, scene="candidates"),
-    "earlier-term-by-count": Planted(_CountsOldTerms, scene="older-entry"),
-    "read-by-a-deposed-leader": Planted(_ReadsAtOnce, scene="unheard"),
-    "snapshot-forgets-a-lease": Planted(group=_ForgetsLeases, scene="held"),
-    "old-lease-after-a-restart": Planted(group=_TrustsOldTimes, scene="held"),
-    "window-begun-before-a-restart": Planted(group=_TrustsOldTimes, scene="claimed"),
-    "wiped-member-votes": Planted(keeps_name=True, scene="led"),
-    "two-members-at-once": Planted(_ChangesAtOnce, scene="alone"),
+PLANTED: dict[str, PlantedBug] = {
+    "vote-not-durable": PlantedBug(_HastyVoter, scene="candidates"),
+    "earlier-term-by-count": PlantedBug(_CountsOldTerms, scene="older-entry"),
+    "read-by-a-deposed-leader": PlantedBug(_ReadsAtOnce, scene="unheard"),
+    "snapshot-forgets-a-lease": PlantedBug(group=_ForgetsLeases, scene="held"),
+    "old-lease-after-a-restart": PlantedBug(group=_TrustsOldTimes, scene="held"),
+    "window-begun-before-a-restart": PlantedBug(group=_TrustsOldTimes, scene="claimed"),
+    "wiped-member-votes": PlantedBug(keeps_name=True, scene="led"),
+    "two-members-at-once": PlantedBug(_ChangesAtOnce, scene="alone"),
 }
--- a/plumwall/model/scenes.py
+++ b/plumwall/model/scenes.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from plumwall.model.cluster import SETTINGS, TTL_MS, Cluster, Planted
+from plumwall.model.cluster import SETTINGS, TTL_MS, Cluster, PlantedBug
 from plumwall.model.keyed import KEYS, KeyedCluster
 from yewstage.raft.core import LEADER
 from yewstage.raft.messages import Append
@@ -53,12 +53,12 @@
         cluster.restart(i)
 
 
-def start(planted: Planted | None) -> Cluster:
+def start(planted: PlantedBug | None) -> Cluster:
     """Three machines that know nothing but their members."""
     return Cluster(planted=planted)
 
 
-def led(planted: Planted | None) -> Cluster:
+def led(planted: PlantedBug | None) -> Cluster:
     """One leads; a write is acknowledged, a duty is held."""
     cluster = Cluster(planted=planted)
     elect(cluster, A)
@@ -69,10 +69,10 @@
     return cluster
 
 
-def candidates(planted: Planted | None) -> Cluster:
+def candidates(planted: PlantedBug | None) -> Cluster:
     """Two stand in the same term; the third has heard one of them, and what it wrote is not durable yet."""
     cluster = Cluster(planted=planted)
-    cluster.cut |= {(A, B), (B, A)}
+    cluster.cut_links |= {(A, B), (B, A)}
     cluster.wait(3 * SETTINGS.election_ms)
     cluster.tick(A)
     cluster.tick(B)
@@ -80,20 +80,20 @@
         cluster.deliver(0)
     cluster.sync(A)
     cluster.sync(B)
-    cluster.cut.clear()
+    cluster.cut_links.clear()
     cluster.deliver(0)
     return cluster
 
 
-def older_entry(planted: Planted | None) -> Cluster:
+def older_entry(planted: PlantedBug | None) -> Cluster:
     """A leader brings an entry of its earlier term to a second machine, while a third has one of a later
     term in its place (figure 8 of the paper)."""
     cluster = led(planted)
-    cluster.cut |= {(A, B), (A, C)}
+    cluster.cut_links |= {(A, B), (A, C)}
     cluster.write(A)
     cluster.sync(A)
     cluster.crash(A)
-    cluster.cut.clear()
+    cluster.cut_links.clear()
     cluster.wait(3 * SETTINGS.election_ms)
     _win(cluster, C)
     cluster.network.clear()
@@ -128,29 +128,29 @@
     raise AssertionError("it does not win")
 
 
-def unheard(planted: Planted | None) -> Cluster:
+def unheard(planted: PlantedBug | None) -> Cluster:
     """A leader that one machine does not hear; the other one has confirmed it and then begun anew."""
     cluster = led(planted)
-    cluster.cut |= {(A, B), (B, A)}
+    cluster.cut_links |= {(A, B), (B, A)}
     for _ in range(3):
         cluster.wait(SETTINGS.election_ms / 2)
         cluster.tick(A)
         settle(cluster)
     cluster.crash(C)
     cluster.restart(C)
-    cluster.cut |= {(A, C), (C, A)}
+    cluster.cut_links |= {(A, C), (C, A)}
     cluster.tick(B)
     return cluster
 
 
-def alone(planted: Planted | None) -> Cluster:
+def alone(planted: PlantedBug | None) -> Cluster:
     """A leader that neither hears nor is heard, and has just been confirmed."""
     cluster = led(planted)
-    cluster.cut |= {(A, B), (A, C), (B, A), (C, A)}
+    cluster.cut_links |= {(A, B), (A, C), (B, A), (C, A)}
     return cluster
 
 
-def replaced(planted: Planted | None) -> Cluster:
+def replaced(planted: PlantedBug | None) -> Cluster:
     """One machine has come back with an empty disk, and is not let in yet."""
     cluster = led(planted)
     cluster.wipe(C)
@@ -158,7 +158,7 @@
     return cluster
 
 
-def held(planted: Planted | None) -> Cluster:
+def held(planted: PlantedBug | None) -> Cluster:
     """A duty is held, a snapshot stands in place of the entry that granted it, and the leader is gone."""
     cluster = led(planted)
     begin_anew(cluster)
@@ -166,7 +166,7 @@
     return cluster
 
 
-def claimed(planted: Planted | None) -> Cluster:
+def claimed(planted: PlantedBug | None) -> Cluster:
     """A group of keys: one is claimed, the other one has ended, and all were started anew after that."""
     cluster = KeyedCluster(planted=planted)
     elect(cluster, A)
@@ -179,7 +179,7 @@
     return cluster
 
 
-SCENES: dict[str, Callable[[Planted | None], Cluster]] = {
+SCENES: dict[str, Callable[[PlantedBug | None], Cluster]] = {
     "start": start,
     "led": led,
     "candidates": candidates,
--- a/plumwall/records.py
+++ b/plumwall/records.py
@@ -32,7 +32,7 @@
 
 
 # How a try ended at its client.
-WHOLE, CUT, UNTOLD, REFUSED, CLOSED, TIMED_OUT, LEFT, SHORT, WRONG, DOUBLE = (
+WHOLE, TRUNCATED, NOT_SENT, REFUSED, CLOSED, TIMED_OUT, LEFT, SHORT, WRONG, DOUBLE = (
     "whole",
     "cut",
     "untold",
@@ -195,7 +195,7 @@
         self._buffer.clear()
 
 
-def read(paths: Iterable[Path]) -> list[Record]:
+def read_records(paths: Iterable[Path]) -> list[Record]:
     """All records of some files, in order of time; those of one moment as they stand in the files."""
     records = [record for path in paths for record in _lines(path)]
     records.sort(key=lambda record: record.at)
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping
 
 from plumwall import records as r
-from plumwall.emulator.clients import LOOK_S, between_luck
+from plumwall.emulator.clients import HEALTH_POLL_S, interpolate
 from plumwall.emulator.identity import request_id
 from plumwall.emulator.tally import Tally
 from plumwall.simulate.clock import Clock, Timer
 from plumwall.simulate.gateway import SimGateway
 from plumwall.simulate.hosts import HOP_MS
-from plumwall.world.drawn import Change, Drawn, FirstTry, between
+from plumwall.world.generator import FaultEvent, FirstTry, GeneratedWorld, draw_between
 
 
 class Pending:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         clock: Clock,
         write: Callable[[r.Record], None],
         gateways: Mapping[str, SimGateway],
@@ -54,7 +54,9 @@
         self.tally = Tally(
             [c.name for c in drawn.scenario.classes], [drawn.plans[c.plan].name for c in drawn.customers]
         )
-        self._notice_ms = between(drawn.dice.stream("notice"), drawn.scenario.clients.notice_s) * 1000
+        self._notice_ms = (
+            draw_between(drawn.random_streams.stream("notice"), drawn.scenario.clients.notice_s) * 1000
+        )
         self.left = len(drawn.tries)  # tries that are on their way or to come
 
     def begin(self) -> None:
@@ -69,7 +71,7 @@
         if following is not None:
             self._clock.at(following.due_ms, self._next, tries, following)
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The front finds out late that a gateway is gone, and by its word that it is back."""
         if change.kind in ("gateway_kill", "gateway_restart"):
             self._clock.after(self._notice_ms, self._look, change.target)
@@ -77,7 +79,7 @@
     def _look(self, name: str) -> None:
         self._up[name] = self._gateways[name].up
         if not self._up[name]:
-            self._clock.after(LOOK_S * 1000, self._look, name)
+            self._clock.after(HEALTH_POLL_S * 1000, self._look, name)
 
     # --- Sending ------------------------------------------------------------------------------------------
 
@@ -157,7 +159,7 @@
         if pending.number >= clients.retries or not (refused or cls.effect != "unsafe"):
             return
         luck = first.backoff_luck[pending.number]
-        backoff = between_luck(clients.backoff_ms, luck) * 2**pending.number
+        backoff = interpolate(clients.backoff_ms, luck) * 2**pending.number
         wait = max(backoff, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
         at = self._clock.now + wait
         if at < first.due_ms + cls.deadline_ms:
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -14,7 +14,7 @@
 from plumwall import records as r
 from plumwall.simulate.clock import UNIX_MS, Clock, Timer
 from plumwall.simulate.hosts import HOP_MS, AgentHost, CounterHost, Host, Hosts
-from plumwall.world.drawn import Drawn, GatewaySpec
+from plumwall.world.generator import GatewaySpec, GeneratedWorld
 from yewstage import interface as api
 from yewstage.net.config import Config, parse
 from yewstage.net.core import GUARD_MS, LAG_MS, MODULE_MS, TRANSIT_MS, UPSTREAM_SHARE
@@ -125,7 +125,7 @@
 
     def _waited_enough(self) -> None:
         self.lane.waiting.remove(self)
-        self.unlinked(api.MOOT)
+        self.unlinked(api.START_EXPIRED)
 
     def _overdue(self) -> None:
         if self.done:
@@ -133,7 +133,7 @@
         waits = not self.linked
         result = api.TIMED_OUT if self.linked else api.CONNECT_FAILED
         if waits and not self.lane.dialling:
-            result = api.MOOT
+            result = api.START_EXPIRED
         self._abandon()
         self._end(result)
 
@@ -258,7 +258,7 @@
     def __init__(
         self,
         spec: GatewaySpec,
-        drawn: Drawn,
+        drawn: GeneratedWorld,
         clock: Clock,
         hosts: Hosts,
         counter: CounterHost,
@@ -280,7 +280,7 @@
     def _begin(self) -> None:
         """A process that knows nothing."""
         self.life += 1
-        seed = int(self._drawn.dice.stream("gateway", self.spec.name, self.life).integers(2**63))
+        seed = int(self._drawn.random_streams.stream("gateway", self.spec.name, self.life).integers(2**63))
         raw = {
             "name": self.spec.name,
             "listen": "sim:1",
@@ -296,7 +296,7 @@
         self.module = self._make(config.settings, config.seed)
         self.dial_ms, self.idle_ms = config.dial_ms, config.idle_ms
         self._most_links = int(UPSTREAM_SHARE * config.sockets)
-        self._settings, self._known = config.settings, config.known
+        self._settings, self._known = config.settings, config.fallback_listing
         self._classes = {c.name: c for c in config.settings.classes}
         self.lanes: dict[str, Lane] = {}
         self.links = 0
@@ -474,7 +474,7 @@
             if request is not None:
                 request.attempts.append(None)
             final = request is None or request.client is None
-            self._outcome(act.request, number, act.server, api.MOOT, 0.0, final)
+            self._outcome(act.request, number, act.server, api.START_EXPIRED, 0.0, final)
             return
         left_ms = request.end_at - now
         wait_ms = min(act.timeout_ms, left_ms) if act.timeout_ms else left_ms
@@ -482,7 +482,7 @@
             request.attempts.append(None)
             self._outcome(act.request, number, act.server, api.CONNECT_FAILED, 0.0, False, unbegun=True)
             return
-        attempt = Attempt(self, request, number, lane, wait_ms, act.start_ms)
+        attempt = Attempt(self, request, number, lane, wait_ms, act.start_deadline_ms)
         request.attempts.append(attempt)
         self._work(COST_SEND, self._begin_attempt, attempt)
 
@@ -534,9 +534,9 @@
                 result,
                 took_ms,
                 final,
-                true_units=units,
-                report=report or {},
-                unbegun=unbegun,
+                billed_units=units,
+                load_report=report or {},
+                nothing_sent=unbegun,
             )
         )
 
@@ -548,7 +548,7 @@
         if raw is not None and (raw["reset"] or raw["instances"]):
             listing = parse_listing(raw)
             self._generation = listing.generation
-            self._work(COST_LIST, self._listed, listing, "full" if listing.whole else "changes")
+            self._work(COST_LIST, self._listed, listing, "full" if listing.is_full else "changes")
 
     def _listed(self, listing: object, kind: str) -> None:
         gone = {s.name for s in listing.servers if s.status == "removed"}
@@ -580,7 +580,7 @@
                 result = api.FULL if total is None else api.OK
                 self._counted(act.name, result, total or 0.0, sent_at, life)
 
-        self._counter.call(self.spec.name, act.name, act.amount, act.keep_ms, told)
+        self._counter.call(self.spec.name, act.name, act.amount, act.ttl_ms, told)
 
     def _counted(self, name: str, result: str, total: float, sent_at: float, life: int) -> None:
         if life == self.life:
@@ -594,7 +594,7 @@
             case api.Send():
                 self._send(act)
             case api.Refuse():
-                self.refusals[act.why] += 1
+                self.refusals[act.reason] += 1
                 self._answer(self._open.get(act.request), 503, act.retry_after_ms)
             case api.Fail():
                 self._answer(self._open.get(act.request), 502)
@@ -604,7 +604,7 @@
                 if attempt is not None:
                     attempt.cancel()
             case api.Timer():
-                self.clock.after(max(act.in_ms, 0.0), self._due, act.name, self.life)
+                self.clock.after(max(act.delay_ms, 0.0), self._due, act.name, self.life)
             case api.Count():
                 self._count(act)
             case api.Subscribe() | api.Log():
--- a/plumwall/simulate/hosts.py
+++ b/plumwall/simulate/hosts.py
@@ -12,8 +12,8 @@
 from plumwall.simulate.clock import UNIX_MS, Clock, Timer
 from plumwall.world.counter import Counter
 from plumwall.world.directory import DRAINING, GONE, READY, Agent, Directory, Entry
-from plumwall.world.drawn import Change, Drawn, GatewaySpec, ServerSpec, between
-from plumwall.world.server import ERROR, SERVED, Job, Pod, Server
+from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld, ServerSpec, draw_between
+from plumwall.world.server import ERROR, SERVED, DeduplicationGroup, Job, Server
 
 HOP_MS = 0.05  # from one process to another on one machine, as the emulator has it
 TOLD_MS = 6000.0  # after which what an agent holds counts as told, fetched or not
@@ -37,7 +37,9 @@
 class Host:
     """One server."""
 
-    def __init__(self, spec: ServerSpec, pod: Pod, hosts: Hosts, rng: np.random.Generator) -> None:
+    def __init__(
+        self, spec: ServerSpec, pod: DeduplicationGroup, hosts: Hosts, rng: np.random.Generator
+    ) -> None:
         self.spec, self._pod, self._hosts, self._rng = spec, pod, hosts, rng
         self._clock = hosts.clock
         self.model: Server | None = None
@@ -98,9 +100,9 @@
         self._hosts.write(r.Arrived(now, sent.rid, self.spec.name, sent.gateway, now, round(job.work_ms, 3)))
         self._open[sent] = job
         job.done = sent
-        standing = not model.fallen
+        standing = not model.has_collapsed
         result = "full" if self.connections > self.spec.connections else model.offer(now, job)
-        if model.fallen and standing:
+        if model.has_collapsed and standing:
             self._hosts.write(r.ServerIs(now, self.spec.name, "fallen"))
         if result != SERVED:
             job.result = result
@@ -153,18 +155,21 @@
 class Hosts:
     """All servers."""
 
-    def __init__(self, drawn: Drawn, clock: Clock, write: Callable[[r.Record], None]) -> None:
+    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
         self.drawn, self.clock, self.write = drawn, clock, write
         self._windows = [c.window_ms for c in drawn.scenario.classes]
-        self._lost, self._luck = 0.0, drawn.dice.stream("lost", 0)
-        network, rng = drawn.scenario.network, drawn.dice.stream("network")
+        self._lost, self._luck = 0.0, drawn.random_streams.stream("lost", 0)
+        network, rng = drawn.scenario.network, drawn.random_streams.stream("network")
         self._same = float(rng.uniform(network.same_ms.least, network.same_ms.most))
         self._cross = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
         self._zones = {gateway.name: gateway.zone for gateway in drawn.gateways}
-        pods: dict[int, Pod] = {}
+        pods: dict[int, DeduplicationGroup] = {}
         self.all = {
             spec.name: Host(
-                spec, pods.setdefault(spec.cell, Pod()), self, drawn.dice.stream("server", spec.name)
+                spec,
+                pods.setdefault(spec.cell, DeduplicationGroup()),
+                self,
+                drawn.random_streams.stream("server", spec.name),
             )
             for spec in drawn.servers
         }
@@ -196,7 +201,7 @@
         key = f"{first.index:016x}" if keyed else ""
         return Job(sent.rid, work, sent.expires_ms, key, self._windows[first.cls] if keyed else 0.0)
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """Carry out what the fault plan says of servers and the ways to them."""
         if change.kind == "answers_lost":
             self._lost = change.size
@@ -208,7 +213,7 @@
         elif change.target in self.all:
             self._change_host(self.all[change.target], change)
 
-    def _change_host(self, host: Host, change: Change) -> None:
+    def _change_host(self, host: Host, change: FaultEvent) -> None:
         match change.kind:
             case "server_crash":
                 host.crash("crashed")
@@ -230,12 +235,15 @@
 class CounterHost:
     """The quota counter, in the first zone."""
 
-    def __init__(self, drawn: Drawn, clock: Clock, write: Callable[[r.Record], None]) -> None:
-        figures, rng = drawn.scenario.counter, drawn.dice.stream("counter")
+    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
+        figures, rng = drawn.scenario.counter, drawn.random_streams.stream("counter")
         self._drawn, self._clock, self._write = drawn, clock, write
         self._zone = drawn.scenario.fleet.zones[0]
         self.model = Counter(
-            between(rng, figures.calls_per_s), figures.parts, between(rng, figures.call_ms), figures.queue_ms
+            draw_between(rng, figures.calls_per_s),
+            figures.parts,
+            draw_between(rng, figures.call_ms),
+            figures.queue_ms,
         )
         self._cut: frozenset[str] = frozenset()
 
@@ -254,7 +262,7 @@
         self._clock.at(counted.at_ms + HOP_MS, told, counted.total)
         return True
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """What the fault plan says of it."""
         if change.kind == "counter_down":
             self.model.fail()
@@ -301,7 +309,7 @@
         """What is told to one who knows the list up to a generation; None while discovery is down."""
         if self._missed is not None:
             return None
-        news = self.agent.news(after)
+        news = self.agent.changes_since(after)
         self._tell(list(self.agent.entries.values()) if news is None else news)
         return self.agent.listing(after)
 
@@ -328,16 +336,20 @@
         "server_start": ("start", READY),
     }
 
-    def __init__(self, drawn: Drawn, clock: Clock, write: Callable[[r.Record], None]) -> None:
+    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
         self._clock = clock
-        self._directory = Directory(drawn.scenario.listing, drawn.dice.stream("directory"))
+        self._directory = Directory(drawn.scenario.listing, drawn.random_streams.stream("directory"))
         self._specs = {server.name: server for server in drawn.servers}
         self._started: dict[str, float] = {}
         addresses = {server.name: f"sim:{1 + i}" for i, server in enumerate(drawn.servers)}
         self.all = {g.name: self._agent(g, addresses, drawn, write) for g in drawn.gateways}
 
     def _agent(
-        self, gateway: GatewaySpec, addresses: dict[str, str], drawn: Drawn, write: Callable[[r.Record], None]
+        self,
+        gateway: GatewaySpec,
+        addresses: dict[str, str],
+        drawn: GeneratedWorld,
+        write: Callable[[r.Record], None],
     ) -> AgentHost:
         agent = Agent(gateway.name, addresses)
         for server in drawn.servers:
@@ -345,7 +357,7 @@
                 agent.learn(Entry(server, READY, 0.0))
         return AgentHost(agent, self._clock, write)
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """What the fault plan says of the list."""
         if change.kind == "list_late":
             self._directory.late = change.size
--- a/plumwall/simulate/run.py
+++ b/plumwall/simulate/run.py
@@ -11,13 +11,13 @@
 
 from plumwall import records as r
 from plumwall import scenario as scenarios
-from plumwall.emulator.run import Outcome
+from plumwall.emulator.run import RunOutcome
 from plumwall.judge import Judge
 from plumwall.simulate.clients import Front
 from plumwall.simulate.clock import Clock
 from plumwall.simulate.gateway import SimGateway
 from plumwall.simulate.hosts import Agents, CounterHost, Hosts
-from plumwall.world.drawn import Change, Drawn
+from plumwall.world.generator import FaultEvent, GeneratedWorld
 from yewstage import interface as api
 from yewstage.policy import Gateway
 
@@ -45,7 +45,7 @@
                 f"listing.source: {scenario.listing.source!r} is processes: plumwall up plays them"
             )
         self.scenario, self.seed, self._say = scenario, seed, say
-        self.drawn = Drawn(scenario, seed)
+        self.drawn = GeneratedWorld(scenario, seed)
         self.clock = Clock()
         self.records: list[r.Record] = []
         write = self.records.append
@@ -87,7 +87,7 @@
         self.records += [gateway.figures() for gateway in self.gateways.values()]
         self.clock.after(SECOND_MS, self._look, began)
 
-    def _change(self, change: Change) -> None:
+    def _change(self, change: FaultEvent) -> None:
         self.records.append(r.Fault(self.clock.now, change.kind, change.target, change.size))
         for part in (self._hosts, self._counter, self._agents, self._front):
             part.change(change)
@@ -101,7 +101,7 @@
         elif change.kind == "gateway_restart" and gateway.up:
             gateway.restart()
 
-    def outcome(self, folder: Path) -> Outcome:
+    def outcome(self, folder: Path) -> RunOutcome:
         """Judged; records and outcome are kept in a folder, the same bytes for the same seed."""
         folder.mkdir(parents=True, exist_ok=True)
         self._say("judging the run")
@@ -117,7 +117,7 @@
         reasons: Counter[str] = Counter()
         for gateway in self.gateways.values():
             reasons.update(gateway.refusals)
-        outcome = Outcome(
+        outcome = RunOutcome(
             verdict,
             tally.rows(),
             "",
--- a/plumwall/world/directory.py
+++ b/plumwall/world/directory.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from plumwall.scenario import Listing, Span
-from plumwall.world.drawn import ServerSpec, between
+from plumwall.world.generator import ServerSpec, draw_between
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 ORDER = {READY: 0, DRAINING: 1, GONE: 2}  # of one life
@@ -51,7 +51,7 @@
         self.changes = [*self.changes[-HISTORY:], (self.generation, entry)]
         return True
 
-    def news(self, after: int | None) -> list[Entry] | None:
+    def changes_since(self, after: int | None) -> list[Entry] | None:
         """What has come since a generation; None: nobody can tell, the whole list is wanted."""
         if after is None or after > self.generation or after < self.generation - len(self.changes):
             return None
@@ -59,7 +59,7 @@
 
     def listing(self, after: int | None = None) -> dict[str, object]:
         """The list or its changes, as the protocol has it."""
-        news = self.news(after)
+        news = self.changes_since(after)
         told = list(self.entries.values()) if news is None else news
         if news is None:
             told = [entry for entry in told if entry.lifecycle != GONE]
@@ -89,10 +89,10 @@
     def __init__(self, listing: Listing, rng: np.random.Generator) -> None:
         self._rng = rng
         self._notice = {
-            "drain": between(rng, listing.notice_s),
-            "gone": between(rng, listing.notice_s),
-            "silent": between(rng, listing.silent_notice_s),
-            "start": between(rng, listing.add_s),
+            "drain": draw_between(rng, listing.notice_s),
+            "gone": draw_between(rng, listing.notice_s),
+            "silent": draw_between(rng, listing.silent_notice_s),
+            "start": draw_between(rng, listing.add_s),
         }
         self._spread: Span = listing.spread_ms
         self.late = 1.0  # times as late as usual
@@ -101,4 +101,4 @@
         """For each agent the time at which it learns; `news` is one of drain, gone, silent, start."""
         base = self._notice[news] * 1000 * self.late
         for _ in range(agents):
-            yield now + base + float(self._rng.random()) * between(self._rng, self._spread)
+            yield now + base + float(self._rng.random()) * draw_between(self._rng, self._spread)
--- a/plumwall/world/drawn.py
+++ b/plumwall/world/generator.py
@@ -93,7 +93,7 @@
     backoff_luck: tuple[float, ...]
 
 
-class Change(Struct, frozen=True):
+class FaultEvent(Struct, frozen=True):
     """One thing that becomes otherwise at a time."""
 
     at_ms: float
@@ -102,7 +102,7 @@
     size: float = 0.0
 
 
-class Dice:
+class RandomStreams:
     """Random streams by name."""
 
     def __init__(self, seed: int) -> None:
@@ -114,23 +114,25 @@
         return np.random.default_rng(np.random.SeedSequence(self._seed, spawn_key=key))
 
 
-def between(rng: np.random.Generator, span: Span) -> float:
+def draw_between(rng: np.random.Generator, span: Span) -> float:
     """A number of a span."""
     return float(rng.uniform(span.least, span.most))
 
 
-class Drawn:
+class GeneratedWorld:
     """One day of a scenario."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.scenario, self.seed, self.dice = scenario, seed, Dice(seed)
+        self.scenario, self.seed, self.random_streams = scenario, seed, RandomStreams(seed)
         zones = scenario.fleet.zones
         self.gateways = [
             GatewaySpec(f"n{i}", i, zones[i % len(zones)]) for i in range(scenario.fleet.gateways)
         ]
         self.servers = self._draw_servers()
         self.plans = [self._draw_plan(plan) for plan in scenario.plans]
-        self.class_work_ms = [between(self.dice.stream("work", c.name), c.work_ms) for c in scenario.classes]
+        self.class_work_ms = [
+            draw_between(self.random_streams.stream("work", c.name), c.work_ms) for c in scenario.classes
+        ]
         self.changes = tuple(sorted(FaultPlan(self).changes(), key=lambda c: (c.at_ms, c.kind, c.target)))
         market = Market(self)
         self.customers, self.shares = market.customers, market.shares
@@ -221,17 +223,17 @@
 
     def _draw_servers(self) -> list[ServerSpec]:
         s = self.scenario.servers
-        rng = self.dice.stream("servers")
+        rng = self.random_streams.stream("servers")
         replaced = sum(
-            _struck(s.count, between(self.dice.stream("fault", i), fault.part))
+            _struck(s.count, draw_between(self.random_streams.stream("fault", i), fault.part))
             for i, fault in enumerate(self.scenario.faults)
             if fault.kind == "release"
         )
-        size = max(1, round(between(rng, s.cell_size)))
+        size = max(1, round(draw_between(rng, s.cell_size)))
         made = []
         for i in range(s.count + replaced):
             zones = self.scenario.fleet.zones
-            speed, cores = between(rng, s.speed), s.cores
+            speed, cores = draw_between(rng, s.speed), s.cores
             made.append(
                 ServerSpec(
                     name=f"s-{int(rng.integers(2**32)):08x}",
@@ -239,19 +241,19 @@
                     cores=cores,
                     speed=speed,
                     cell=(i // len(zones) // size) * len(zones) + i % len(zones),
-                    slots=max(1, round(between(rng, s.slots_per_core) * cores)),
-                    queue=round(between(rng, s.queue_per_core) * cores),
-                    thrash=between(rng, s.thrash),
-                    thrash_at=between(rng, s.thrash_at),
-                    cold_from=between(rng, s.cold_from),
-                    cold_ms=between(rng, s.cold_s) * 1000,
-                    handshake_ms=between(rng, s.handshake_us) / 1000,
-                    connections=max(1, round(between(rng, s.connections_per_core) * cores)),
-                    error_rate=between(rng, s.error_rate),
-                    noise=between(rng, s.attempt_noise),
-                    report_period_ms=between(rng, s.report_period_ms),
-                    report_delay_ms=between(rng, s.report_delay_ms),
-                    report_noise=between(rng, s.report_noise),
+                    slots=max(1, round(draw_between(rng, s.slots_per_core) * cores)),
+                    queue=round(draw_between(rng, s.queue_per_core) * cores),
+                    thrash=draw_between(rng, s.thrash),
+                    thrash_at=draw_between(rng, s.thrash_at),
+                    cold_from=draw_between(rng, s.cold_from),
+                    cold_ms=draw_between(rng, s.cold_s) * 1000,
+                    handshake_ms=draw_between(rng, s.handshake_us) / 1000,
+                    connections=max(1, round(draw_between(rng, s.connections_per_core) * cores)),
+                    error_rate=draw_between(rng, s.error_rate),
+                    noise=draw_between(rng, s.attempt_noise),
+                    report_period_ms=draw_between(rng, s.report_period_ms),
+                    report_delay_ms=draw_between(rng, s.report_delay_ms),
+                    report_noise=draw_between(rng, s.report_noise),
                     drops_expired=s.drops_expired,
                     at_start=i < s.count,
                 )
@@ -259,11 +261,11 @@
         return made
 
     def _draw_plan(self, plan: Plan) -> PlanFigures:
-        rng = self.dice.stream("plan", plan.name)
+        rng = self.random_streams.stream("plan", plan.name)
         largest = self.scenario.load.most_units
-        rate = between(rng, plan.rate_per_s)
-        ceiling = between(rng, plan.ceiling)
-        burst = max(rate * between(rng, plan.burst_s), largest * (4.0 if ceiling else 2.0))
+        rate = draw_between(rng, plan.rate_per_s)
+        ceiling = draw_between(rng, plan.ceiling)
+        burst = max(rate * draw_between(rng, plan.burst_s), largest * (4.0 if ceiling else 2.0))
         slack = max(self.scenario.rules.ceiling_slack * burst * ceiling, largest) if ceiling else 0.0
         return PlanFigures(
             plan.name, rate, burst, plan.price, plan.over_cost, rate * ceiling, burst * ceiling, slack
@@ -307,25 +309,25 @@
 class Market:
     """The customers and what they want."""
 
-    def __init__(self, drawn: Drawn) -> None:
+    def __init__(self, drawn: GeneratedWorld) -> None:
         self._drawn, self._load = drawn, drawn.scenario.load
         self._length_ms = drawn.scenario.length_s * 1000
-        rng = drawn.dice.stream("customers")
-        self._units = self._mean_units(drawn.dice.stream("units"))
+        rng = drawn.random_streams.stream("customers")
+        self._units = self._mean_units(drawn.random_streams.stream("units"))
         self.customers: list[Customer] = []
         base, spikes = self._draw_customers(rng)
         self.shift_ms = (
             rng.uniform(self._load.shift_s.least, self._load.shift_s.most, len(self.customers)) * 1000
         )
         self.shares = self._draw_shares(rng)
-        due, who = self._draw_arrivals(drawn.dice.stream("arrivals"), base, spikes)
-        self.tries = self._draw_tries(drawn.dice.stream("tries"), due, who)
+        due, who = self._draw_arrivals(drawn.random_streams.stream("arrivals"), base, spikes)
+        self.tries = self._draw_tries(drawn.random_streams.stream("tries"), due, who)
 
     def _work(self, rng: np.random.Generator, classes: np.ndarray) -> np.ndarray:
         """Milliseconds of a core, by class."""
         spread = np.array(
             [
-                between(self._drawn.dice.stream("spread", c.name), c.spread)
+                draw_between(self._drawn.random_streams.stream("spread", c.name), c.spread)
                 for c in self._drawn.scenario.classes
             ]
         )
@@ -351,7 +353,7 @@
         load = self._load
         shares = np.array([plan.share for plan in self._drawn.scenario.plans])
         shares = shares / shares.sum()
-        full, heavy, spiky = (between(rng, span) for span in (load.full, load.heavy, load.spiky))
+        full, heavy, spiky = (draw_between(rng, span) for span in (load.full, load.heavy, load.spiky))
         calm = (load.calm_use.least + load.calm_use.most) / 2
         rest = max(0.0, 1 - full - heavy - spiky)
         mean_use = (rest + spiky) * calm + full * sum(FULL_USE) / 2 + heavy
@@ -402,7 +404,7 @@
     def _draw_shares(self, rng: np.random.Generator) -> list[np.ndarray]:
         """By customer, an array (epochs, width): what part of its requests comes through which gateways,
         summed up from the first."""
-        skew = max(between(rng, self._load.skew), 1e-3)
+        skew = max(draw_between(rng, self._load.skew), 1e-3)
         shares = []
         for i, customer in enumerate(self.customers):
             epochs = int(self._length_ms / self.shift_ms[i]) + 2
@@ -426,7 +428,7 @@
     ) -> tuple[np.ndarray, np.ndarray]:
         """When who wants something: times in milliseconds, customers by number, in order of time."""
         load, length = self._load, self._length_ms
-        swing = between(rng, load.swing)
+        swing = draw_between(rng, load.swing)
         top = (1 + swing) * max(1.0, load.to_per_s / load.rate_per_s if load.shape != "steady" else 1.0)
         count = rng.poisson(base.sum() * length / 1000 * top)
         at = rng.uniform(0, length, count)
@@ -435,11 +437,11 @@
         for customer, rate in spikes:
             start = rng.uniform(0, load.spike_every_s.most * 1000)
             while start < length:
-                lasts = between(rng, load.spike_s) * 1000
-                times = between(rng, load.spike_times)
+                lasts = draw_between(rng, load.spike_s) * 1000
+                times = draw_between(rng, load.spike_times)
                 extra = rng.uniform(start, start + lasts, rng.poisson(rate * times * lasts / 1000))
                 parts.append((extra[extra < length], np.full((extra < length).sum(), customer)))
-                start += between(rng, load.spike_every_s) * 1000
+                start += draw_between(rng, load.spike_every_s) * 1000
         parts += self._draw_floods()
         due, who = np.concatenate([p[0] for p in parts]), np.concatenate([p[1] for p in parts])
         order = np.argsort(due, kind="stable")
@@ -450,10 +452,10 @@
         for i, fault in enumerate(self._drawn.scenario.faults):
             if fault.kind != "flood":
                 continue
-            rng = self._drawn.dice.stream("fault", i)
-            start, lasts = fault.at_s * 1000, between(rng, fault.for_s) * 1000
+            rng = self._drawn.random_streams.stream("fault", i)
+            start, lasts = fault.at_s * 1000, draw_between(rng, fault.for_s) * 1000
             lasts = min(lasts, self._length_ms - start)
-            count = rng.poisson(between(rng, fault.size) * self._load.rate_per_s * lasts / 1000)
+            count = rng.poisson(draw_between(rng, fault.size) * self._load.rate_per_s * lasts / 1000)
             chosen = rng.choice(len(self.customers), min(fault.customers, len(self.customers)), replace=False)
             parts.append((rng.uniform(start, start + lasts, count), rng.choice(chosen, count)))
         return parts
@@ -463,12 +465,14 @@
         classes = self._classes(rng, count)
         work = self._work(rng, classes)
         units = self._units_of(work, classes)
-        guess = units * np.exp(rng.standard_normal(count) * between(rng, s.load.guess_spread))
+        guess = units * np.exp(rng.standard_normal(count) * draw_between(rng, s.load.guess_spread))
         guess = np.clip(np.rint(guess), 1, s.load.most_units).astype(int)
         deadlines = np.array([c.deadline_ms for c in s.classes])[classes]
         try_ms = deadlines * rng.uniform(s.clients.try_share.least, s.clients.try_share.most, count)
-        leaves = np.where(rng.random(count) < between(rng, s.clients.impatient), rng.uniform(20, try_ms), 0.0)
-        honours = rng.random(count) < between(rng, s.clients.honour)
+        leaves = np.where(
+            rng.random(count) < draw_between(rng, s.clients.impatient), rng.uniform(20, try_ms), 0.0
+        )
+        honours = rng.random(count) < draw_between(rng, s.clients.honour)
         lucks = rng.random((count, s.clients.retries + 1, 2))
         return [
             FirstTry(
@@ -511,19 +515,19 @@
 class FaultPlan:
     """The scenario's faults as changes of single things at times."""
 
-    def __init__(self, drawn: Drawn) -> None:
+    def __init__(self, drawn: GeneratedWorld) -> None:
         self._drawn = drawn
         self._here = [server for server in drawn.servers if server.at_start]
         self._new = [server for server in drawn.servers if not server.at_start]
 
-    def changes(self) -> Iterator[Change]:
+    def changes(self) -> Iterator[FaultEvent]:
         """All of them, in the order of the faults."""
         for i, fault in enumerate(self._drawn.scenario.faults):
             if fault.kind == "flood":
                 continue  # it is in the load
-            rng = self._drawn.dice.stream("fault", i)
-            part = between(rng, fault.part)
-            at, until = fault.at_s * 1000, (fault.at_s + between(rng, fault.for_s)) * 1000
+            rng = self._drawn.random_streams.stream("fault", i)
+            part = draw_between(rng, fault.part)
+            at, until = fault.at_s * 1000, (fault.at_s + draw_between(rng, fault.for_s)) * 1000
             play = self._simple if fault.kind in SIMPLE else getattr(self, f"_{fault.kind}")
             yield from play(fault, rng, part, at, until)
 
@@ -546,58 +550,58 @@
 
     def _simple(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         strikes, begins, ends, none = SIMPLE[fault.kind]
         struck = {SERVERS: self._servers, GATEWAYS: self._gateways, HOLDING: self._holding}
         names = struck.get(strikes, lambda rng, part: [""])
         for name in names(rng, part):
-            size = 0.0 if none is None else between(rng, fault.size)
-            yield Change(at, begins, name, size)
-            yield Change(until, ends, name, none or 0.0)
+            size = 0.0 if none is None else draw_between(rng, fault.size)
+            yield FaultEvent(at, begins, name, size)
+            yield FaultEvent(until, ends, name, none or 0.0)
 
     def _cut_off(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         zone = self._zone(fault, rng)
-        yield Change(at, "zone_cut", zone)
-        yield Change(until, "zone_joined", zone)
+        yield FaultEvent(at, "zone_cut", zone)
+        yield FaultEvent(until, "zone_joined", zone)
 
     def _zone_lost(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         """All that stands in a zone: its servers, its gateways, and the counter in the first one."""
         zone = self._zone(fault, rng)
         for server in self._here:
             if server.zone == zone:
-                yield Change(at, "server_silent", server.name)
-                yield Change(until, "server_start", server.name)
+                yield FaultEvent(at, "server_silent", server.name)
+                yield FaultEvent(until, "server_start", server.name)
         for gateway in self._drawn.gateways:
             if gateway.zone == zone:
-                yield Change(at, "gateway_kill", gateway.name)
-                yield Change(until, "gateway_start", gateway.name)
+                yield FaultEvent(at, "gateway_kill", gateway.name)
+                yield FaultEvent(until, "gateway_start", gateway.name)
         if zone == self._drawn.scenario.fleet.zones[0]:
-            yield Change(at, "counter_down")
-            yield Change(until, "counter_up")
+            yield FaultEvent(at, "counter_down")
+            yield FaultEvent(until, "counter_up")
 
     def _gateway_restarted(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         for i, name in enumerate(self._gateways(rng, part)):
-            yield Change(at + i * STEP_S * 1000, "gateway_restart", name)
+            yield FaultEvent(at + i * STEP_S * 1000, "gateway_restart", name)
 
     def _reconfigured(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         for gateway in self._drawn.gateways:
-            yield Change(at, "gateway_move", gateway.name)
+            yield FaultEvent(at, "gateway_move", gateway.name)
 
     def _release(
         self, fault: Fault, rng: np.random.Generator, part: float, at: float, until: float
-    ) -> Iterator[Change]:
+    ) -> Iterator[FaultEvent]:
         """Servers replaced one after another: the new one comes, the old one drains, then is gone."""
         names = self._servers(rng, part)
         for i, name in enumerate(names):
             then = at + (until - at) * i / len(names)
-            yield Change(then, "server_start", self._new.pop(0).name)
-            yield Change(then, "server_drain", name)
-            yield Change(then + DRAIN_S * 1000, "server_stop", name)
+            yield FaultEvent(then, "server_start", self._new.pop(0).name)
+            yield FaultEvent(then, "server_drain", name)
+            yield FaultEvent(then + DRAIN_S * 1000, "server_stop", name)
--- a/plumwall/world/quota.py
+++ b/plumwall/world/quota.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Store:
+class TokenBucket:
     """Units that fill at a rate up to a size; starts full."""
 
     rate: float  # units a second
@@ -15,11 +15,11 @@
     at_ms: float = 0.0
 
     @classmethod
-    def full(cls, rate: float, size: float) -> Store:
+    def full(cls, rate: float, size: float) -> TokenBucket:
         """A store at its start."""
         return cls(rate, size, size)
 
-    def fill(self, now: float) -> float:
+    def refill(self, now: float) -> float:
         """What it holds at a time."""
         if now > self.at_ms:
             self.units = min(self.size, self.units + self.rate * (now - self.at_ms) / 1000)
@@ -28,11 +28,11 @@
 
     def take(self, now: float, units: float) -> bool:
         """Take units if they are there."""
-        if self.fill(now) < units:
+        if self.refill(now) < units:
             return False
         self.units -= units
         return True
 
-    def settle(self, now: float, more: float) -> None:
+    def adjust(self, now: float, more: float) -> None:
         """Take a difference that was found out later, or give it back; it may go below nothing."""
-        self.units = min(self.size, self.fill(now) - more)
+        self.units = min(self.size, self.refill(now) - more)
--- a/plumwall/world/server.py
+++ b/plumwall/world/server.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from plumwall.world.drawn import ServerSpec
+from plumwall.world.generator import ServerSpec
 
 LOOK_MS = 100.0  # how long a rate is held constant while a server warms up
 FAST_MS = 1.0  # what a request costs a server that fails it or knows its answer
@@ -39,7 +39,7 @@
     done: object = None  # who is told; the model does not look at it
 
 
-class Pod:
+class DeduplicationGroup:
     """Servers that drop repeats of a key together."""
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
     def __init__(
         self,
         spec: ServerSpec,
-        pod: Pod,
+        pod: DeduplicationGroup,
         rng: np.random.Generator,
         now: float,
         cold: bool,
@@ -93,7 +93,7 @@
         self._waiting: deque[Job] = deque()
         self._over: list[Job] = []  # ended outside of `advance`
         self._pressure = Pressure()
-        self.draining = self.fallen = False
+        self.draining = self.has_collapsed = False
         self.fails = 0.0  # share of requests that it fails at once
         self.slow = 1.0  # how many times as long everything takes
         self._busy_ms, self._report_from = 0.0, now
@@ -124,9 +124,9 @@
     def offer(self, now: float, job: Job) -> str:
         """Take a request that has arrived whole. What it says at once, or `SERVED` if it was taken in."""
         self._step(now)  # what ends by it is told at the next `advance`
-        if self._cold and not self.fallen:
+        if self._cold and not self.has_collapsed:
             self._press(now, job.work_ms)
-        if self.fallen:
+        if self.has_collapsed:
             return FULL
         if self.draining:
             return DRAINING
@@ -205,7 +205,7 @@
         mean = total / len(self._pressure.sent)
         budget = self._fall_multiple * self.capacity(now) * self._fall_ms + CHANCE * mean
         if total > budget:
-            self.fallen = True
+            self.has_collapsed = True
 
     def _rate(self, now: float) -> float:
         """Work that each request in work gets done in a millisecond. Holding too many costs efficiency."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,11 +23,11 @@
 hypothesis.settings.register_profile("steady", derandomize=True, deadline=None)
 hypothesis.settings.load_profile("steady")
 
-SAFE = api.RequestClass("read", aim_ms=1000, deadline_ms=4000, worth=3)
+SAFE = api.RequestClass("read", objective_ms=1000, deadline_ms=4000, worth=3)
 KEYED = api.RequestClass(
-    "put", aim_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone", window_ms=3000
+    "put", objective_ms=1000, deadline_ms=4000, worth=5, effect="keyed", key_scope="zone", window_ms=3000
 )
-UNSAFE = api.RequestClass("pay", aim_ms=1000, deadline_ms=4000, worth=5, effect="unsafe")
+UNSAFE = api.RequestClass("pay", objective_ms=1000, deadline_ms=4000, worth=5, effect="unsafe")
 PLAN = api.Plan("basic", rate=2, burst=6)
 CAPPED = api.Plan("capped", rate=5, burst=10, worth=1.4, over_worth=0.2, ceiling_rate=10, ceiling_burst=20)
 OPEN = api.Plan("open")
@@ -42,7 +42,7 @@
         cancel=True,
         retry_after=True,
         max_retry_after_ms=2000,
-        may_count=True,
+        counter_enabled=True,
         tick_ms=2,
         cold_from=0.2,
         cold_ms=10000,
@@ -96,7 +96,8 @@
         sends = [a for _, a in self.log if isinstance(a, api.Send) and a.request == rid]
         n = len(sends) - 1 if attempt is None else attempt
         return self.give(
-            api.Outcome(rid, n, sends[n].server, result, took, result == api.OK, true_units=true_units), after
+            api.Outcome(rid, n, sends[n].server, result, took, result == api.OK, billed_units=true_units),
+            after,
         )
 
     def sweep(self, times: int = 1, every: float = 100) -> None:
@@ -424,7 +425,7 @@
         finally:
             writer.close()
 
-    async def figures(self) -> dict[str, float]:
+    async def metrics(self) -> dict[str, float]:
         """The figures by name, label included."""
         lines = (await self.ops("/ops/stats")).body.decode().splitlines()
         return {name: float(value) for name, _, value in (line.rpartition(" ") for line in lines)}
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from plumwall.world.quota import Store
+from plumwall.world.quota import TokenBucket
 from yewstage.holding.accounts import Accounts, Ask
-from yewstage.holding.keys import Keys
+from yewstage.holding.keys import KeyStore
 from yewstage.registry.store import RefusedError, Rules
 
 RATE, BURST, LIFE_MS, DRIFT = 20.0, 30.0, 3000.0, 0.01
@@ -22,8 +22,8 @@
     rng: random.Random
     fills: float  # units a second
     now: float = 1e6
-    store: Store = field(init=False)
-    keys: Keys = field(default_factory=lambda: Keys(Rules(drift=DRIFT)))
+    store: TokenBucket = field(init=False)
+    keys: KeyStore = field(default_factory=lambda: KeyStore(Rules(drift=DRIFT)))
     shares: dict[str, list[float]] = field(default_factory=dict)  # by gateway: units left, until when
     serials: dict[str, int] = field(default_factory=dict)
     asks: list[Ask] = field(default_factory=list)  # that were made: they may come again, whenever
@@ -32,7 +32,7 @@
     spent: float = 0.0
 
     def __post_init__(self) -> None:
-        self.store = Store(self.fills, BURST, BURST, self.now)
+        self.store = TokenBucket(self.fills, BURST, BURST, self.now)
 
     def leaders(self) -> float:
         return self.now * self.rate + self.off
@@ -72,7 +72,7 @@
         units = share[0] if self.rng.random() < 0.4 else share[0] * self.rng.random()
         share[0] -= units
         self.spent += units
-        assert self.store.fill(self.now) >= units - 1e-6, (self.now, units, self.store.units)
+        assert self.store.refill(self.now) >= units - 1e-6, (self.now, units, self.store.units)
         self.store.units -= units
 
     def wait(self) -> None:
@@ -83,7 +83,7 @@
         state = self.keys.snapshot()
         self.rate = self.rng.uniform(1 - DRIFT / 2, 1 + DRIFT / 2)
         self.off = self.rng.uniform(-1e7, 1e7)
-        self.keys = Keys.restored(Rules(drift=DRIFT), state, self.leaders())
+        self.keys = KeyStore.restored(Rules(drift=DRIFT), state, self.leaders())
 
     def forget(self) -> None:
         if (entry := self.keys.plan_forget(self.leaders())) is not None:
@@ -152,8 +152,8 @@
 
 
 def test_accounts_are_bounded_and_folders_of_earlier_versions_are_read() -> None:
-    old = Keys.restored(Rules(), {"keys": {"k": ["g/1", 5000.0]}}, 0.0)
-    assert old.records["k"].by == "g/1" and not old.accounts.all
+    old = KeyStore.restored(Rules(), {"keys": {"k": ["g/1", 5000.0]}}, 0.0)
+    assert old.records["k"].claimant == "g/1" and not old.accounts.all
     accounts = Accounts(DRIFT)
     accounts.all = dict.fromkeys(map(str, range(100_000)))
     with pytest.raises(RefusedError, match="accounts are open already"):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from conftest import LOOP, Driver, Rig, instance, message, of, on_loop, read_message, reply
 
 from yewstage import interface as api
-from yewstage.net.hosts import Attempt, Hosts
+from yewstage.net.attempts import Attempt, AttemptRunner
 from yewstage.net.http1 import Reply
 
 BIG = bytes(range(256)) * 4096 * 3  # 3 MB, more than all buffers on the way hold
@@ -94,7 +94,7 @@
                     await writer.drain()
                 answer = await read_message(reader, writer)
                 assert answer.body.decode() == f"{len(BIG)} {digest(BIG)}"
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures["gateway_relayed_total"] == 2 and figures["gateway_open_requests"] == 0
 
     on_loop(scenario)
@@ -154,7 +154,7 @@
                 assert head.startswith(b"HTTP/1.1 200") and b"close" not in head
                 assert await body_of(head, reader) == BIG
             assert rig.connections == (2 if how == "close" else 1)
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 2
             assert figures["gateway_open_requests"] == 0
 
@@ -241,7 +241,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ValueError)):
                 await body_of(head, reader)
             assert rig.connections == 1  # what has begun is not tried again
-            assert (await rig.figures())['gateway_faulted_total{priority="read"}'] == 1
+            assert (await rig.metrics())['gateway_faulted_total{priority="read"}'] == 1
 
     on_loop(scenario)
 
@@ -408,22 +408,24 @@
 
 
 def test_the_module_sends_a_body_that_is_not_kept_once() -> None:
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     out = d.give(api.Request("r", "read", "open", "c", 4000, 1, 3, 0, False, False))
     (send,) = of(out, api.Send)
     assert not of(d.give(api.Outcome("r", 0, send.server, api.CONNECT_FAILED, 5, False)), api.Send)
     assert any(isinstance(a, api.Refuse) and a.request == "r" for _, a in d.log)
 
 
-@pytest.mark.parametrize("result", [api.CONNECT_FAILED, api.MOOT])
+@pytest.mark.parametrize("result", [api.CONNECT_FAILED, api.START_EXPIRED])
 def test_the_module_sends_a_long_body_elsewhere_while_none_of_it_has_left(result: str) -> None:
     d = Driver()
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
     first = of([act for _, act in d.log], api.Send)[0]
-    (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, unbegun=True)), api.Send)
-    assert second.server != first.server and d.gateway.held["u"].loading
+    (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send)
+    assert second.server != first.server and d.gateway.open_requests["u"].loading
     (refused,) = of(d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse)
-    assert refused.request == "u" and not d.gateway.held and d.gateway.uses["c"].loading == 0
+    assert (
+        refused.request == "u" and not d.gateway.open_requests and d.gateway.customer_quotas["c"].loading == 0
+    )
 
 
 def test_a_long_body_whose_dial_failed_reaches_a_second_server_whole(tmp_path: Path) -> None:
@@ -436,45 +438,45 @@
                 rid = b"body-%d" % n
                 assert await rig.status(message("put", body=body, rid=rid)) == 200
             assert [seen.body for seen in here.seen] == [body] * 8 and not gone.seen
-            assert (await rig.figures())['gateway_dials_total{result="failed"}'] >= 1
+            assert (await rig.metrics())['gateway_dials_total{result="failed"}'] >= 1
 
     on_loop(scenario)
 
 
 def test_what_is_on_its_way_stays_out_of_the_ceilings_store() -> None:
     """The store is asked for them once they are whole: until then our part must not fill up behind them."""
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     d.sweep(100)  # 10 s: full, 20 units
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
         assert of(d.give(upload), api.Send)
-    d.gateway.uses["c"].left = 1e6  # the quota is not what is looked at
+    d.gateway.customer_quotas["c"].left = 1e6  # the quota is not what is looked at
     d.sweep(100)
-    assert d.gateway.uses["c"].loading == 10
-    d.gateway._ceiling_has(d.gateway.uses["c"], 0)
-    assert d.gateway.uses["c"].ceiling == 10  # with the 10 on their way, the store's 20
+    assert d.gateway.customer_quotas["c"].loading == 10
+    d.gateway._ceiling_has(d.gateway.customer_quotas["c"], 0)
+    assert d.gateway.customer_quotas["c"].ceiling == 10  # with the 10 on their way, the store's 20
     d.give(api.Uploaded("u0"))
-    assert d.gateway.uses["c"].loading == 9
+    assert d.gateway.customer_quotas["c"].loading == 9
 
 
 def test_a_started_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     assert host.open == 1
     d.give(api.StreamStarted(rid, 0))
     assert host.open == 0
     assert not of(d.end(rid, api.RESET), api.Send)  # nor is it tried again
-    assert host.open == 0 and not d.gateway.held
+    assert host.open == 0 and not d.gateway.open_requests
 
 
 def test_a_body_on_its_way_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     assert host.open == 0
     d.give(api.Uploaded("u"), 3000)
-    assert host.open == 1 and d.gateway.held["u"].attempts[0].sent == d.now
+    assert host.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
     d.give(api.Outcome("u", 0, "h0", api.OK, 20, True))
     assert host.open == 0
 
@@ -486,7 +488,7 @@
     assert (d.gateway.done, d.gateway.q_n) == (1, 1)
     d.give(api.Outcome(rid, 0, "h0", api.OK, 40, True), 9000)
     assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # once
-    assert not d.gateway.held
+    assert not d.gateway.open_requests
 
 
 def test_the_time_that_a_host_needed_ends_with_its_answers_head(tmp_path: Path) -> None:
@@ -501,7 +503,7 @@
 
         server = await asyncio.start_server(drips, LOOP, 0)
         owner = Owner()
-        hosts = Hosts(asyncio.get_running_loop(), 8, 250, 15000, owner)
+        hosts = AttemptRunner(asyncio.get_running_loop(), 8, 250, 15000, owner)
         hosts.pool.update({"s": server.sockets[0].getsockname()}, set())
         attempt = Attempt("r", 0, "s", b"GET / HTTP/1.1\r\n\r\n", time.monotonic())
         hosts.send(attempt, 60)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -7,7 +7,7 @@
 import pytest
 
 from yewstage.net import budget as budget_module
-from yewstage.net.budget import READ, STALL_S, TURN_S, Budget, Held
+from yewstage.net.budget import READ, STALL_S, TURN_S, MemoryAccount, MemoryBudget
 
 MOST = 40 * READ
 
@@ -17,21 +17,21 @@
 
     def __init__(self, most: int = MOST) -> None:
         self.now = 0.0
-        self.budget = Budget(most, lambda: self.now)
-        self.stopped: dict[Held, bool] = {}
-        self.evicted: list[Held] = []
+        self.budget = MemoryBudget(most, lambda: self.now)
+        self.stopped: dict[MemoryAccount, bool] = {}
+        self.evicted: list[MemoryAccount] = []
 
-    def open(self, use: str = "answers") -> Held:
-        held = self.budget.account(use)
+    def open(self, use: str = "answers") -> MemoryAccount:
+        held = self.budget.open_account(use)
         self.stopped[held] = False
         held.begin(lambda stop: self.stopped.__setitem__(held, stop), lambda: self.evict(held))
         return held
 
-    def evict(self, held: Held) -> None:
+    def evict(self, held: MemoryAccount) -> None:
         self.evicted.append(held)
         held.end()
 
-    def piece(self, held: Held, size: int = READ) -> bool:
+    def piece(self, held: MemoryAccount, size: int = READ) -> bool:
         """A read of a stream, if it may read; its client takes nothing yet."""
         if self.stopped[held]:
             return False
@@ -46,7 +46,7 @@
         s.piece(s.open())
     assert s.budget.held <= budget_module.HIGH * MOST and not s.budget.admits_long()
     assert s.budget.admits(64 * 1024)  # of the part that long bodies leave
-    small = s.budget.account("requests")
+    small = s.budget.open_account("requests")
     small.set(MOST - s.budget.held)
     assert not s.budget.admits(1)
     small.end()
@@ -152,10 +152,10 @@
 def test_random_lives_leave_the_count_at_zero_and_never_pass_the_budget(seed: int) -> None:
     r = random.Random(seed)
     s = Streams(r.choice((8, 40)) * READ)
-    small: list[Held] = []
+    small: list[MemoryAccount] = []
     for _ in range(3000):
         s.now += r.choice((0.0, 0.01, 0.3))
-        live = [held for held in s.stopped if held.stop is not None]
+        live = [held for held in s.stopped if held.pause_reading is not None]
         held = r.choice(live) if live else s.open()
         match r.randrange(9):
             case 0:
@@ -174,7 +174,7 @@
                 if small and r.random() < 0.5:
                     small.pop().end()
                 elif s.budget.admits(size := r.randrange(64 * 1024)):
-                    small.append(s.budget.account("requests"))
+                    small.append(s.budget.open_account("requests"))
                     small[-1].set(size)
         s.budget.check()
         streams = sum(held.bytes for held in s.stopped)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,16 @@
 CLASSES = {c.name: c for c in (SAFE, SHORT, UNSAFE)}
 CAP = api.Plan("cap", parallel=6)
 PLANS = (PLAN, CAPPED, OPEN, CAP)
-RESULTS = [api.OK, api.ERROR, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED, api.RESET, api.CANCELLED, api.MOOT]
+RESULTS = [
+    api.OK,
+    api.ERROR,
+    api.FULL,
+    api.TIMED_OUT,
+    api.CONNECT_FAILED,
+    api.RESET,
+    api.CANCELLED,
+    api.START_EXPIRED,
+]
 
 
 @dataclasses.dataclass
@@ -62,7 +71,11 @@
     def settings(self, **changes: object) -> api.Settings:
         changes.setdefault("classes", tuple(CLASSES.values()))
         return settings(
-            plans=PLANS, second_copies=self.copies, cancel=self.cancel, record=self.record, **changes
+            plans=PLANS,
+            second_copies=self.copies,
+            cancel=self.cancel,
+            uses_claim_record=self.record,
+            **changes,
         )
 
     # What the module is told, and what it does
@@ -81,7 +94,7 @@
                 risky = [out for out in asked.attempts if out.ran]
                 assert not risky or asked.cls != "pay", "what may not be repeated was"
                 if risky and asked.cls == "put":
-                    assert 0 <= act.start_ms <= SHORT.window_ms - (self.now - risky[0].sent)
+                    assert 0 <= act.start_deadline_ms <= SHORT.window_ms - (self.now - risky[0].sent)
                 asked.attempts.append(Out(act.server, self.now))
             case api.Refuse():
                 asked = self.end(act.request)
@@ -129,7 +142,16 @@
         self.asked[rid] = Asked(cls, kept)
         self.give(
             api.Request(
-                rid, cls, plan.name, customer + plan.name, left, units, 2, 0, kept=kept, cls=CLASSES[cls]
+                rid,
+                cls,
+                plan.name,
+                customer + plan.name,
+                left,
+                units,
+                2,
+                0,
+                body_is_buffered=kept,
+                cls=CLASSES[cls],
             )
         )
 
@@ -159,8 +181,8 @@
                 result,
                 self.now - out.sent,
                 not asked.owed(),
-                true_units=2.0 if result == api.OK else 0.0,
-                unbegun=unbegun,
+                billed_units=2.0 if result == api.OK else 0.0,
+                nothing_sent=unbegun,
             )
         )
 
@@ -210,7 +232,7 @@
 
     @rule(size=st.sampled_from([2, 3, 40]), tries=st.sampled_from([1, 4]), aim=st.sampled_from([300.0, 1e3]))
     def sighup(self, size: int, tries: int, aim: float) -> None:
-        classes = (dataclasses.replace(SAFE, aim_ms=aim), SHORT, UNSAFE)
+        classes = (dataclasses.replace(SAFE, objective_ms=aim), SHORT, UNSAFE)
         self.give(api.Retuned(self.settings(fleet_size=size, try_limit=tries, classes=classes)))
 
     @precondition(lambda self: not self.handed)
@@ -224,10 +246,12 @@
     def nothing_leaks(self) -> None:
         gateway = self.gateway
         out = {rid for rid, _ in self.out()}
-        assert all(rid in out or rid in self.claims for rid in gateway.held), "held though it is over"
-        for host in gateway.hosts.values():
+        assert all(rid in out or rid in self.claims for rid in gateway.open_requests), (
+            "held though it is over"
+        )
+        for host in gateway.servers.values():
             assert host.open >= 0
-        for use in gateway.uses.values():
+        for use in gateway.customer_quotas.values():
             assert use.open >= 0 and use.loading >= -1e-9
 
     def teardown(self) -> None:
@@ -244,10 +268,10 @@
             self.give(api.TimerDue("sweep"))
         assert not self.out(), "begun though time was up"
         owed = [rid for rid, asked in self.asked.items() if asked.owed()]
-        assert not owed and not self.gateway.held and not self.gateway.asking
-        for use in self.gateway.uses.values():
+        assert not owed and not self.gateway.open_requests and not self.gateway.asking
+        for use in self.gateway.customer_quotas.values():
             assert use.open == 0 and not use.asking and abs(use.loading) < 1e-9
-        assert all(host.open == 0 for host in self.gateway.hosts.values())
+        assert all(host.open == 0 for host in self.gateway.servers.values())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -15,7 +15,7 @@
 import pytest
 from conftest import LOOP, on_loop
 
-from plumwall.emulator.door import Door, respond
+from plumwall.emulator.listening_socket import ListeningSocket, respond
 from plumwall.emulator.tally import Tally
 from plumwall.emulator.timing import not_before
 
@@ -187,7 +187,7 @@
 def test_a_door_serves_refuses_keeps_silent_and_speaks_again() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        door = Door(loop, LOOP, lambda slot: slot.answer(respond(200, b"ok")))
+        door = ListeningSocket(loop, LOOP, lambda slot: slot.answer(respond(200, b"ok")))
         host, port = door.address.split(":")
 
         async def dial(within_s: float = 5.0) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -14,15 +14,15 @@
 from conftest import on_loop
 from test_registry import run
 
-from plumwall.faults.links import StandIn
+from plumwall.faults.links import TcpFaultProxy
 from plumwall.faults.machines import HOST, Machine, Machines
-from plumwall.faults.torture import PLANS, Load, Plan, draw, read_plan, torture
+from plumwall.faults.torture import PLANS, Plan, TortureLoad, draw, read_plan, run_torture
+from yewstage.holding.group_names import LIST_GROUP
 from yewstage.holding.identity import Folder
-from yewstage.holding.kinds import LIST
-from yewstage.holding.members import View, lost, next_change, used_twice
+from yewstage.holding.member_changes import GroupView, lost, next_change, used_twice
 from yewstage.raft.disk import DiskError
 from yewstage.raft.messages import Member, Members
-from yewstage.registry.client import Client, SilentError, Told
+from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 
 WORDS = {"hostPort": f"{HOST}:1", "ttlMs": 60000}
 
@@ -33,13 +33,13 @@
     async def played() -> None:
         async with Machines(folder, count, gone_ms=1500.0, **changes) as machines:
             await machines.init(machines.all[:3])
-            await machines.whole()
+            await machines.wait_until_replicated()
             await scenario(machines)
 
     on_loop(played, 100)
 
 
-async def register(client: Client, name: str) -> Told:
+async def register(client: ServiceClient, name: str) -> ServiceReply:
     """Ask until somebody says yes, as those who register do."""
     while True:
         try:
@@ -47,14 +47,14 @@
                 told = await client.call("PUT", f"/v1/endpoints/{name}", WORDS)
             if told.status == 200:
                 return told
-        except (SilentError, TimeoutError):
+        except (NoAnswerError, TimeoutError):
             client.close()
         await asyncio.sleep(0.02)
 
 
 async def listed(machine: Machine) -> set[str]:
     """What one machine tells, once it tells anything."""
-    client = Client([(HOST, machine.listen)])
+    client = ServiceClient([(HOST, machine.listen)])
     try:
         while True:
             told = await client.call("GET", "/v1/endpoints")
@@ -90,11 +90,11 @@
             await register(client, f"during-{round_}")
             names.add(f"during-{round_}")
             await machines.start(leader)
-            await machines.whole()
+            await machines.wait_until_replicated()
         assert tokens == sorted(set(tokens)) and len(ids) == 3
         for machine in machines.all:
             await eventually(machine, names)
-        assert not ids & {m["id"] for m in (await machines.whole())[LIST]["members"]}
+        assert not ids & {m["id"] for m in (await machines.wait_until_replicated())[LIST_GROUP]["members"]}
         client.close()
 
     with_machines(3, tmp_path, scenario)
@@ -109,13 +109,13 @@
         await eventually(kept, {"s-1"})
         for machine in lost:
             await machine.kill(disk_too=True)
-        alone = Client([(HOST, kept.listen)])
+        alone = ServiceClient([(HOST, kept.listen)])
         told = None
         while told is None or told.status == 421:  # it still believes in a leader that is gone
             await asyncio.sleep(0.05)
             try:
                 told = await alone.call("PUT", "/v1/endpoints/s-2", WORDS)
-            except SilentError:
+            except NoAnswerError:
                 pass
         assert told.status == 503
         while (told := await alone.call("GET", "/v1/endpoints")).status == 200:
@@ -141,7 +141,7 @@
         machines.isolate(behind, out=False)  # it is told nothing more
         told = await register(client, "s-2")
         await eventually(other, {"s-2"})
-        watch = Client([(HOST, behind.listen)])
+        watch = ServiceClient([(HOST, behind.listen)])
         waiting = asyncio.create_task(
             watch.call("GET", f"/v1/endpoints?after={told.body['revision']}&wait_ms=20000", None, 20.0)
         )
@@ -168,8 +168,8 @@
         machine.bring_back()
         await machines.start(machine)
         assert any("brought back from an earlier time" in line for line in machine.lines)
-        status = await machines.whole()
-        assert before not in {m["id"] for m in status[LIST]["members"]}
+        status = await machines.wait_until_replicated()
+        assert before not in {m["id"] for m in status[LIST_GROUP]["members"]}
         await eventually(machine, {"s-1", "s-2"})
         assert await machine.end() == 0
         client.close()
@@ -208,7 +208,7 @@
         assert done.returncode == 0, done.stderr
         for machine in machines.all:
             await machines.start(machine)
-        assert {len(group["members"]) for group in (await machines.whole()).values()} == {3}
+        assert {len(group["members"]) for group in (await machines.wait_until_replicated()).values()} == {3}
         assert await listed(kept) == {"s-1"}
         fresh = machines.client()
         assert (await register(fresh, "s-2")).body["revision"] > told.body["revision"]
@@ -242,7 +242,7 @@
         leader.file_bytes = 0
         await leader.kill()
         await machines.start(leader)
-        await machines.whole()
+        await machines.wait_until_replicated()
         await eventually(leader, {*names, "more"})
         client.close()
 
@@ -263,9 +263,9 @@
         assert again.status == 409
         leader = await machines.leader()
         leader.pause()
-        others = Client([(HOST, m.listen) for m in machines.all if m is not leader])
+        others = ServiceClient([(HOST, m.listen) for m in machines.all if m is not leader])
         await register(others, "s-3")
-        woken = Client([(HOST, leader.listen)])
+        woken = ServiceClient([(HOST, leader.listen)])
         words = {"holder": "h-1", "token": told.body["token"]}
         renewal = asyncio.create_task(woken.call("POST", "/v1/leases/duty/renew", words))
         await asyncio.sleep(0)
@@ -292,7 +292,7 @@
     seen: list[str] = []
 
     async def played() -> None:
-        outcome = await torture(plan, draw(plan, 8, 3), tmp_path, seen.append)
+        outcome = await run_torture(plan, draw(plan, 8, 3), tmp_path, seen.append)
         assert not outcome.breach and outcome.rounds == 8, (outcome, seen)
         assert outcome.writes > 100 and len(outcome.gaps_s) >= 1
 
@@ -311,7 +311,7 @@
                 machine.module = "tests.rogue_holding"
                 await machines.start(machine)
             await machines.init(machines.all, plan.keyed)
-            load = Load(machines, plan)
+            load = TortureLoad(machines, plan)
             load.start()
             while load.writes < 50:
                 await asyncio.sleep(0.01)
@@ -328,10 +328,10 @@
     on_loop(played, 60)
 
 
-def seen(members: Members, homes: str, present: tuple[Member, ...], **silent: float) -> View:
+def seen(members: Members, homes: str, present: tuple[Member, ...], **silent: float) -> GroupView:
     """What n0 sees as leader."""
     ages = {name.replace("_", "."): ms for name, ms in silent.items()}
-    return View("n0.1", members, tuple(homes.split()), ages, present, frozenset(), 4000.0)
+    return GroupView("n0.1", members, tuple(homes.split()), ages, present, frozenset(), 4000.0)
 
 
 THREE = tuple(Member(f"n{i}.1", f"n{i}", f"z{i}", "", "") for i in range(3))
@@ -343,7 +343,7 @@
     assert used_twice(view.present) == ["n2"] and next_change(view) is None
 
 
-def changes(view: View) -> list[set[str]]:
+def changes(view: GroupView) -> list[set[str]]:
     """The members after each change, each learner catching up at once, until nothing is left to do."""
     steps = []
     while (members := next_change(view)) is not None:
@@ -436,19 +436,19 @@
                 writer.write(data.upper())
 
         server = await asyncio.start_server(echo, HOST, 0)
-        link = StandIn(server.sockets[0].getsockname()[:2])
+        link = TcpFaultProxy(server.sockets[0].getsockname()[:2])
         reader, writer = await asyncio.open_connection(*await link.start())
         writer.write(b"one")
         assert await reader.readexactly(3) == b"ONE"
-        link.hold(there=False)
+        link.pause(forward=False)
         writer.write(b"two")
         while len(got) < 2:
             await asyncio.sleep(0)
         link.heal()
         assert await reader.readexactly(3) == b"TWO"
-        link.cut(back=False)
+        link.cut(backward=False)
         writer.write(b"three")
-        while not link.there.lost:
+        while not link.forward.lost:
             await asyncio.sleep(0)
         link.heal()
         assert await reader.read() == b"" and got == [b"one", b"two"]
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,10 +9,10 @@
 from plumwall import scenario as scenarios
 from plumwall.emulator.identity import request_id
 from plumwall.judge import CEILINGS, COLD, DRAINS, EFFECTS, FAULTS, REQUESTS, Judge, Verdict
-from plumwall.world.drawn import Drawn
+from plumwall.world.generator import GeneratedWorld
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
-DAY = Drawn(scenarios.decode("name = 'q'\nlength_s = 20\n[load]\nrate_per_s = 30"), 1)
+DAY = GeneratedWorld(scenarios.decode("name = 'q'\nlength_s = 20\n[load]\nrate_per_s = 30"), 1)
 FIRSTS = {cls: next(t for t in DAY.tries if t.cls == cls) for cls in (SAFE, KEYED, UNSAFE)}
 CELL = next(s for s in DAY.servers if s.cell == DAY.servers[0].cell and s is not DAY.servers[0])
 ELSEWHERE = next(s for s in DAY.servers if s.cell != DAY.servers[0].cell)
@@ -268,8 +268,8 @@
         for record in reversed(story.records):
             writer.write(record)
         writer.flush()
-    assert r.read([path]) == story.records
+    assert r.read_records([path]) == story.records
     path.write_bytes(b'{"t":"asked"}\n')
     with pytest.raises(ValueError, match=r"x\.jsonl:1: .*missing"):
-        r.read([path])
+        r.read_records([path])
     assert msgspec.json.decode(msgspec.json.encode(story.verdict()))["kept"] is True
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -17,7 +17,7 @@
 from plumwall.faults.keyed import KeyedPlan, KeyedTorture
 from yewstage import Gateway
 from yewstage import interface as api
-from yewstage.holding.keys import BEGUN, DONE, MOST, MOST_KEPT, Keyed, Keys
+from yewstage.holding.keys import BEGUN, DONE, MOST, MOST_KEPT, KeyRecord, KeyStore
 from yewstage.registry.store import RefusedError
 
 WINDOW_MS = 1000.0
@@ -30,12 +30,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.store, self.now = Keys(), 0.0
+        self.store, self.now = KeyStore(), 0.0
         self.owner: dict[str, str] = {}
         self.ended: dict[str, str] = {}
         self.until: dict[str, float] = {}  # before which nothing of a key may be forgotten
 
-    def write(self, plan: Callable[[Keys], dict | None]) -> bool:
+    def write(self, plan: Callable[[KeyStore], dict | None]) -> bool:
         try:
             entry = plan(self.store)
         except RefusedError:
@@ -82,7 +82,7 @@
     def another_leads(self) -> None:
         """Who leads next gives everything its whole window anew."""
         state = msgspec.msgpack.decode(msgspec.msgpack.encode(self.store.snapshot()))
-        self.store = Keys.restored(None, state, self.now)
+        self.store = KeyStore.restored(None, state, self.now)
         self.until = {key: self.now + WINDOW_MS for key in self.owner}
 
     def forget(self, key: str) -> None:
@@ -92,7 +92,7 @@
     @invariant()
     def agrees(self) -> None:
         for key, record in self.store.records.items():
-            assert record.by == self.owner[key]
+            assert record.claimant == self.owner[key]
             assert record.state == (DONE if key in self.ended else BEGUN)
             assert record.answer == self.ended.get(key, "")
         assert set(self.store.records) == set(self.owner)
@@ -102,16 +102,16 @@
 
 
 def test_a_full_record_refuses_new_keys_and_keeps_what_it_has() -> None:
-    store = Keys()
+    store = KeyStore()
     for i in range(MOST):
-        store.records[str(i)] = Keyed("g/r", 1.0)
+        store.records[str(i)] = KeyRecord("g/r", 1.0)
     with pytest.raises(RefusedError) as refused:
         store.plan_claim("more", "g/r", 1.0)
     assert refused.value.status == 503 and store.plan_claim("5", "g/r", 1.0) is None
 
 
 def test_past_its_bytes_a_record_knows_that_a_request_is_done_and_not_its_answer() -> None:
-    store = Keys()
+    store = KeyStore()
     for i in range(3):
         store.apply(store.plan_claim(f"k{i}", "g/r", 1.0), 0.0)
         store.apply(store.plan_done(f"k{i}", "g/r", 200, "x" * (MOST_KEPT // 2)), 0.0)
@@ -125,7 +125,7 @@
 
 
 def asked() -> Gateway:
-    settings = api.Settings(classes=(KEYED,), plans=(PLAN,), try_limit=3, tick_ms=4, record=True)
+    settings = api.Settings(classes=(KEYED,), plans=(PLAN,), try_limit=3, tick_ms=4, uses_claim_record=True)
     gateway = Gateway(settings, seed=1)
     gateway.handle(0, api.ServerList("full", (api.Server("a", "za", 0), api.Server("b", "zb", 1))))
     request = api.Request("r", "put", "basic", "c", time_left_ms=2000)
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize(
     ("result", "answer"),
-    [("done", api.Recall("r")), ("held", api.Fail("r")), ("silent", api.Refuse("r", why="no record"))],
+    [("done", api.Recall("r")), ("held", api.Fail("r")), ("silent", api.Refuse("r", reason="no record"))],
 )
 def test_what_another_request_has_of_a_key_is_never_sent_on(result: str, answer: api.Action) -> None:
     gateway = asked()
@@ -167,7 +167,7 @@
 def test_one_whose_claim_comes_too_late_is_refused_and_frees_the_key() -> None:
     gateway = asked()
     assert gateway.handle(2500, api.Claimed("r", "yours")) == [
-        api.Refuse("r", why="gave up"),
+        api.Refuse("r", reason="gave up"),
         api.Release("r"),
     ]
 
@@ -224,7 +224,7 @@
         (claim, first), (done, last) = keeper.calls
         assert (claim, done) == ("claim", "done") and first["by"] == last["by"] and last["status"] == 200
         assert base64.b64decode(last["answer"]).endswith(b"\neffect") and len(rig.hosts[0].seen) == 1
-        assert (await rig.figures())['gateway_keyed_claims_total{result="yours"}'] == 1
+        assert (await rig.metrics())['gateway_keyed_claims_total{result="yours"}'] == 1
 
     with_keeper(tmp_path, lambda verb, _: told({"state": "yours" if verb == "claim" else "done"}), scenario)
 
