--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from plumwall.faults.linear import NEVER, Call, breach, linearizable
-from plumwall.faults.links import DatagramStandIn
+from plumwall.faults.links import UdpFaultProxy
 from plumwall.faults.torture import claimed
 
 WHO = ("a", "b", "c")
@@ -87,21 +87,21 @@
         loop = asyncio.get_running_loop()
         far_transport, far = await loop.create_datagram_endpoint(Peer, local_addr=("127.0.0.1", 0))
         near_transport, near = await loop.create_datagram_endpoint(Peer, local_addr=("127.0.0.1", 0))
-        link = DatagramStandIn(far_transport.get_extra_info("sockname")[:2], random.Random(3))
+        link = UdpFaultProxy(far_transport.get_extra_info("sockname")[:2], random.Random(3))
         address = await link.start()
         near_transport.sendto(b"ask 0", address)
         await near.until(1)
         assert near.heard == [b"told ask 0"]
-        link.back.lost = 1.0  # the far side hears, and is not heard
+        link.backward.lost = 1.0  # the far side hears, and is not heard
         near_transport.sendto(b"ask 1", address)
         await far.until(2)
-        while not link.back.dropped:
+        while not link.backward.dropped:
             await asyncio.sleep(0)
         link.heal()
-        link.there.repeated, link.there.holding = 1.0, True
+        link.forward.repeated, link.forward.holding = 1.0, True
         for i in range(2, 7):
             near_transport.sendto(b"ask %d" % i, address)
-        while len(link.there.held) < 10:
+        while len(link.forward.held) < 10:
             await asyncio.sleep(0)
         assert len(far.heard) == 2
         link.heal()
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -12,7 +12,7 @@
 import pytest
 from conftest import Rig, message, on_loop, reply
 
-from yewstage.log import JSON, TEXT, Event, Several, set_up
+from yewstage.log import JSON, TEXT, Event, JoinedList, configure_logging
 
 ROOT = Path(__file__).parent.parent
 
@@ -34,7 +34,7 @@
     root = logging.getLogger()
     monkeypatch.setattr(root, "handlers", [])
     monkeypatch.setattr(root, "level", logging.WARNING)
-    set_up("n0", style, {"gateway": "n0"}, lines_per_s)
+    configure_logging("n0", style, {"gateway": "n0"}, lines_per_s)
     for event in events:
         if event.name == "next_second":
             monkeypatch.setattr("yewstage.log.time.monotonic", lambda: 2.0)
@@ -48,7 +48,7 @@
     request="r-1",
     status=503,
     took_ms=12.345,
-    attempts=Several([Attempt(), "not sent"]),
+    attempts=JoinedList([Attempt(), "not sent"]),
 )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -28,17 +28,17 @@
     LONGEST,
     SUSPECT,
     BadDatagramError,
-    Letter,
+    Datagram,
+    MemberRow,
     Page,
     Ping,
-    Row,
-    opened,
-    sealed,
+    seal,
+    unseal,
 )
 from yewstage.membership.swim import Settings, Swim
 from yewstage.net.config import ConfigError
 
-ROW = Row("g1", 7, "at:1", "a", "west", 1)
+ROW = MemberRow("g1", 7, "at:1", "a", "west", 1)
 ROOT = Path(__file__).parent.parent
 NEW, OLD, FOREIGN = "aa" * 16, "bb" * 16, "cc" * 16
 
@@ -109,15 +109,15 @@
 def test_a_restart_under_the_same_name_is_a_new_life_and_what_the_old_one_said_counts_no_more() -> None:
     net = fleet(6, 10)
     old = net.seats[4].swim
-    said = sealed(Letter("fleet", old.me, 99, Page((net.seats[1].swim.me,))), KEY)
+    said = seal(Datagram("fleet", old.own_row, 99, Page((net.seats[1].swim.own_row,))), KEY)
     net.kill(4)
     net.start(4)  # nobody has missed it yet
     net.until_agreed(20_000)
     swim = net.seats[0].swim
     held = next(row for row in swim.rows() if row.name == "g4")
-    assert held.life == net.seats[4].swim.me.life != old.me.life
+    assert held.start_id == net.seats[4].swim.own_row.start_id != old.own_row.start_id
     before = swim.dropped["earlier life"]
-    swim.handle(net._clock(0), opened(said, "fleet", (KEY,)))
+    swim.handle(net._clock(0), unseal(said, "fleet", (KEY,)))
     assert swim.dropped["earlier life"] == before + 1
     assert not any(seat.swim.contested for seat in net.seats)
 
@@ -129,26 +129,26 @@
     net.run(30_000)
     twins = [net.seats[4].swim, net.seats[5].swim]
     assert any(swim.contested for swim in twins)
-    assert max(swim.me.incarnation for swim in twins) < 20
-    winner = max(twins, key=lambda swim: swim.me.life)
-    held = {next(r for r in seat.swim.rows() if r.name == "g4").life for seat in net.seats[:4]}
-    assert held == {winner.me.life}
+    assert max(swim.own_row.incarnation for swim in twins) < 20
+    winner = max(twins, key=lambda swim: swim.own_row.start_id)
+    held = {next(r for r in seat.swim.rows() if r.name == "g4").start_id for seat in net.seats[:4]}
+    assert held == {winner.own_row.start_id}
 
 
 def test_what_is_sealed_otherwise_is_of_another_cluster_or_too_long_is_counted_and_dropped() -> None:
-    data = sealed(Letter("fleet", ROW, 1, Ping(1, 2)), KEY)
-    assert opened(data, "fleet", (b"o" * 32, KEY)).sender == ROW  # two keys during a change
+    data = seal(Datagram("fleet", ROW, 1, Ping(1, 2)), KEY)
+    assert unseal(data, "fleet", (b"o" * 32, KEY)).sender == ROW  # two keys during a change
     assert len(data) < LONGEST
     for wrong, why in (
         (data[:-1] + bytes((data[-1] ^ 1,)), "forged"),
-        (sealed(Letter("fleet", ROW, 1, Ping(1, 2)), b"x" * 32), "forged"),
-        (sealed(Letter("other", ROW, 1, Ping(1, 2)), KEY), "foreign"),
+        (seal(Datagram("fleet", ROW, 1, Ping(1, 2)), b"x" * 32), "forged"),
+        (seal(Datagram("other", ROW, 1, Ping(1, 2)), KEY), "foreign"),
         (bytes((9,)) + data[1:], "version"),
         (b"", "version"),
         (data + b"x" * LONGEST, "oversized"),
     ):
         with pytest.raises(BadDatagramError, match=why):
-            opened(wrong, "fleet", (KEY,))
+            unseal(wrong, "fleet", (KEY,))
 
 
 SAID = st.tuples(st.integers(0, 3), st.integers(1, 4), st.integers(1, 3))
@@ -158,14 +158,14 @@
 def test_whatever_the_order_all_come_to_hold_the_same_of_a_member(
     said: list[tuple[int, int, int]], rng: random.Random
 ) -> None:
-    rows = [Row("g1", life, "at:1", "a", "west", inc, state) for state, inc, life in said]
+    rows = [MemberRow("g1", life, "at:1", "a", "west", inc, state) for state, inc, life in said]
     held = []
     for _ in range(3):
-        swim = Swim(Row("g0", 1, "at:0", "a", "west", 1), Settings("fleet"), (), random.Random(1), 0.0)
+        swim = Swim(MemberRow("g0", 1, "at:0", "a", "west", 1), Settings("fleet"), (), random.Random(1), 0.0)
         for serial, row in enumerate(rng.sample(rows, len(rows)) + rows[:2], 1):
-            swim.handle(0.0, Letter("fleet", Row("g2", 1, "at:2", "a", "w", 1), serial, Page((row,))))
+            swim.handle(0.0, Datagram("fleet", MemberRow("g2", 1, "at:2", "a", "w", 1), serial, Page((row,))))
         held.append(next((row for row in swim.rows() if row.name == "g1"), None))
-    assert held[0] == held[1] == held[2] == max(rows, key=Row.rank, default=None)
+    assert held[0] == held[1] == held[2] == max(rows, key=MemberRow.rank, default=None)
 
 
 def test_every_letter_fits_into_a_datagram_and_what_it_tells_on_is_bounded() -> None:
@@ -176,7 +176,7 @@
     send = net._send
 
     def noted(seat, to, letter) -> None:
-        longest[0] = max(longest[0], len(sealed(letter, KEY)))
+        longest[0] = max(longest[0], len(seal(letter, KEY)))
         send(seat, to, letter)
 
     net._send = noted
@@ -285,7 +285,7 @@
         fleet.rekey(down, [NEW])
         await fleet.until(names, dict.fromkeys(names, "alive"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            foreign = sealed(Letter("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW))
+            foreign = seal(Datagram("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW))
             for data in (b"\xff" * 64, b"x" * 3000, foreign):
                 sock.sendto(data, (HOST, fleet.gateways["g0"].members))
         while not {"version", "oversized", "foreign"} <= set((await fleet.status("g0"))["dropped"]):
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -32,11 +32,11 @@
 from yewstage.net import clients as clients_module
 from yewstage.net import core as core_module
 from yewstage.net import counter as counter_module
+from yewstage.net.attempts import Attempt, AttemptRunner
 from yewstage.net.config import parse
-from yewstage.net.core import Core, Order
+from yewstage.net.core import ClientRequest, Core
 from yewstage.net.counter import Counter
-from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing, Patience
-from yewstage.net.hosts import Attempt, Hosts
+from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing, WatchTimeouts
 from yewstage.net.http1 import Reply, ReplyProtocol
 
 
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         self.got: asyncio.Queue[int] = asyncio.Queue()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
     def answer(
@@ -79,9 +79,9 @@
         self.got.put_nowait(status)
 
 
-def an_order(deadline_ms: float = 5000) -> Order:
+def an_order(deadline_ms: float = 5000) -> ClientRequest:
     pay = api.RequestClass("pay", 3000, 6000, effect="unsafe")
-    return Order(
+    return ClientRequest(
         "a",
         pay,
         "team",
@@ -110,7 +110,7 @@
         }
     )
     core = Core(config, asyncio.get_running_loop())
-    core._apply(config.known, "kept")
+    core._apply(config.fallback_listing, "kept")
     core._loop.call_soon(core._beat)
     return core, core._gateway
 
@@ -128,7 +128,7 @@
         assert len(host.seen) == 1
         script.plan[api.TimerDue] = [api.Send("r1", "s-0", 100), api.Refuse("r1"), api.Fail("r1")]
         core._post(api.TimerDue("late"))
-        assert script.outcomes() == [api.MOOT]
+        assert script.outcomes() == [api.START_EXPIRED]
         await asyncio.sleep(0.05)
         assert client.got.empty() and len(host.seen) == 1
         host.stop()
@@ -169,7 +169,7 @@
         core, script = await core_with(monkeypatch, host)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         rid = core.request(Answers(), an_order())  # its dial is under way: the loop has not turned yet
-        core.left(rid)
+        core.client_disconnected(rid)
         assert script.outcomes() == [api.CANCELLED] and not core._requests
         assert [e.final for e in script.events if isinstance(e, api.Outcome)] == [True]
         client = Answers()
@@ -210,12 +210,12 @@
             api.Send("r1", "s-0", 1000),
         ]  # the third is beyond the limit of two
         core.request(client, an_order())
-        assert script.outcomes() == [api.CONNECT_FAILED, api.MOOT]
+        assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED]
         await host.until(lambda fake: bool(fake.seen))
         script.plan[api.TimerDue] = [api.Cancel("r1", 0), api.Cancel("r1", 0), api.Fail("r1")]
         core._post(api.TimerDue("cancel"))
         await host.until(lambda fake: fake.closed == 1)
-        assert script.outcomes() == [api.CONNECT_FAILED, api.MOOT, api.CANCELLED]
+        assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED, api.CANCELLED]
         assert await client.got.get() == 502
         assert not core._requests
         host.stop()
@@ -247,7 +247,7 @@
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         monkeypatch.setattr(clients_module, "SPARE_S", 0.0)
-        server = clients_module.Server(core, asyncio.get_running_loop(), 4)  # room for two clients
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)  # room for two clients
         address = server.start((LOOP, 0))
         server.accept()
         kept = []
@@ -268,7 +268,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        server = clients_module.Server(core, asyncio.get_running_loop(), 20)  # room for ten clients
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)  # room for ten clients
         address = server.start((LOOP, 0))
         server.accept()
         closes, kept = [], []
@@ -293,7 +293,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        server = clients_module.Server(core, asyncio.get_running_loop(), 200)
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 200)
         address = server.start((LOOP, 0))
         server.accept()
         with socket.socket() as client:
@@ -321,7 +321,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        server = clients_module.Server(core, asyncio.get_running_loop(), 10)  # room for five clients
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)  # room for five clients
         address = server.start((LOOP, 0))
         server.accept()
         opened = [await asyncio.open_connection(*address) for _ in range(4)]
@@ -374,7 +374,7 @@
         if self._left:
             self._left -= 1
             transport.abort()
-            while not protocol.ended_by:
+            while not protocol.close_cause:
                 await asyncio.sleep(0)
         return transport, protocol
 
@@ -383,7 +383,7 @@
     async def scenario() -> None:
         host = await Fake(lambda seen: reply(b"served")).start()
         ended: asyncio.Queue[str] = asyncio.Queue()
-        hosts = Hosts(BreakingLoop(1), 8, 250, 15000, Told(ended.put_nowait))
+        hosts = AttemptRunner(BreakingLoop(1), 8, 250, 15000, Told(ended.put_nowait))
         hosts.pool.update({"s-0": (LOOP, host.port)}, set())
         for result in (api.CONNECT_FAILED, api.OK):
             hosts.send(Attempt("r1", 0, "s-0", an_order().head + b"\r\n", 0.0), 60)
@@ -417,7 +417,7 @@
         core.request(client, an_order(5000))
         assert await client.got.get() == 200
         await asyncio.sleep(0)
-        assert [e.report for e in script.events if isinstance(e, api.Outcome)] == [report]
+        assert [e.load_report for e in script.events if isinstance(e, api.Outcome)] == [report]
         host.stop()
 
     on_loop(scenario)
@@ -426,10 +426,10 @@
 def test_our_own_want_of_room_is_not_the_hosts_failure() -> None:
     async def scenario() -> None:
         ended: asyncio.Queue[str] = asyncio.Queue()
-        hosts = Hosts(asyncio.get_running_loop(), 0, 25, 15000, Told(ended.put_nowait))
+        hosts = AttemptRunner(asyncio.get_running_loop(), 0, 25, 15000, Told(ended.put_nowait))
         hosts.pool.update({"s-0": (LOOP, 1)}, set())
         hosts.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
-        assert await ended.get() == api.MOOT  # after a wait for room
+        assert await ended.get() == api.START_EXPIRED  # after a wait for room
 
     on_loop(scenario)
 
@@ -445,9 +445,9 @@
         script.links = lambda name: 40
         for _ in range(30):
             await client.got.get()
-        while core._pool.figures()["links_dialling"]:
+        while core._pool.metrics()["links_dialling"]:
             await asyncio.sleep(0.001)
-        open_before = core._pool.figures()["links_idle"]
+        open_before = core._pool.metrics()["links_idle"]
         config = dataclasses.replace(
             parse(
                 {
@@ -464,7 +464,7 @@
             sockets=10,
         )
         core.reconfigure(config)
-        assert open_before == 8 and core._pool.figures()["links_idle"] == 3
+        assert open_before == 8 and core._pool.metrics()["links_idle"] == 3
         assert core._pool.wait_s() == 0.03
         host.stop()
 
@@ -542,7 +542,7 @@
 
 @pytest.mark.parametrize(("patience", "within_s"), [(ASKED, 2.0 + 1.0), (PUSHED, 1.0)])
 def test_a_silent_watch_is_opened_anew_before_what_it_misses_has_to_be_known(
-    patience: Patience, within_s: float
+    patience: WatchTimeouts, within_s: float
 ) -> None:
     """Told 2 s after the wait is over; after that the settings leave a second and more for the last sends."""
     for n in range(40):
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -9,14 +9,23 @@
 from yewstage import Gateway
 from yewstage import interface as api
 
-RESULTS = [api.OK, api.ERROR, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED, api.RESET, api.CANCELLED, api.MOOT]
+RESULTS = [
+    api.OK,
+    api.ERROR,
+    api.FULL,
+    api.TIMED_OUT,
+    api.CONNECT_FAILED,
+    api.RESET,
+    api.CANCELLED,
+    api.START_EXPIRED,
+]
 
 
 def odd_settings(r: random.Random) -> api.Settings:
     classes = tuple(
         api.RequestClass(
             f"c{i}",
-            aim_ms=r.choice([1, 50, 1000]),
+            objective_ms=r.choice([1, 50, 1000]),
             deadline_ms=r.choice([10, 4000]),
             worth=r.choice([0, 1, 5]),
             late_worth=r.choice([0, 0.5]),
@@ -47,15 +56,15 @@
         cancel=r.random() < 0.5,
         retry_after=r.random() < 0.5,
         max_retry_after_ms=r.choice([0, 500]),
-        must_ask=r.random() < 0.5,
-        may_count=r.random() < 0.6,
+        server_list_on_request=r.random() < 0.5,
+        counter_enabled=r.random() < 0.6,
         tick_ms=r.choice([0, 4]),
         cold_from=r.choice([0, 0.2, 1]),
         cold_ms=r.choice([0, 9000]),
         fall_multiple=r.choice([0, 3]),
         tip_after_ms=r.choice([0, 2000]),
         count_wait_ms=30,
-        record=r.random() < 0.5,
+        uses_claim_record=r.random() < 0.5,
     )
 
 
@@ -91,8 +100,8 @@
             r.choice(RESULTS),
             r.choice([0, 50, 1e5]),
             r.random() < 0.3,
-            true_units=r.choice([0, 3]),
-            report=r.choice([{}, {"mean_ms": -1.0}, {"x9": 1e300}]),
+            billed_units=r.choice([0, 3]),
+            load_report=r.choice([{}, {"mean_ms": -1.0}, {"x9": 1e300}]),
         )
     if kind == "list":
         servers = [
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -26,7 +26,7 @@
 def test_figures_count_what_clients_saw(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, behave) as rig:
-            figures = await rig.figures()
+            figures = await rig.metrics()
             for kind in ("fulfilled", "throttled", "faulted"):
                 for name in ("read", "put", "pay"):
                     assert figures[f'gateway_{kind}_total{{priority="{name}"}}'] == 0
@@ -38,7 +38,7 @@
             reader, writer = await rig.connect()
             writer.write(message("put"))
             await rig.hosts[0].until(lambda fake: any("idempotency-key" in s.headers for s in fake.seen))
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 3 + small.count(200)
             assert figures['gateway_throttled_total{priority="read"}'] == small.count(503) > 0
             assert figures['gateway_refusals_total{reason="quota"}'] == small.count(503)
@@ -47,7 +47,7 @@
             assert figures["gateway_relayed_total"] == len(rig.hosts[0].seen)
             assert figures["gateway_open_requests"] == 1
             writer.close()
-            while (await rig.figures())["gateway_open_requests"]:
+            while (await rig.metrics())["gateway_open_requests"]:
                 await asyncio.sleep(0.01)
 
     on_loop(scenario)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -267,7 +267,7 @@
         directory.waiting.pop().writer.transport.abort()
         await directory.fake.until(lambda fake: len(fake.seen) > seen)
         assert (await rig.ops("/ops/readiness")).line.split()[1] == "200"
-        figures = await rig.figures()
+        figures = await rig.metrics()
         assert figures['gateway_descriptors{use="clients"}'] <= 32
         assert sum(n for name, n in figures.items() if name.startswith("gateway_descriptors")) <= 64
         assert await rig.status(message(plan="small")) == 200  # by a client that takes an idle one's place
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,40 +10,43 @@
 from hypothesis import strategies as st
 from msgspec import structs
 
-from yewstage.holding.kinds import group_of, names
-from yewstage.holding.places import (
+from yewstage.holding.group_names import all_group_names, group_of
+from yewstage.holding.placement import (
     AT_ONCE,
-    Placed,
-    Places,
-    Report,
-    Sight,
-    Table,
-    begin,
+    ClusterView,
+    GroupPlacement,
+    LeaderReport,
+    PlacementStore,
+    PlacementTable,
+    first_table,
     ideal,
-    let_in,
     moved,
     next_table,
-    taken_out,
+    with_machine,
+    without_machine,
 )
 from yewstage.raft.messages import Member
 from yewstage.registry.store import RefusedError
 
 NINE = tuple(Member(f"m{i}.1", f"m{i}", "abc"[i % 3], "", "") for i in range(9))
-GROUPS = names(8)
+GROUPS = all_group_names(8)
 ZONE = {m.name: m.zone for m in NINE}
 
 
-def at_home(table: Table) -> dict[str, Report]:
+def at_home(table: PlacementTable) -> dict[str, LeaderReport]:
     """What leaders tell when every copy is where it is to be."""
-    return {p.group: Report(p.group, 1, tuple((f"{h}.1", True) for h in p.homes), ()) for p in table.placed}
+    return {
+        p.group: LeaderReport(p.group, 1, tuple((f"{h}.1", True) for h in p.machine_names), ())
+        for p in table.placed
+    }
 
 
-def all_there(present: tuple[Member, ...] = NINE, **changes: object) -> Sight:
-    table = begin(GROUPS, NINE, 3, 0.0, {})
-    return replace(Sight(table, at_home(table), present, {}, 5000.0, 3), **changes)
+def all_there(present: tuple[Member, ...] = NINE, **changes: object) -> ClusterView:
+    table = first_table(GROUPS, NINE, 3, 0.0, {})
+    return replace(ClusterView(table, at_home(table), present, {}, 5000.0, 3), **changes)
 
 
-def without(sight: Sight, *lost: str) -> Sight:
+def without(sight: ClusterView, *lost: str) -> ClusterView:
     """These are gone for long, by everybody's word."""
     reports = {
         g: structs.replace(r, lost=tuple(m for m, _ in r.members if m[:-2] in lost))
@@ -53,7 +56,7 @@
     return replace(sight, reports=reports, present=present, silent_ms=dict.fromkeys(lost, 6000.0))
 
 
-def settle(sight: Sight, most: int = 100) -> list[Table]:
+def settle(sight: ClusterView, most: int = 100) -> list[PlacementTable]:
     """All tables until nothing is left to change, each move done before the next look."""
     tables = []
     while (table := next_table(sight)) is not None:
@@ -65,9 +68,9 @@
 
 
 def test_copies_of_a_group_stand_in_zones_of_their_own_and_groups_on_all_machines() -> None:
-    table = begin(GROUPS, NINE, 3, 0.0, {})
-    assert all(sorted(ZONE[h] for h in placed.homes) == ["a", "b", "c"] for placed in table.placed)
-    assert {h for placed in table.placed for h in placed.homes} == {m.name for m in NINE}
+    table = first_table(GROUPS, NINE, 3, 0.0, {})
+    assert all(sorted(ZONE[h] for h in placed.machine_names) == ["a", "b", "c"] for placed in table.placed)
+    assert {h for placed in table.placed for h in placed.machine_names} == {m.name for m in NINE}
     assert next_table(all_there()) is None
     keys = [f"key-{i}" for i in range(4000)]
     shares = [sum(group_of(key, 8) == group for key in keys) for group in GROUPS[2:]]
@@ -91,11 +94,11 @@
     epochs = [table.epoch for table in tables]
     assert epochs == sorted(set(epochs))
     for placed in tables[-1].placed:
-        assert len(set(placed.homes)) == 3 and not set(placed.homes) & lost
-        assert {ZONE[h] for h in placed.homes} == zones or len(zones) > 3
+        assert len(set(placed.machine_names)) == 3 and not set(placed.machine_names) & lost
+        assert {ZONE[h] for h in placed.machine_names} == zones or len(zones) > 3
     rng = random.Random(seed)  # and what is not lost is where it was
     group = rng.choice(GROUPS)
-    before, after = sight.table.of(group).homes, tables[-1].of(group).homes
+    before, after = sight.table.of(group).machine_names, tables[-1].of(group).machine_names
     assert set(before) - lost <= set(after)
 
 
@@ -106,10 +109,10 @@
     sight = all_there()
     lost = [name for name, zone in ZONE.items() if zone == first]
     table = settle(without(sight, *lost))[-1]
-    assert any(sorted(ZONE[h] for h in p.homes) != ["a", "b", "c"] for p in table.placed)
+    assert any(sorted(ZONE[h] for h in p.machine_names) != ["a", "b", "c"] for p in table.placed)
     back = settle(replace(sight, table=table, reports=at_home(table)))[-1]
     for placed in back.placed:
-        assert sum(ZONE[h] == second for h in placed.homes) == 1, placed.homes
+        assert sum(ZONE[h] == second for h in placed.machine_names) == 1, placed.machine_names
 
 
 def test_one_process_that_hears_nobody_moves_nothing() -> None:
@@ -125,12 +128,12 @@
 
 def test_the_most_endangered_group_goes_first_and_few_are_on_the_move_at_a_time() -> None:
     sight = without(all_there(), "m0", "m3")
-    alive = {p.group: sum(h not in ("m0", "m3") for h in p.homes) for p in sight.table.placed}
+    alive = {p.group: sum(h not in ("m0", "m3") for h in p.machine_names) for p in sight.table.placed}
     hurt = {group for group, n in alive.items() if n < 3}
     assert len(hurt) > AT_ONCE
     moving: list[str] = []
     while (table := next_table(sight)) is not None:
-        moving += [p.group for p in table.placed if p.homes != sight.table.of(p.group).homes]
+        moving += [p.group for p in table.placed if p.machine_names != sight.table.of(p.group).machine_names]
         sight = replace(sight, table=table)  # no copy is made yet
     assert len(moving) == AT_ONCE == len(set(moving))
     assert all(alive[g] <= min(alive[h] for h in hurt - set(moving)) for g in moving)
@@ -138,17 +141,18 @@
 
 def test_an_operator_moves_takes_out_and_lets_in_and_is_refused_by_field() -> None:
     sight = all_there()
-    homes = sight.table.of("list").homes
+    homes = sight.table.of("list").machine_names
     away = next(m.name for m in NINE if m.name not in homes and m.zone == ZONE[homes[0]])
     crowd = next(m.name for m in NINE if m.name not in homes and m.zone != ZONE[homes[0]])
-    assert set(moved(sight, "list", homes[0], away).of("list").homes) == {away, *homes[1:]}
-    out = taken_out(sight, homes[0])
+    assert set(moved(sight, "list", homes[0], away).of("list").machine_names) == {away, *homes[1:]}
+    out = without_machine(sight, homes[0])
     last = settle(replace(sight, table=out))[-1]
-    assert all(homes[0] not in p.homes for p in last.placed) and last.out == (homes[0],)
-    back = let_in(replace(sight, table=last, reports=at_home(last)), homes[0])
+    assert all(homes[0] not in p.machine_names for p in last.placed) and last.out == (homes[0],)
+    back = with_machine(replace(sight, table=last, reports=at_home(last)), homes[0])
     again = settle(replace(sight, table=back, reports=at_home(back)))[-1]
     assert (
-        {p.group: set(p.homes) for p in again.placed} == {p.group: set(p.homes) for p in sight.table.placed}
+        {p.group: set(p.machine_names) for p in again.placed}
+        == {p.group: set(p.machine_names) for p in sight.table.placed}
         and not again.out
         and not again.coming
     )
@@ -157,9 +161,9 @@
         (lambda: moved(sight, "list", away, homes[0]), "from"),
         (lambda: moved(sight, "list", homes[0], homes[1]), "to"),
         (lambda: moved(sight, "list", homes[0], crowd), "to"),
-        (lambda: taken_out(sight, "m9"), "name"),
-        (lambda: taken_out(replace(sight, present=NINE[:3]), "m1"), "name"),
-        (lambda: let_in(sight, "m9"), "name"),
+        (lambda: without_machine(sight, "m9"), "name"),
+        (lambda: without_machine(replace(sight, present=NINE[:3]), "m1"), "name"),
+        (lambda: with_machine(sight, "m9"), "name"),
     ):
         with pytest.raises(RefusedError) as refused:
             bad()
@@ -168,10 +172,10 @@
 
 def test_two_who_change_the_table_at_once_do_not_undo_each_other() -> None:
     sight = all_there()
-    store = Places(table=sight.table)
-    one, other = taken_out(sight, "m1"), taken_out(sight, "m2")
+    store = PlacementStore(table=sight.table)
+    one, other = without_machine(sight, "m1"), without_machine(sight, "m2")
     store.apply(store.plan(one), 0.0)
     with pytest.raises(RefusedError, match="of epoch 2 now"):
         store.plan(other)
-    again = Places.restored(None, store.snapshot(), 0.0)
-    assert again.table == store.table and isinstance(again.table.placed[0], Placed)
+    again = PlacementStore.restored(None, store.snapshot(), 0.0)
+    assert again.table == store.table and isinstance(again.table.placed[0], GroupPlacement)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -91,7 +91,7 @@
 
 def test_nothing_is_shed_while_nothing_is_pressed() -> None:
     """The classes' shares of the work add up to one but for rounding: no request may fall into that gap."""
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     for i in range(600):
         rid, out = d.ask(("read", "put", "pay")[i % 3], units=1 + i % 7, after=7)
         assert of(out, api.Send), (i, out)
@@ -113,7 +113,7 @@
 
 def test_one_bad_host_does_not_cut_f() -> None:
     d = Driver(servers=6)
-    d.gateway.hosts["h0"].slow = 10.0
+    d.gateway.servers["h0"].slow = 10.0
     held_on_bad = None
     for _ in range(200):
         rid, out = d.ask(after=5)
@@ -125,14 +125,14 @@
             d.end(rid, took=50)
     d.sweep(5)
     assert d.gateway.f == 1.0
-    assert held_on_bad is None or d.gateway.hosts["h0"].slow > 1
+    assert held_on_bad is None or d.gateway.servers["h0"].slow > 1
 
 
 def test_an_unwell_host_gives_no_samples_but_a_slow_fleet_does() -> None:
     for mid, samples in ((1.0, 0), (10.0, 1)):
         d = Driver(servers=1)
         rid, _ = d.ask()
-        d.gateway.hosts["h0"].slow, d.gateway.mid, d.gateway.ok_q = 10.0, mid, 0.5
+        d.gateway.servers["h0"].slow, d.gateway.mid, d.gateway.ok_q = 10.0, mid, 0.5
         d.end(rid, api.TIMED_OUT, took=90)
         assert d.gateway.q_n == samples
 
@@ -212,7 +212,7 @@
             )
         )
     assert all(answers(d, rid, served) == 1 for rid in asked)
-    assert not gw.held
+    assert not gw.open_requests
 
 
 def test_odd_requests_get_one_legal_answer() -> None:
@@ -242,7 +242,7 @@
         d.give("hello")
     for changes, word in [
         ({"classes": ()}, "classes"),
-        ({"me": 3}, "me"),
+        ({"gateway_index": 3}, "me"),
         ({"fleet_size": 0}, "fleet_size"),
         ({"plans": (api.Plan("p", rate=-1),)}, "rate"),
     ]:
@@ -307,7 +307,7 @@
 def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
-    d.gateway.uses["c"].left = 0.0  # the estimate says no; the last total left one unit
+    d.gateway.customer_quotas["c"].left = 0.0  # the estimate says no; the last total left one unit
     rid, out = d.ask(plan="basic")
     assert not of(out, api.Send) and not of(out, api.Refuse) and of(out, api.Count)
     out = d.give(api.CountReply(calls_of(d)[-1].name, api.TIMED_OUT, 0.0), 30)
@@ -336,7 +336,7 @@
 def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
-    d.gateway.uses["c"].left = 0.0
+    d.gateway.customer_quotas["c"].left = 0.0
     rid, out = d.ask(plan="basic")
     d.sweep(3)
     finals = [a for _, a in d.log if isinstance(a, api.Send | api.Refuse) and a.request == rid]
@@ -358,7 +358,7 @@
 def test_counter_that_comes_back_empty_does_not_open_the_quota_anew() -> None:
     d = Driver()
     assert drive(d, 20, lose_at=3, plan="basic") == 6
-    assert d.gateway.uses["c"].others >= 0  # a total that falls is no use given back by the others
+    assert d.gateway.customer_quotas["c"].others >= 0  # a total that falls is no use given back by the others
 
 
 def a_window_begins() -> float:
@@ -410,10 +410,10 @@
         rid, out = d.ask(plan="basic", customer=f"k{i}")
         for act in of(out, api.Count):
             d.give(api.CountReply(act.name, api.TIMED_OUT, 0.0))
-        if rid in d.gateway.held:
+        if rid in d.gateway.open_requests:
             d.end(rid)
     d.sweep(400)
-    assert not d.gateway.uses and not d.gateway.calls and not d.gateway.held
+    assert not d.gateway.customer_quotas and not d.gateway.calls and not d.gateway.open_requests
 
 
 @pytest.mark.parametrize(
@@ -432,7 +432,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "tries"), [(api.CONNECT_FAILED, 4), (api.MOOT, 4), (api.FULL, 1), (api.ERROR, 1)]
+    ("result", "tries"), [(api.CONNECT_FAILED, 4), (api.START_EXPIRED, 4), (api.FULL, 1), (api.ERROR, 1)]
 )
 def test_only_attempts_that_met_a_server_spend_what_retries_may(result: str, tries: int) -> None:
     d = Driver(servers=8)
@@ -450,7 +450,7 @@
 
 def test_a_server_gets_as_many_links_as_it_answers_within_the_aim() -> None:
     d = Driver(servers=4, fleet_size=3)
-    d.give(api.ServerList("changes", (server(0, nominal=3.0),)))
+    d.give(api.ServerList("changes", (server(0, nominal_capacity=3.0),)))
     # Nothing seen yet: 10 usual requests in an aim for each core, a third of them ours, and what chance adds.
     assert d.gateway.links("h1") == 6 and d.gateway.links("h0") == 14
     for _ in range(300):  # 20 requests a second, over six cores: 3.3 in an aim for each
@@ -521,8 +521,10 @@
         again[idle_ms] = sum(first == first_choices(d, 1) for d, first in zip(drivers, firsts, strict=True))
     assert again[1900] == 10 and again[2000] <= 5
     d = drivers[0]
-    d.give(api.ServerList("changes", tuple(api.Server(name, up_since_ms=d.now) for name in d.gateway.hosts)))
-    assert all(host.linked == 0 for host in d.gateway.hosts.values())  # those were of their earlier lives
+    d.give(
+        api.ServerList("changes", tuple(api.Server(name, up_since_ms=d.now) for name in d.gateway.servers))
+    )
+    assert all(host.linked == 0 for host in d.gateway.servers.values())  # those were of their earlier lives
 
 
 # --- A fleet's sum ---
@@ -537,7 +539,7 @@
     """
     sent: Counter[tuple[int, str]] = Counter()
     for me in range(gateways):
-        d = Driver(servers, seed=me, fleet_size=gateways, me=me, may_count=False)
+        d = Driver(servers, seed=me, fleet_size=gateways, gateway_index=me, counter_enabled=False)
         out: deque[str] = deque()
         for i in range(each):
             if i == starts_at:
@@ -568,7 +570,10 @@
     within a second of it; a part of them was killed just before and knows of no load yet.
     """
     rng, rate, cold_at, end_at = random.Random(7), 80.0, 12.0, 27.0
-    fleet = [Driver(8, seed=me, fleet_size=gateways, me=me, may_count=False) for me in range(gateways)]
+    fleet = [
+        Driver(8, seed=me, fleet_size=gateways, gateway_index=me, counter_enabled=False)
+        for me in range(gateways)
+    ]
     start = fleet[0].now
     due = [(start + 1000 * t, "ask") for t in (i / rate for i in range(int(end_at * rate)))]
     due += [(start + 100.0 * i, "sweep") for i in range(int(10 * end_at))]
@@ -584,7 +589,9 @@
             d.now = at
         if what == "start":
             for me in range(int(killed * gateways)):
-                fleet[me] = Driver(8, seed=1000 + me, now=at, fleet_size=gateways, me=me, may_count=False)
+                fleet[me] = Driver(
+                    8, seed=1000 + me, now=at, fleet_size=gateways, gateway_index=me, counter_enabled=False
+                )
             out = deque(item for item in out if item[1] in fleet)
             told = [(at + 1000 * rng.random(), d) for d in fleet]
         elif what == "sweep":
@@ -598,7 +605,7 @@
             rid, acts = d.ask()
             for act in of(acts, api.Send):
                 out.append((at + 100, d, rid))
-                sent += [at] * (act.server == "h0" and d.gateway.hosts["h0"].cold_from_ms > 0)
+                sent += [at] * (act.server == "h0" and d.gateway.servers["h0"].cold_from_ms > 0)
     span, base = 2000.0, settings()
     for at in sent:
         age = max(at - (start + 1000 * cold_at), 0.0)
@@ -642,8 +649,8 @@
 def test_a_gateway_of_a_large_fleet_that_loses_its_servers_holds_others() -> None:
     load: Counter[str] = Counter()
     for me in range(40):
-        d = Driver(servers=60, seed=me, fleet_size=40, me=me, may_count=False)
-        for i, host in enumerate(d.gateway.hosts.values()):
+        d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
+        for i, host in enumerate(d.gateway.servers.values()):
             if i % 4:
                 host.fails, host.down_until = 1, math.inf
         d.sweep()
@@ -657,13 +664,15 @@
     """Else a server that starts gets the parts of too many gateways, or of none."""
 
     def ranks(driver: Driver) -> dict[str, int]:
-        return {name: host.rank for name, host in driver.gateway.hosts.items()}
+        return {name: host.rank for name, host in driver.gateway.servers.items()}
 
     for me, size in ((1, 3), (1, 40), (7, 40), (0, 2)):
-        retuned = Driver(servers=30, me=1, fleet_size=3)
-        retuned.give(api.Retuned(settings(me=me, fleet_size=size)))
-        assert ranks(retuned) == ranks(Driver(servers=30, me=me, fleet_size=size))
-        assert retuned.gateway.holders == Driver(servers=30, me=me, fleet_size=size).gateway.holders
+        retuned = Driver(servers=30, gateway_index=1, fleet_size=3)
+        retuned.give(api.Retuned(settings(gateway_index=me, fleet_size=size)))
+        assert ranks(retuned) == ranks(Driver(servers=30, gateway_index=me, fleet_size=size))
+        assert (
+            retuned.gateway.holders == Driver(servers=30, gateway_index=me, fleet_size=size).gateway.holders
+        )
 
 
 def test_a_small_fleet_uses_all_servers_from_each_gateway() -> None:
@@ -674,8 +683,8 @@
 def test_a_failing_server_is_tried_again_by_those_who_hold_it_only() -> None:
     tried = set()
     for me in range(40):
-        d = Driver(servers=60, seed=me, fleet_size=40, me=me, may_count=False)
-        for host in d.gateway.hosts.values():
+        d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
+        for host in d.gateway.servers.values():
             host.fails = host.name == "h0"  # its rest is over
         tried |= {me for _ in range(20) for act in of(d.ask(after=20)[1], api.Send) if act.server == "h0"}
     assert 5 <= len(tried) <= 14
@@ -691,7 +700,7 @@
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
     units: dict[str, int] = {}
-    fleet = [Driver(now=now, seed=i, me=i) for i in range(3)]
+    fleet = [Driver(now=now, seed=i, gateway_index=i) for i in range(3)]
 
     def note(d: Driver, out: list[api.Action]) -> None:
         nonlocal store, last, sends
@@ -710,7 +719,7 @@
         now += rng.expovariate(1 / 10)
         if rng.random() < 0.002:
             i = rng.randrange(3)
-            fleet[i] = Driver(now=now, seed=step, me=i)
+            fleet[i] = Driver(now=now, seed=step, gateway_index=i)
         d = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
         d.now, d.serial = now, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
@@ -723,12 +732,12 @@
     rng = random.Random(4)
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
-    fleet = [Driver(now=now, seed=i, me=i, fleet_size=300, servers=2) for i in range(10)]
+    fleet = [Driver(now=now, seed=i, gateway_index=i, fleet_size=300, servers=2) for i in range(10)]
     for step in range(4000):
         now += rng.expovariate(1 / 5)
         i = rng.randrange(10)
         if rng.random() < 0.01:
-            fleet[i] = Driver(now=now, seed=step, me=i, fleet_size=300, servers=2)
+            fleet[i] = Driver(now=now, seed=step, gateway_index=i, fleet_size=300, servers=2)
         d = fleet[i]
         d.now, d.serial = now, step
         rid, out = d.ask(plan="capped", width=10)
@@ -739,7 +748,7 @@
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
-        if rid in d.gateway.held:
+        if rid in d.gateway.open_requests:
             d.end(rid)
     assert sends > 50
 
@@ -771,7 +780,7 @@
     gw = d.gateway
     gw.warm_rate = 0.1  # work sent to a warm host each ms
     d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 5000),)))
-    cold = gw.hosts["h9"]
+    cold = gw.servers["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
     assert gw._cold_room(cold, 0.2, saved - 0.1)
     gw.latency["read"] = saved / 4.5
@@ -786,10 +795,10 @@
         gw = d.gateway
         gw.warm_rate = 0.1
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 5000),)))
-        cold, gw.latency["read"] = gw.hosts["h9"], 1.0
+        cold, gw.latency["read"] = gw.servers["h9"], 1.0
         if util is not None:
             rid, _ = d.ask()
-            d.give(api.Outcome(rid, 0, "h9", api.OK, 50, True, report={"util": util}))
+            d.give(api.Outcome(rid, 0, "h9", api.OK, 50, True, load_report={"util": util}))
         given[util], cold.credit, cold.credit_at = 0.0, 0.0, d.now
         for _ in range(100):  # within one second: the news stays fresh
             d.now += 10
@@ -825,10 +834,10 @@
 def test_keys_are_repeated_only_while_they_are_remembered() -> None:
     d = Driver(servers=4)
     d.give(api.Request("k", "put", "open", "c", 4000.0))
-    held = d.gateway.held["k"]
+    held = d.gateway.open_requests["k"]
     first = held.attempts[0].host
-    same = [h for h in d.gateway.hosts.values() if h.zone == first.zone and h is not first][0]
-    other = [h for h in d.gateway.hosts.values() if h.zone != first.zone][0]
+    same = [h for h in d.gateway.servers.values() if h.zone == first.zone and h is not first][0]
+    other = [h for h in d.gateway.servers.values() if h.zone != first.zone][0]
     assert not d.gateway._may_go_on(held) and d.gateway._pick(held) is None  # the first one is still out
     held.attempts[0].open = False
     assert d.gateway._repeats(held, held.attempts, same)
@@ -842,13 +851,13 @@
     """Its first send is at 0, the window 3,000 ms: a repeat that is decided at 500 may wait until 2,996."""
     d = Driver(servers=4)
     rid, out = d.ask("put", left=3900)
-    assert of(out, api.Send)[0].start_ms == math.inf  # a first send may begin whenever it can
+    assert of(out, api.Send)[0].start_deadline_ms == math.inf  # a first send may begin whenever it can
     again = of(d.end(rid, api.RESET, after=500.0), api.Send)
-    assert [act.start_ms for act in again] == [3000 - 500 - 2 * 2]
+    assert [act.start_deadline_ms for act in again] == [3000 - 500 - 2 * 2]
     proven = of(d.end(rid, api.CONNECT_FAILED, after=50.0), api.Send)  # the first counts
-    assert [act.start_ms for act in proven] == [3000 - 550 - 2 * 2]
+    assert [act.start_deadline_ms for act in proven] == [3000 - 550 - 2 * 2]
     rid, out = d.ask("read")
-    assert of(out, api.Send)[0].start_ms == math.inf
+    assert of(out, api.Send)[0].start_deadline_ms == math.inf
 
 
 def test_host_back_from_connect_failures_counts_as_cold() -> None:
@@ -859,7 +868,7 @@
     rid, out = d.ask(after=1100)
     assert of(out, api.Send)
     d.end(rid)
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     assert d.gateway._warmth(host) < 0.3
 
 
@@ -870,13 +879,13 @@
     rid, out = d.ask(after=600)
     assert of(out, api.Send)
     d.end(rid)
-    assert d.gateway._warmth(d.gateway.hosts["h0"]) == 1
+    assert d.gateway._warmth(d.gateway.servers["h0"]) == 1
 
 
 def test_failing_host_rests_and_is_tried_again() -> None:
     d = Driver(servers=4)
     d.sweep()
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     d.gateway._down(host)
     seen = {of(d.ask(after=1)[1], api.Send)[0].server for _ in range(20)}
     assert "h0" not in seen
@@ -890,7 +899,7 @@
         rid, out = d.ask(after=50)
         sends += len(of(out, api.Send))
         for _ in range(4):
-            if rid not in d.gateway.held:
+            if rid not in d.gateway.open_requests:
                 break
             sends += len(of(d.end(rid, api.FULL), api.Send))
     assert sends <= 300 * (1 + policy.RETRY_SHARE) + policy.RETRY_BANK + 1
@@ -925,9 +934,9 @@
         d = Driver(servers=8)
         for i in range(60):
             rid, _ = d.ask(after=20)
-            if i % 4 == 0 and rid in d.gateway.held:
+            if i % 4 == 0 and rid in d.gateway.open_requests:
                 d.end(rid, api.TIMED_OUT, took=took)
-            if rid in d.gateway.held:
+            if rid in d.gateway.open_requests:
                 d.end(rid, took=took)
             d.give(api.TimerDue("sweep"))
         assert (d.gateway.f < 1) == pressed
@@ -947,7 +956,7 @@
             for act in of(out, api.Count):
                 made += 1
                 out = out + d.give(api.CountReply(act.name, result, act.amount))
-            if rid in d.gateway.held:
+            if rid in d.gateway.open_requests:
                 d.end(rid)
         return made
 
@@ -962,7 +971,7 @@
     """300 gateways, no counter, one customer: their second tries come to the split, whatever its size."""
     sent = 0
     for i in range(300):
-        d = Driver(seed=i, me=i, fleet_size=300, may_count=False)
+        d = Driver(seed=i, gateway_index=i, fleet_size=300, counter_enabled=False)
         d.give(api.TimerDue("sweep"))
         d.now += age_s * 1000
         for _ in range(3):
@@ -981,7 +990,7 @@
         rid, out = d.ask("pay", after=50)
         assert of(out, api.Send)
         d.end(rid)
-    (host,) = d.gateway.hosts.values()
+    (host,) = d.gateway.servers.values()
     assert d.gateway._warmth(host) == 1
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -13,9 +13,9 @@
 from virtual import OK, VirtualLoop, VirtualServer
 
 from yewstage import interface as api
-from yewstage.net.hosts import Attempt, Hosts
+from yewstage.net.attempts import Attempt, AttemptRunner
 from yewstage.net.http1 import Reply
-from yewstage.net.pool import Lines, Source
+from yewstage.net.pool import Source, WaiterQueue
 from yewstage.net.stats import Descriptors
 from yewstage.policy import Gateway
 
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         self.descriptors = Descriptors()
         self.use = self.descriptors.uses["servers"]
-        self.hosts = Hosts(
+        self.attempt_runner = AttemptRunner(
             self.loop,
             self.most,
             self.dial_ms,
@@ -46,7 +46,7 @@
             clock_ms=lambda: self.loop.now * 1000,
             rng=random.Random(1),
         )
-        self.pool = self.hosts.pool
+        self.pool = self.attempt_runner.pool
         self.pool.start()
 
     def server(self, port: int = 1, **how: object) -> VirtualServer:
@@ -55,7 +55,7 @@
 
     def send(self, rid: str, port: int = 1, timeout_s: float = 60, kind: str = "") -> Attempt:
         attempt = Attempt(rid, 0, f"s{port}", f"GET /{rid} HTTP/1.1\r\n\r\n".encode(), 0.0, kind=kind)
-        self.hosts.send(attempt, timeout_s)
+        self.attempt_runner.send(attempt, timeout_s)
         return attempt
 
     def wanted(self, attempt: Attempt) -> bool:
@@ -66,7 +66,7 @@
         return self
 
     def figure(self, name: str) -> float:
-        return self.pool.figures()[name]
+        return self.pool.metrics()[name]
 
     def closed(self) -> dict[str, int]:
         """Links closed, by reason."""
@@ -140,7 +140,7 @@
     fleet = Fleet()
     server = fleet.server(1, answer_s=None)
     attempt = fleet.send("a")
-    fleet.after(0.01).hosts.cancel(attempt)
+    fleet.after(0.01).attempt_runner.cancel(attempt)
     fleet.after(0.01)
     assert fleet.ends == [("a", api.CANCELLED)] and fleet.closed() == {"given_up": 1} and not server.links
 
@@ -149,7 +149,7 @@
     fleet = Fleet()
     server = fleet.server(1, dial_s=0.1)
     attempt = fleet.send("a")
-    fleet.after(0.05).hosts.cancel(attempt)
+    fleet.after(0.05).attempt_runner.cancel(attempt)
     fleet.after(0.1)
     assert fleet.ends == [("a", api.CANCELLED)] and not server.requests
     assert fleet.figure("links_idle") == 1 and not fleet.closed()
@@ -162,17 +162,17 @@
     fleet = Fleet()
     server = fleet.server(1, dial_s=0.1, answer_s=0.08)
     attempt = Attempt("late", 1, "s1", b"GET /late HTTP/1.1\r\n\r\n", 0.0)
-    fleet.hosts.send(attempt, 60, 0.05)
+    fleet.attempt_runner.send(attempt, 60, 0.05)
     fleet.after(0.06)
-    assert fleet.ends == [("late", api.MOOT)]
+    assert fleet.ends == [("late", api.START_EXPIRED)]
     fleet.after(0.1)  # the link is up now, and kept for others
     assert not server.requests and fleet.figure("links_idle") == 1
     stalled = Attempt("stalled", 1, "s1", b"GET /stalled HTTP/1.1\r\n\r\n", 0.0)
     fleet.send("a")  # takes the one link; its answer frees the next
-    fleet.hosts.send(stalled, 60, 0.05)
+    fleet.attempt_runner.send(stalled, 60, 0.05)
     stalled.wait_timer.cancel()  # we stalled: the link is there before the timer is looked at
     fleet.after(0.2)
-    assert ("stalled", api.MOOT) in fleet.ends and ("a", api.OK) in fleet.ends
+    assert ("stalled", api.START_EXPIRED) in fleet.ends and ("a", api.OK) in fleet.ends
     fleet.send("b")
     assert fleet.after(0.1).ends[-1] == ("b", api.OK) and len(server.requests) == 2
 
@@ -182,7 +182,9 @@
     fleet = Fleet()
     server = fleet.server(1, dial_s=0.1)
     for rid, body in (("a", b"long"), ("b", b"")):
-        fleet.hosts.send(Attempt(rid, 0, "s1", b"GET /%b HTTP/1.1\r\n" % rid.encode(), 0.0, body=body), 0.5)
+        fleet.attempt_runner.send(
+            Attempt(rid, 0, "s1", b"GET /%b HTTP/1.1\r\n" % rid.encode(), 0.0, body=body), 0.5
+        )
         fleet.after(0.2)
     first, second = server.requests
     assert first == b"GET /a HTTP/1.1\r\nX-Deadline: 400m\r\n\r\nlong"
@@ -301,7 +303,7 @@
     for rid in "cde":
         fleet.send(rid, timeout_s=10)
     fleet.after(0.15)
-    fleet.hosts.cancel(next(iter(fleet.pool._links)).job)
+    fleet.attempt_runner.cancel(next(iter(fleet.pool._links)).job)
     fleet.after(0.2)
     assert fleet.dialled() == {"up": 2, "timed_out": 1} and ("e", api.CONNECT_FAILED) in fleet.ends
 
@@ -312,7 +314,7 @@
     server.error = OSError(24, "Too many open files")
     fleet.send("a")
     fleet.after(0.05)
-    assert fleet.ends == [("a", api.MOOT)] and fleet.dialled() == {"no_descriptor": 1}
+    assert fleet.ends == [("a", api.START_EXPIRED)] and fleet.dialled() == {"no_descriptor": 1}
     assert fleet.use.held == 0
 
 
@@ -323,7 +325,7 @@
     fleet.after(0.21)
     assert first.done and not second.done and fleet.figure("links_awaited") == 1
     fleet.after(0.1)
-    assert third.result == api.MOOT and third.cause == "no free link" and not second.done
+    assert third.result == api.START_EXPIRED and third.cause == "no free link" and not second.done
     fleet.after(0.2)
     assert second.result == api.OK and server.most_links == 1
     assert fleet.figure("link_waits_total") == 2 and fleet.figure("links_awaited") == 0
@@ -352,7 +354,7 @@
 
 
 def test_who_leaves_a_line_is_not_served_and_keeps_nobody_back() -> None:
-    lines, waiters = Lines(), [Attempt(str(n), 0, "s", b"", 0.0, kind="ab"[n % 2]) for n in range(4)]
+    lines, waiters = WaiterQueue(), [Attempt(str(n), 0, "s", b"", 0.0, kind="ab"[n % 2]) for n in range(4)]
     for waiter in waiters:
         lines.add(waiter)
     assert lines.discard(waiters[0]) and not lines.discard(waiters[0]) and lines.count == 3
@@ -409,7 +411,7 @@
     servers = [VirtualServer(loop, port, answer_s=0.1) for port in range(6)]
     fleet = []
     for me in range(40):
-        gateway = Gateway(settings(fleet_size=40, me=me), seed=me)
+        gateway = Gateway(settings(fleet_size=40, gateway_index=me), seed=me)
         gateway.handle(1e6, api.ServerList("full", tuple(api.Server(f"s{port}") for port in range(6))))
         fleet.append(Fleet(loop, most=100, bound=gateway.links))
         fleet[-1].pool.update({f"s{port}": ("h", port) for port in range(6)}, set())
@@ -421,7 +423,7 @@
     # One each, not four; two of those who take a server for less widely held than it is.
     assert 240 <= len(loop.dials) <= 260 and all(40 <= server.most_links <= 44 for server in servers)
     results = [result for gateway in fleet for _, result in gateway.ends]
-    assert results.count(api.OK) >= 3 * 240 and set(results) == {api.OK, api.MOOT}
+    assert results.count(api.OK) >= 3 * 240 and set(results) == {api.OK, api.START_EXPIRED}
 
 
 def test_a_list_that_shrinks_to_one_server_turns_nobody_away_who_may_go_there() -> None:
@@ -455,7 +457,7 @@
             for _ in range(3):
                 writer.write(message())
                 await reader.readuntil(b"ok")
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert all(figures[name] > 0 for name in PROCESS)
             uses = {
                 use: figures[f'gateway_descriptors{{use="{use}"}}']
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -18,8 +18,8 @@
 from plumwall.model.places import Decisions
 from plumwall.model.planted import PLANTED
 from plumwall.model.scenes import SCENES, A, B, C, beat, elect, led, settle, start
-from yewstage.holding.members import View, next_change
-from yewstage.raft.core import BusyError, NotLeaderError, Replica, Saved, Settings, Write, first_state
+from yewstage.holding.member_changes import GroupView, next_change
+from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Replica, Settings, Write, first_state
 from yewstage.raft.disk import Disk, DiskError, FullError
 from yewstage.raft.messages import (
     DATA,
@@ -34,7 +34,7 @@
     VoteReply,
     encode,
 )
-from yewstage.raft.pace import Pace
+from yewstage.raft.rate_limiter import CopyRateLimiter
 
 MEMBERS = tuple(Member(f"n{i}.1", f"n{i}", f"z{i}", "", "") for i in range(3))
 
@@ -71,12 +71,12 @@
 def test_a_whole_copy_stays_until_one_that_may_be_lost_is_there_again() -> None:
     """m2 has been copied to m5, as it is taken out, when m0 loses its disk: without m2 two would be left."""
 
-    def view(silent_ms: float) -> View:
+    def view(silent_ms: float) -> GroupView:
         members = tuple(Member(f"{name}.1", name, "", "", "") for name in ("m0", "m2", "m4", "m5"))
         there = (*members[1:], Member("m0.9", "m0", "a", "", ""))
         silent = {"m0.1": silent_ms, "m2.1": 0.0, "m5.1": 0.0}
         caught = frozenset(m.id for m in members[1:])
-        return View("m4.1", members, ("m0", "m4", "m5"), silent, there, caught, 4000.0)
+        return GroupView("m4.1", members, ("m0", "m4", "m5"), silent, there, caught, 4000.0)
 
     assert next_change(view(100.0)) is None
     assert [m.name for m in next_change(view(5000.0))] == ["m2", "m4", "m5"]  # the lost one goes first
@@ -88,11 +88,11 @@
 
 def test_a_disk_that_forgets_what_it_synced_is_found_out_counted_out_and_filled_again() -> None:
     cluster = led(None)
-    cluster.cut |= {(A, B), (B, A)}  # C's word alone made the next one durable
+    cluster.cut_links |= {(A, B), (B, A)}  # C's word alone made the next one durable
     assert cluster.write(A)
     settle(cluster)
     leader, forgetful = cluster.nodes[A].group.replica, cluster.nodes[C]
-    last, commit = leader.last, leader.commit
+    last, commit = leader.last, leader.commit_index
     cluster.crash(C)
     del forgetful.disk.saved.entries[-1:]
     cluster.planted.keeps_name = True  # the model accuses whoever accuses a disk; this one is guilty
@@ -103,17 +103,22 @@
         cluster.tick(A)
         settle(cluster)
     peer = leader.peers[forgetful.member.id]
-    assert (leader.forgot, peer.forgot, peer.match, leader.commit) == (1, 1, last, commit)
+    assert (leader.durability_losses, peer.durability_losses, peer.match, leader.commit_index) == (
+        1,
+        1,
+        last,
+        commit,
+    )
     assert forgetful.group.replica.last == last and cluster.acknowledged <= set(forgetful.group.store.records)
 
 
 def leaders(cluster: object) -> list[int]:
-    return [i for i, node in enumerate(cluster.nodes) if node.group is not None and node.group.leads()]
+    return [i for i, node in enumerate(cluster.nodes) if node.group is not None and node.group.is_leader()]
 
 
 def test_a_leader_that_can_send_but_not_hear_gives_way_within_its_election_time() -> None:
     cluster = led(None)
-    cluster.cut |= {(B, A), (C, A)}
+    cluster.cut_links |= {(B, A), (C, A)}
     assert not cluster.write(B)
     for _ in range(11):
         cluster.wait(100)
@@ -159,10 +164,10 @@
     replica = cluster.nodes[A].group.replica
     now = cluster.now(A)
     with pytest.raises(BusyError):
-        replica.change(now, replica.members[:1])
-    replica.change(now, replica.members[:2])
+        replica.change_members(now, replica.members[:1])
+    replica.change_members(now, replica.members[:2])
     with pytest.raises(BusyError):
-        replica.change(now, replica.members[:1])
+        replica.change_members(now, replica.members[:1])
 
 
 def test_leadership_is_handed_over_before_a_planned_stop_without_waiting_for_anybodys_patience() -> None:
@@ -180,20 +185,20 @@
         beat(cluster, A)
     ages = [node.group.replica.age_ms(cluster.now(i)) for i, node in enumerate(cluster.nodes)]
     assert all(0 <= age <= 200 for age in ages)
-    cluster.cut |= {(A, C)}
+    cluster.cut_links |= {(A, C)}
     cluster.wait(700)
     assert cluster.nodes[C].group.replica.age_ms(cluster.now(C)) >= 700
 
 
 def test_a_follower_that_lags_by_more_than_the_log_holds_gets_a_snapshot_in_parts_that_resume() -> None:
     cluster = led(None)
-    cluster.cut |= {(A, C)}
+    cluster.cut_links |= {(A, C)}
     for _ in range(12):
         cluster.write(A)
         settle(cluster)
     cluster.compact(A)
     settle(cluster)
-    cluster.cut.clear()
+    cluster.cut_links.clear()
     cluster.network.clear()
     parts, lost = [], 0
     for _ in range(60):
@@ -219,7 +224,7 @@
     replica = Replica("n0.1", settings, first_state(MEMBERS, b"x"), random.Random(1), 0.0)
     replica.term, replica._real = 2, True
     replica._lead(0.0)
-    replica.commit = replica._emitted = replica.last
+    replica.commit_index = replica._emitted = replica.last
     return replica
 
 
@@ -251,7 +256,7 @@
     return Entry(index, term, DATA, data)
 
 
-def loaded(folder: Path, **how: object) -> tuple[Disk, Saved]:
+def loaded(folder: Path, **how: object) -> tuple[Disk, DurableState]:
     disk = Disk(folder, **how)
     return disk, disk.load()
 
@@ -394,7 +399,7 @@
 
 def test_copying_keeps_its_pace_in_any_time_and_holds_nobody_else_up() -> None:
     settings = Settings(batch_bytes=1000)
-    pace = Pace(100_000.0)
+    pace = CopyRateLimiter(100_000.0)
     members = tuple(Member(name, name, "z", "", "") for name in ("a", "b"))
     saved = first_state(members, b"x" * 40_000)
     replica = Replica("a", settings, saved, random.Random(1), 0.0, pace)
@@ -406,7 +411,7 @@
     replica.handle(now, VoteReply("b", "a", 2, True))
     replica.durable(now, 99)
     replica.handle(now, AppendReply("b", "a", 2, True, replica.last, 1, 1))
-    replica.change(now, (*members, Member("c", "c", "z", "", "", voter=False)))
+    replica.change_members(now, (*members, Member("c", "c", "z", "", "", voter=False)))
     replica.handle(now, AppendReply("c", "a", 2, False, 0, replica.last, 1))
     sent: list[tuple[float, int]] = []
     have = writes = 0
@@ -426,7 +431,7 @@
         writes += any(m.entries for m in told)
         replica.durable(now, 10_000)
         replica.handle(now, AppendReply("b", "a", 2, True, index, index - 1, 1, now))
-        assert replica.commit == index
+        assert replica.commit_index == index
         now = max(now + 1, min(replica.next_at(), now + 5))
         replica.tick(now)
     assert writes > 50 and pace.copied >= 40_000
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -18,11 +18,11 @@
 
 from yewstage.checker import Checker, probe
 from yewstage.net.discovery import Discovery, Listing
-from yewstage.net.serve import Answer, Call, Caller, Listener, Manners
+from yewstage.net.http_server import ConnectionLimits, HttpConnection, HttpRequest, HttpResponse, HttpServer
 from yewstage.registry import config as config_module
 from yewstage.registry.__main__ import load
-from yewstage.registry.client import Client, Duty, SilentError, Told, Watch
-from yewstage.registry.ledger import Alone
+from yewstage.registry.backend import SingleNodeBackend
+from yewstage.registry.client import LeaseHolder, ListWatch, NoAnswerError, ServiceClient, ServiceReply
 from yewstage.registry.log import FullError, Log
 from yewstage.registry.server import READ_S, RETRY_S, Registry
 
@@ -58,22 +58,22 @@
         loop = asyncio.get_running_loop()
         self.files = Log(config.folder)
         store = load(config, self.files, loop.time() * 1000, wall_ms)
-        ledger = Alone(store, self.files, config.snapshot_entries, loop)
+        ledger = SingleNodeBackend(store, self.files, config.snapshot_entries, loop)
         ledger.now = lambda: loop.time() * 1000 + self.ahead_ms
         self.registry = Registry(config, ledger, loop, random.Random(1))
         self.store = store
         _, self.port = await self.registry.start()
-        self.client = Client([(LOOP, self.port)], random.Random(1))
+        self.client = ServiceClient([(LOOP, self.port)], random.Random(1))
 
     async def stop(self) -> None:
         self.client.close()
         await self.registry.stop()
         self.files.close()
 
-    async def call(self, method: str, path: str, body: dict[str, object] | None = None) -> Told:
+    async def call(self, method: str, path: str, body: dict[str, object] | None = None) -> ServiceReply:
         return await self.client.call(method, f"/v1/{path}", body)
 
-    async def register(self, *names: str, **changes: object) -> Told:
+    async def register(self, *names: str, **changes: object) -> ServiceReply:
         for name in names:
             told = await self.call("PUT", f"endpoints/{name}", {**SERVER, **changes})
             assert told.status == 200
@@ -104,11 +104,15 @@
         watch = Discovery(asyncio.get_running_loop(), (LOOP, service.port), told.put_nowait)
         watch.start()
         first = await told.get()
-        assert first.whole and first.addresses == {"s-1": (LOOP, 8081)}
-        assert (first.servers[0].zone, first.servers[0].cell, first.servers[0].nominal) == ("a", 1, 2.0)
+        assert first.is_full and first.addresses == {"s-1": (LOOP, 8081)}
+        assert (first.servers[0].zone, first.servers[0].cell, first.servers[0].nominal_capacity) == (
+            "a",
+            1,
+            2.0,
+        )
         await service.register("s-2", hostPort="127.0.0.1:8082")
         second = await told.get()
-        assert not second.whole and [s.name for s in second.servers] == ["s-2"]
+        assert not second.is_full and [s.name for s in second.servers] == ["s-2"]
         await service.call("POST", "endpoints/s-1/drain")
         assert [(s.name, s.status) for s in (await told.get()).servers] == [("s-1", "draining")]
         await service.call("DELETE", "endpoints/s-2")
@@ -133,7 +137,7 @@
         assert told.empty()  # it knows nobody, and says nothing
         await service.register("s-1")
         listing = await told.get()
-        assert listing.whole and [s.name for s in listing.servers] == ["s-1"]
+        assert listing.is_full and [s.name for s in listing.servers] == ["s-1"]
         watch.stop()
 
     with_service(scenario, tmp_path / "old")
@@ -163,17 +167,17 @@
     """A caller that notes its answer."""
 
     def __init__(self) -> None:
-        self.got: list[Answer] = []
+        self.got: list[HttpResponse] = []
         self.gone: Callable[[], None] | None = None
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: HttpResponse) -> None:
         self.got.append(answer)
 
 
 def test_all_watchers_are_told_by_one_encoding_and_those_who_leave_take_nothing_along(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
-        watch = Call("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
+        watch = HttpRequest("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
         stubs = [Stub() for _ in range(50)]
         assert all(service.registry.handle(watch, stub) is None for stub in stubs)
         stubs[0].gone()
@@ -189,7 +193,7 @@
 def test_past_the_bound_watchers_that_return_at_one_moment_are_spread_out(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
-        watch = Call("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
+        watch = HttpRequest("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
         answers = [service.registry.handle(watch, Stub()) for _ in range(30)]
         turned_away = [answer for answer in answers if answer is not None]
         assert len(turned_away) == 20 and all(answer.status == 503 for answer in turned_away)
@@ -220,20 +224,22 @@
 
     def __init__(
         self,
-        handle: Callable[[Call, Caller], Answer | None] = lambda call, caller: Answer(200, b"ok"),
+        handle: Callable[[HttpRequest, HttpConnection], HttpResponse | None] = lambda call, caller: (
+            HttpResponse(200, b"ok")
+        ),
         **manners: object,
     ) -> None:
         self.loop = VirtualLoop()
-        self.listener = Listener(
+        self.listener = HttpServer(
             self.loop,
             handle,
-            Manners(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **manners}),
+            ConnectionLimits(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **manners}),
         )
         self.listener._server = object()
         self.loop.call_later(0.5, self.listener._sweep)
 
-    def connect(self) -> tuple[Caller, VirtualTransport]:
-        caller = Caller(self.listener)
+    def connect(self) -> tuple[HttpConnection, VirtualTransport]:
+        caller = HttpConnection(self.listener)
         transport = VirtualTransport(self.loop, VirtualServer(self.loop, 1, answer_s=None), caller)
         caller.connection_made(transport)
         return caller, transport
@@ -274,7 +280,7 @@
     caller, transport = peer.connect()
     left = []
     caller.data_received(b"GET /v1/endpoints?after=1&wait_ms=60000 HTTP/1.1\r\n\r\n")
-    caller.gone = lambda: left.append(True)
+    caller.on_disconnect = lambda: left.append(True)
     peer.loop.run(30)
     assert not transport.is_closing()  # to wait is no fault
     caller.pause_writing()
@@ -300,14 +306,16 @@
 
 
 def test_calls_on_one_connection_are_answered_in_their_order() -> None:
-    held: list[Caller] = []
+    held: list[HttpConnection] = []
     peer = Peer(
-        lambda call, caller: held.append(caller) if call.path == "/slow" else Answer(200, call.path.encode())
+        lambda call, caller: (
+            held.append(caller) if call.path == "/slow" else HttpResponse(200, call.path.encode())
+        )
     )
     caller, transport = peer.connect()
     caller.data_received(b"GET /slow HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
     assert not transport.written
-    held[0].answer(Answer(200, b"/slow"))
+    held[0].answer(HttpResponse(200, b"/slow"))
     assert [data for data in transport.written if data.startswith(b"/")] == [b"/slow", b"/b"]
 
 
@@ -416,7 +424,7 @@
         assert told.status == 503 and told.retry_after_s > 0
         assert await service.ids() == ["s-1"] and service.store.revision == revision
         assert (await service.call("POST", "endpoints/s-1/renew", {})).status == 200
-        assert 'registry_writes_total{result="not_durable"} 1.0\n' in service.registry.figures()
+        assert 'registry_writes_total{result="not_durable"} 1.0\n' in service.registry.metrics()
         service.files.append = append
         await service.register("s-2")
         assert await service.ids() == ["s-1", "s-2"]
@@ -458,7 +466,7 @@
 def test_two_writers_that_race_end_with_one_told_409(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
-        others = [Client([(LOOP, service.port)]) for _ in range(2)]
+        others = [ServiceClient([(LOOP, service.port)]) for _ in range(2)]
         told = await asyncio.gather(
             *(
                 other.call("POST", "/v1/endpoints/s-1/drain", {"draining": True, "expect": revision})
@@ -524,14 +532,14 @@
 class Scripted:
     """A client whose answers a test writes; None is silence."""
 
-    def __init__(self, *answers: Told | None) -> None:
+    def __init__(self, *answers: ServiceReply | None) -> None:
         self.answers, self.calls = list(answers), []
 
-    async def call(self, method: str, path: str, body: object = None, wait_s: float = 0.0) -> Told:
+    async def call(self, method: str, path: str, body: object = None, wait_s: float = 0.0) -> ServiceReply:
         self.calls.append((method, path, body))
         answer = self.answers.pop(0)
         if answer is None:
-            raise SilentError("silence")
+            raise NoAnswerError("silence")
         return answer
 
     def rest_s(self) -> float:
@@ -544,22 +552,24 @@
 def test_a_holder_counts_from_when_it_sent_and_stops_before_another_may_be_granted() -> None:
     async def scenario() -> None:
         clock = [100.0]
-        client = Scripted(Told(200, {"token": 4, "ttlMs": 1000.0}), None, Told(409, {"error": "held by y"}))
-        duty = Duty(client, "d", "x", 1000.0, 0.05, lambda: clock[0])
+        client = Scripted(
+            ServiceReply(200, {"token": 4, "ttlMs": 1000.0}), None, ServiceReply(409, {"error": "held by y"})
+        )
+        duty = LeaseHolder(client, "d", "x", 1000.0, 0.05, lambda: clock[0])
         call = client.call
 
-        async def slow(*args: object) -> Told:
+        async def slow(*args: object) -> ServiceReply:
             clock[0] += 0.3  # on its way
             return await call(*args)
 
         client.call = slow
-        assert await duty.hold() == pytest.approx(1 / 3) and duty.token == 4
+        assert await duty.acquire_or_renew() == pytest.approx(1 / 3) and duty.token == 4
         clock[0] = 100.94
-        assert duty.held()
+        assert duty.is_held()
         clock[0] = 100.951  # its word was 1.000 from when the service heard of it
-        assert not duty.held()
-        assert await duty.hold() == 0.25 and not duty.held()  # silence: nothing is assumed
-        assert await duty.hold() > 0 and not duty.held()
+        assert not duty.is_held()
+        assert await duty.acquire_or_renew() == 0.25 and not duty.is_held()  # silence: nothing is assumed
+        assert await duty.acquire_or_renew() > 0 and not duty.is_held()
 
     on_loop(scenario)
 
@@ -567,11 +577,13 @@
 def test_a_holder_that_was_stopped_finds_out_before_it_acts() -> None:
     async def scenario() -> None:
         clock = [0.0]
-        duty = Duty(Scripted(Told(200, {"token": 1})), "d", "x", 1000.0, 0.01, lambda: clock[0])
-        await duty.hold()
-        assert duty.held()
+        duty = LeaseHolder(
+            Scripted(ServiceReply(200, {"token": 1})), "d", "x", 1000.0, 0.01, lambda: clock[0]
+        )
+        await duty.acquire_or_renew()
+        assert duty.is_held()
         clock[0] += 60.0  # stopped, and woken in the middle of its work
-        assert not duty.held()
+        assert not duty.is_held()
 
     on_loop(scenario)
 
@@ -598,30 +610,30 @@
         address, checkers = [(LOOP, service.port)], []
         clocks = {"frozen": [0.0], "other": [0.0]}
         for name, clock in clocks.items():
-            client = Client(address)
-            watch = Watch(client, lambda clock=clock: clock[0])
+            client = ServiceClient(address)
+            watch = ListWatch(client, lambda clock=clock: clock[0])
             await watch.ask(0)
-            duty = Duty(client, "checker", name, 5000.0, 0.01, lambda clock=clock: clock[0])
+            duty = LeaseHolder(client, "checker", name, 5000.0, 0.01, lambda clock=clock: clock[0])
 
             async def says(target: object, timeout_s: float, well: bool = name == "other") -> int:
                 return 200 if well else 503
 
             checkers.append(Checker(checker_config(), watch, duty, client, says))
         frozen, other = checkers
-        await frozen.duty.hold()
-        await other.duty.hold()
-        assert frozen.duty.held() and not other.duty.held()
+        await frozen.duty.acquire_or_renew()
+        await other.duty.acquire_or_renew()
+        assert frozen.duty.is_held() and not other.duty.is_held()
         service.ahead_ms += 6000  # the frozen one's clock stands still with it
         for name in ("s-1", "s-2", "s-3"):
             service.store.renew(name, None, service.registry.ledger.now())
-        await other.duty.hold()
-        assert other.duty.held() and frozen.duty.held()  # it does not know better yet
+        await other.duty.acquire_or_renew()
+        assert other.duty.is_held() and frozen.duty.is_held()  # it does not know better yet
         await frozen.round()
         await other.round()
         assert frozen.written == 0 and frozen.refused == 3
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        await frozen.duty.hold()
-        assert not frozen.duty.held()
+        await frozen.duty.acquire_or_renew()
+        assert not frozen.duty.is_held()
         for each in checkers:
             each._client.close()
 
@@ -631,11 +643,11 @@
 def test_a_checkers_verdict_takes_a_server_out_and_back_in(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
-        client = Client([(LOOP, service.port)])
-        watch, clock = Watch(client, lambda: 0.0), [0.0]
+        client = ServiceClient([(LOOP, service.port)])
+        watch, clock = ListWatch(client, lambda: 0.0), [0.0]
         await watch.ask(0)
-        duty = Duty(client, "checker", "c", 5000.0, 0.01, lambda: clock[0])
-        await duty.hold()
+        duty = LeaseHolder(client, "checker", "c", 5000.0, 0.01, lambda: clock[0])
+        await duty.acquire_or_renew()
         answers = {"s-1": 503, "s-2": 200, "s-3": 404}
         asked = []
         ports = {watch.addresses[name]: name for name in watch.addresses}
@@ -662,7 +674,7 @@
         await work.round()
         await work.round()
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        assert 'checker_verdicts_total{result="written"} 3.0\n' in work.figures()
+        assert 'checker_verdicts_total{result="written"} 3.0\n' in work.metrics()
         client.close()
 
     with_service(scenario, tmp_path)
@@ -698,15 +710,15 @@
 def test_a_watch_goes_on_across_a_restart_without_a_gap(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2")
-        client = Client([(LOOP, service.port)])
-        watch = Watch(client, time.monotonic)
+        client = ServiceClient([(LOOP, service.port)])
+        watch = ListWatch(client, time.monotonic)
         assert await watch.ask() == 0 and set(watch.servers) == {"s-1", "s-2"}
         await service.stop()
-        assert await watch.ask() >= 0 and watch.doubt and set(watch.servers) == {"s-1", "s-2"}
+        assert await watch.ask() >= 0 and watch.stale_reason and set(watch.servers) == {"s-1", "s-2"}
         await service.start()
         await service.register("s-3")
         await service.call("DELETE", "endpoints/s-1")
-        while watch.doubt:
+        while watch.stale_reason:
             await watch.ask()
         assert set(watch.servers) == {"s-2", "s-3"} and watch.age_s() < 60
         client.close()
@@ -718,17 +730,17 @@
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2")
         before = service.store.revision
-        client = Client([(LOOP, service.port)])
-        watch = Watch(client, time.monotonic)
+        client = ServiceClient([(LOOP, service.port)])
+        watch = ListWatch(client, time.monotonic)
         await watch.ask()
         await service.stop()
         service.folder = tmp_path / "new"
         await service.start(wall_ms=2e6)
-        while "503" not in watch.doubt:
+        while "503" not in watch.stale_reason:
             await watch.ask()
         assert set(watch.servers) == {"s-1", "s-2"} and service.store.revision > before
         await service.register("s-2")
-        while watch.doubt:
+        while watch.stale_reason:
             await watch.ask()
         assert set(watch.servers) == {"s-2"}
         client.close()
@@ -757,13 +769,13 @@
         answers = itertools.chain([good], itertools.repeat(answer))
         server = await Fake(lambda seen: next(answers)).start()
         clock = [0.0]
-        client = Client([(LOOP, server.port)])
-        watch = Watch(client, lambda: clock[0])
-        assert await watch.ask(0) == 0 and not watch.doubt and watch.age_s() == 0
+        client = ServiceClient([(LOOP, server.port)])
+        watch = ListWatch(client, lambda: clock[0])
+        assert await watch.ask(0) == 0 and not watch.stale_reason and watch.age_s() == 0
         clock[0] = 7.0
         await watch.ask(0)
         await watch.ask(0)
-        assert watch.doubt and set(watch.servers) == {"s-1"} and watch.age_s() == 7.0
+        assert watch.stale_reason and set(watch.servers) == {"s-1"} and watch.age_s() == 7.0
         client.close()
         server.stop()
 
@@ -773,12 +785,12 @@
 def test_a_client_of_several_addresses_moves_on_from_one_that_is_gone() -> None:
     async def scenario() -> None:
         server = await Fake(lambda seen: reply(b'{"leases":[]}')).start()
-        client = Client([(LOOP, 1), (LOOP, server.port)], random.Random(2))
+        client = ServiceClient([(LOOP, 1), (LOOP, server.port)], random.Random(2))
         client._at = 0
-        with pytest.raises(SilentError):
+        with pytest.raises(NoAnswerError):
             await client.call("GET", "/v1/leases")
-        assert 0 <= client.rest_s() <= 0.1
-        assert (await client.call("GET", "/v1/leases")).status == 200 and client.rest_s() <= 0.1
+        assert 0 <= client.backoff_s() <= 0.1
+        assert (await client.call("GET", "/v1/leases")).status == 200 and client.backoff_s() <= 0.1
         client.close()
         server.stop()
 
@@ -786,11 +798,11 @@
 
 
 def test_rests_grow_by_full_jitter_and_are_bounded() -> None:
-    client = Client([(LOOP, 1)], random.Random(1))
+    client = ServiceClient([(LOOP, 1)], random.Random(1))
     spans = []
     for failures in (1, 4, 30):
         client._failures = failures
-        rests = [client.rest_s() for _ in range(400)]
+        rests = [client.backoff_s() for _ in range(400)]
         spans.append((min(rests), max(rests)))
     assert all(least < 0.1 * most for least, most in spans)
     assert spans[0][1] <= 0.1 and 0.6 < spans[1][1] <= 0.8 and 9 < spans[2][1] <= 10
@@ -896,7 +908,7 @@
     async def scenario() -> None:
         service = Program(tmp_path)
         await service.start()
-        client = Client([(LOOP, service.port)])
+        client = ServiceClient([(LOOP, service.port)])
 
         class Fleet(Rig):
             async def launch(self) -> None:
@@ -924,7 +936,7 @@
                 try:
                     told = await client.call("GET", "/v1/endpoints")
                     break
-                except SilentError:
+                except NoAnswerError:
                     continue
             assert [i["instanceId"] for i in told.body["instances"]] == ["s-0", "s-1"]
             await served(5)
@@ -960,7 +972,7 @@
     async def scenario() -> None:
         service = Program(tmp_path)
         await service.start()
-        client = Client([(LOOP, service.port)])
+        client = ServiceClient([(LOOP, service.port)])
         hosts = [await Fake(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)]
         for n, host in enumerate(hosts):
             body = {"hostPort": f"{LOOP}:{host.port}", "ttlMs": 60000}
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -180,9 +180,9 @@
 
             async def hup(text: str) -> None:
                 rig.path.write_text(text)
-                before = await rig.figures()
+                before = await rig.metrics()
                 rig.process.send_signal(signal.SIGHUP)
-                while await rig.figures() == before:
+                while await rig.metrics() == before:
                     await asyncio.sleep(0.01)
 
             reader, writer = await rig.connect()
@@ -195,7 +195,7 @@
                 await hup(bad)
                 assert await rig.status(message("new", key=False)) == 400
             await hup(json.dumps(tree))
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert (figures["gateway_cfg_accepted_total"], figures["gateway_cfg_invalid_total"]) == (1, 3)
             assert figures['gateway_fulfilled_total{priority="new"}'] == 0
             assert await rig.status(message("new", key=False)) == 200
@@ -204,7 +204,7 @@
                 await asyncio.sleep(0.05)
             rig.hosts[0].seen[0].writer.write(reply(b"old"))  # its class is gone, its request is not
             assert (await read_message(reader, writer)).body == b"old"
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 1
             assert figures['gateway_fulfilled_total{priority="new"}'] == 1
             writer.close()
@@ -216,10 +216,10 @@
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         core = type("Core", (), {"settings": settings(), "stats": Stats(()), "longest_upload": 1})
-        server = clients_module.Server(core, loop, 100)
+        server = clients_module.ClientListener(core, loop, 100)
         timers = []
         server.loop = type("Loop", (), {"call_later": lambda s, wait, *call: timers.append((wait, call))})()
-        server.retune(clients_module.Names(settings(classes=(SAFE,))))
+        server.retune(clients_module.ClassAndPlanNames(settings(classes=(SAFE,))))
         assert set(server.names.classes) == {b"read", b"put", b"pay"}
         ((wait, (call, *args)),) = timers
         call(*args)
@@ -229,7 +229,7 @@
 
 
 def test_an_open_request_keeps_its_effect_and_its_attempts() -> None:
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     rid, out = d.ask("read")
     (first,) = of(out, api.Send)
     d.give(
@@ -241,7 +241,7 @@
 
 
 def test_a_request_that_came_before_keeps_the_class_it_came_with() -> None:
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     d.give(api.Retuned(settings(classes=(UNSAFE,))))
     out = d.give(api.Request("r", "read", "open", "c", 4000, cls=SAFE))
     assert (
@@ -263,16 +263,18 @@
 
 
 def test_quota_health_and_pressure_survive() -> None:
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     sent = sum(bool(of(d.ask(plan="basic", width=1)[1], api.Send)) for _ in range(20))
     gateway = d.gateway
-    gateway.hosts["h1"].fails, gateway.q = 3, 0.3
-    before = gateway.uses["c"].own
+    gateway.servers["h1"].fails, gateway.q = 3, 0.3
+    before = gateway.customer_quotas["c"].own
     d.give(
-        api.Retuned(settings(may_count=False, plans=(api.Plan("basic", rate=2, burst=6), api.Plan("other"))))
+        api.Retuned(
+            settings(counter_enabled=False, plans=(api.Plan("basic", rate=2, burst=6), api.Plan("other")))
+        )
     )
-    assert (gateway.hosts["h1"].fails, gateway.q, gateway.uses["c"].own) == (3, 0.3, before)
+    assert (gateway.servers["h1"].fails, gateway.q, gateway.customer_quotas["c"].own) == (3, 0.3, before)
     assert sent and not of(d.ask(plan="basic", width=1)[1], api.Send)
-    d.give(api.Retuned(settings(may_count=False, plans=(api.Plan("basic", rate=3, burst=6),))))
+    d.give(api.Retuned(settings(counter_enabled=False, plans=(api.Plan("basic", rate=3, burst=6),))))
     assert not of(d.ask(plan="basic", width=1)[1], api.Send)  # its use counts under the new rate, too
-    assert gateway.uses["c"].plan is gateway.plans["basic"] != PLAN
+    assert gateway.customer_quotas["c"].plan is gateway.plans["basic"] != PLAN
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -11,7 +11,7 @@
 import pytest
 
 from plumwall import scenario as scenarios
-from plumwall.world.drawn import Drawn
+from plumwall.world.generator import GeneratedWorld
 
 ROOT = Path(__file__).parent.parent
 WANTED = {
@@ -77,7 +77,7 @@
 
 
 def _digest(name: str, seed: int) -> str:
-    day = Drawn(scenarios.load(scenarios.find(name)), seed)
+    day = GeneratedWorld(scenarios.load(scenarios.find(name)), seed)
     return hashlib.sha256(b"\n".join(day.lines())).hexdigest()
 
 
@@ -105,7 +105,7 @@
         "name = 'q'\nlength_s = 300\n[load]\nrate_per_s = 50\nheavy = 0\nspiky = 0\n"
         "most_excess = 0\nswing = 0"
     )
-    day = Drawn(made, 3)
+    day = GeneratedWorld(made, 3)
     assert 0.95 < len(day.tries) / (50 * 300) < 1.05  # nobody asks beyond: all is inside
     shares = [sum(t.cls == i for t in day.tries) / len(day.tries) for i in range(3)]
     assert all(abs(a - b) < 0.02 for a, b in zip(shares, (0.59, 0.21, 0.2), strict=True))
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -231,5 +231,5 @@
         net.start(i)
     net.until_agreed(10_000)
     shared = net.seats[0].shared
-    shared.handle(0.0, net.seats[1].swim.me, b"\xc1")
+    shared.handle(0.0, net.seats[1].swim.own_row, b"\xc1")
     assert shared.nonsense == 1
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -18,10 +18,10 @@
 from plumwall.faults.torture import PLANS, read_plan
 from yewstage import interface as api
 from yewstage.net.config import ConfigError, parse
-from yewstage.policy import account
+from yewstage.policy import quota_account_name
 
-STRICT = api.Plan("gold", rate=10, burst=20, shares=True)
-BOUNDED = api.Plan("gold", rate=10, burst=20, shares=True, floor=2, floor_ms=1500)
+STRICT = api.Plan("gold", rate=10, burst=20, uses_quota_shares=True)
+BOUNDED = api.Plan("gold", rate=10, burst=20, uses_quota_shares=True, floor=2, floor_ms=1500)
 
 
 def asked(out: list[api.Action]) -> api.Count:
@@ -47,11 +47,11 @@
 
 
 def test_a_request_waits_for_a_share_and_what_was_granted_is_spent_and_no_more() -> None:
-    driver = Driver(plans=(STRICT,), may_count=False)
+    driver = Driver(plans=(STRICT,), counter_enabled=False)
     _, out = driver.ask(plan="gold")
     count = asked(out)
-    assert not of(out, api.Send | api.Refuse) and count.plan == "gold" and count.least == 1.0
-    assert count.name == account("gold", "c") and "c" != count.name
+    assert not of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
+    assert count.name == quota_account_name("gold", "c") and "c" != count.name
     assert len(of(granted(driver, count, 5.0), api.Send)) == 1
     assert spends(driver, 8) == 4
     _, out = driver.ask(plan="gold", after=10)
@@ -94,7 +94,7 @@
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
     refused = of(granted(driver, asked(out), 0.0), api.Refuse)
-    assert refused[0].why == "quota" and refused[0].retry_after_ms > 0
+    assert refused[0].reason == "quota" and refused[0].retry_after_ms > 0
     assert not of(driver.ask(plan="gold", after=50)[1], api.Count)
     assert of(driver.ask(plan="gold", after=60)[1], api.Count)
 
@@ -230,8 +230,8 @@
     async def scenario() -> None:
         async with Machines(tmp_path, 3, gone_ms=1500.0) as machines:
             await machines.init(machines.all, 2)
-            await machines.whole()
-            client, name = machines.client(), account(PLAN, CUSTOMER)
+            await machines.wait_until_replicated()
+            client, name = machines.client(), quota_account_name(PLAN, CUSTOMER)
             body = {
                 "by": "g1.77",
                 "serial": 1,
--- a/tests/test_simulate.py
+++ b/tests/test_simulate.py
@@ -14,7 +14,7 @@
 
 from plumwall import records as r
 from plumwall import scenario as scenarios
-from plumwall.emulator.run import Outcome
+from plumwall.emulator.run import RunOutcome
 from plumwall.simulate.clock import Clock
 from plumwall.simulate.run import Simulation, UnplayableError
 from yewstage import interface as api
@@ -30,7 +30,7 @@
 
 def simulated(
     tmp_path: Path, text: str, seed: int = 1, make: Callable[[api.Settings, int], Gateway] = Gateway
-) -> tuple[Simulation, Outcome]:
+) -> tuple[Simulation, RunOutcome]:
     path = tmp_path / "small.toml"
     path.write_text(text)
     simulation = Simulation(scenarios.load(path), seed, make=make)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -15,7 +15,7 @@
 from test_net_parts import core_with
 
 from yewstage import interface as api
-from yewstage.net.clients import ClientConnection, Server
+from yewstage.net.clients import ClientConnection, ClientListener
 
 MB = 2**20
 BIG = bytes(range(256)) * 4096  # 1 MB
@@ -24,7 +24,7 @@
 async def settled(rig: Rig) -> dict[str, float]:
     """The figures once nothing is held and no stream is open."""
     while True:
-        figures = await rig.figures()
+        figures = await rig.metrics()
         held = sum(value for name, value in figures.items() if name.startswith("gateway_held_bytes{"))
         if not held and not figures["gateway_streams_open"] and not figures["gateway_open_requests"]:
             return figures
@@ -61,9 +61,9 @@
                     clients[-1][1].write(message())
                 open_now = 0
                 while open_now < min(count, 40):  # as many as find a link
-                    open_now = (await rig.figures())["gateway_streams_open"]
-                peaks.append((await rig.figures())["gateway_held_bytes_peak"])
-            figures = await rig.figures()
+                    open_now = (await rig.metrics())["gateway_streams_open"]
+                peaks.append((await rig.metrics())["gateway_held_bytes_peak"])
+            figures = await rig.metrics()
             assert peaks[-1] <= 0.8 * figures["gateway_held_bytes_limit"] + 256 * 1024
             assert resident_mb(rig.process.pid) - before < 2 * figures["gateway_held_bytes_limit"] / MB + 10
             for _, writer in clients:
@@ -115,7 +115,7 @@
                 reader, writer = await rig.connect()
                 uploads.append(writer)
                 writer.write(message("put", body=BIG * 8, rid=b"up%d" % len(uploads)))
-                refused = (await rig.figures())["gateway_bodies_refused_total"]
+                refused = (await rig.metrics())["gateway_bodies_refused_total"]
                 if refused:
                     answer = await read_message(reader, writer)
                     status = int(answer.line.split()[1])
@@ -125,7 +125,7 @@
             assert status == 503
             for n in range(5):
                 assert await rig.status(message(rid=b"small%d" % n)) == 200
-            figures = await rig.figures()
+            figures = await rig.metrics()
             limit = figures["gateway_held_bytes_limit"]
             assert figures['gateway_held_bytes{use="uploads"}'] <= 0.8 * limit + 256 * 1024
             for writer in uploads:
@@ -447,7 +447,7 @@
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        connection = ClientConnection(Server(core, asyncio.get_running_loop(), 100))
+        connection = ClientConnection(ClientListener(core, asyncio.get_running_loop(), 100))
         transport = Full(connection)
         connection.connection_made(transport)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
@@ -516,7 +516,7 @@
             up, sends = await rig.connect()
             data = message("put", body=BIG * 2, rid=b"up")
             sends.write(data[:MB])
-            while (await rig.figures())["gateway_streams_open"] < 2:
+            while (await rig.metrics())["gateway_streams_open"] < 2:
                 await asyncio.sleep(0.01)
             await rig.spawn()
             while (await rig.ops("/ops/readiness")).line.split()[1] != "200":
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,7 +14,7 @@
 
 from yewstage import interface as api
 from yewstage.net import clients as clients_module
-from yewstage.net.budget import Budget
+from yewstage.net.budget import MemoryBudget
 from yewstage.net.handover import SERVING, STATE, WAITING, Handover
 
 
@@ -104,7 +104,7 @@
             self.closed = True
 
     ours, theirs = socket.socketpair()
-    core = type("Core", (), {"budget": Budget(2**20, lambda: 0.0)})
+    core = type("Core", (), {"budget": MemoryBudget(2**20, lambda: 0.0)})
     connection = clients_module.ClientConnection(type("Server", (), {"core": core}))
     connection.transport = Transport(ours)
     theirs.send(b"G")
@@ -130,10 +130,10 @@
         written(tmp_path)
         assert not old.start(took.put_nowait, gone.set)
         assert not (tmp_path / STATE).exists()  # left from before: nobody's
-        assert not old.succeeded()
+        assert not old.has_successor()
         new = Handover(tmp_path, "n0", asyncio.get_running_loop())
         assert new.start(took.put_nowait, gone.set)
-        assert old.succeeded() and not new.succeeded()
+        assert old.has_successor() and not new.has_successor()
         for bad in ({"name": "n1"}, {"at_ms": 1.0}, {"at_ms": "now"}, {"state": [1]}):
             written(tmp_path, **bad)
             assert new._read() is None
@@ -143,7 +143,7 @@
         assert await took.get() == {"quota": 1} and not gone.is_set()
         old._release(SERVING)  # as its end does
         await gone.wait()
-        assert took.empty() and not new.succeeded()
+        assert took.empty() and not new.has_successor()
         new.stop()
         for name in (SERVING, WAITING):
             if name in new._locks:
@@ -161,7 +161,7 @@
         assert looking._lock(WAITING)
         assert new.start(print, print)
         looking._release(WAITING)
-        while not old.succeeded():
+        while not old.has_successor():
             await asyncio.sleep(0.01)
         new.stop()
 
@@ -171,7 +171,7 @@
 def test_without_a_place_for_locks_it_serves_alone(tmp_path: Path) -> None:
     async def scenario() -> None:
         lone = Handover(tmp_path / "missing", "n0", asyncio.get_running_loop())
-        assert not lone.start(print, print) and not lone.succeeded()
+        assert not lone.start(print, print) and not lone.has_successor()
         lone.hand_over({})
 
     on_loop(scenario)
@@ -207,15 +207,15 @@
 
 
 def test_ceilings_and_quotas_pass_whole_and_are_spent_once() -> None:
-    old = Driver(may_count=False)
+    old = Driver(counter_enabled=False)
     old.sweep(100)  # 10 s: the ceiling's store is full, 20 units
     assert spend(old, 4, "capped") == 4
-    new = Driver(may_count=False, now=old.now)
+    new = Driver(counter_enabled=False, now=old.now)
     new.give(api.TakenOver(through_json(old)))
     assert spend(old, 5, "capped") == 0  # what it handed over it does not spend
     both = spend(new, 30, "capped")
     assert 0 < both <= 16
-    alone = Driver(may_count=False)
+    alone = Driver(counter_enabled=False)
     alone.sweep(100)
     assert 4 + both == spend(alone, 34, "capped")  # as one process would have let in
 
@@ -233,17 +233,17 @@
 
 def test_a_cold_hosts_budget_passes_and_is_not_spent_twice() -> None:
     old = Driver(servers=1)
-    old.gateway.hosts["h0"].cold_from_ms = old.now  # its restart was seen, the list says nothing
+    old.gateway.servers["h0"].cold_from_ms = old.now  # its restart was seen, the list says nothing
     old.gateway.warm_rate = 1.0
     new = Driver(servers=1, now=old.now)
     new.give(api.TakenOver(through_json(old)))
-    assert new.gateway.hosts["h0"].cold_from_ms == old.now and new.gateway.warm_rate == 1.0
+    assert new.gateway.servers["h0"].cold_from_ms == old.now and new.gateway.warm_rate == 1.0
     assert not of(old.ask()[1], api.Send)
 
 
 @pytest.mark.parametrize("state", [None, {}, {"own": 1}, {"own": {"born": float("nan")}}, {"uses": {"c": 1}}])
 def test_a_state_that_makes_no_sense_is_a_plain_start(state: dict | None) -> None:
-    new = Driver(may_count=False)
+    new = Driver(counter_enabled=False)
     new.sweep(100)
     new.give(api.TakenOver(state))
     assert new.gateway.born == new.now
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -13,10 +13,10 @@
 from plumwall import scenario as scenarios
 from plumwall.world.counter import Counter
 from plumwall.world.directory import DRAINING, GONE, READY, Agent, Entry
-from plumwall.world.drawn import Drawn, ServerSpec
-from plumwall.world.quota import Store
+from plumwall.world.generator import GeneratedWorld, ServerSpec
+from plumwall.world.quota import TokenBucket
 from plumwall.world.server import DRAINING as TURNED_AWAY
-from plumwall.world.server import EXPIRED, FULL, SERVED, Job, Pod, Server
+from plumwall.world.server import EXPIRED, FULL, SERVED, DeduplicationGroup, Job, Server
 
 SPEC = ServerSpec(
     name="s",
@@ -41,8 +41,16 @@
 )
 
 
-def server(cold: bool = False, now: float = 0.0, pod: Pod | None = None, **changes: object) -> Server:
-    return Server(msgspec.structs.replace(SPEC, **changes), pod or Pod(), np.random.default_rng(1), now, cold)
+def server(
+    cold: bool = False, now: float = 0.0, pod: DeduplicationGroup | None = None, **changes: object
+) -> Server:
+    return Server(
+        msgspec.structs.replace(SPEC, **changes),
+        pod or DeduplicationGroup(),
+        np.random.default_rng(1),
+        now,
+        cold,
+    )
 
 
 def job(name: str, work: float = 100.0, expires: float = math.inf, key: str = "") -> Job:
@@ -96,7 +104,7 @@
 
 
 def test_a_repeat_of_a_key_is_answered_by_its_pod_without_the_work() -> None:
-    pod = Pod()
+    pod = DeduplicationGroup()
     one, other = server(pod=pod), server(pod=pod, name="t")
     one.offer(0, job("a", key="k"))
     other.offer(10, job("b", key="k"))
@@ -137,13 +145,13 @@
         while at < 3000:
             one.offer(at, job(str(at), 20))
             at += 20 / (times * one.capacity(at))
-        return one.fallen
+        return one.has_collapsed
 
     assert pushed(4.0) and not pushed(2.0)
     warm = server(queue=10_000)
     for i in range(1000):
         warm.offer(i, job(str(i), 100))
-    assert not warm.fallen
+    assert not warm.has_collapsed
 
 
 def test_a_report_is_as_old_as_its_period_and_delay() -> None:
@@ -192,10 +200,10 @@
 
 
 def test_a_store_fills_to_its_size_and_may_be_settled_below_nothing() -> None:
-    store = Store.full(2, 10)
+    store = TokenBucket.full(2, 10)
     assert store.take(0, 10) and not store.take(400, 1) and store.take(500, 1)
-    store.settle(500, 4)
-    assert store.fill(500) == -4 and store.fill(60_000) == 10
+    store.adjust(500, 4)
+    assert store.refill(500) == -4 and store.refill(60_000) == 10
     assert dataclasses.replace(store).units == 10
 
 
@@ -204,7 +212,7 @@
         "name = 'q'\n[servers]\ncount = 8\n[[faults]]\nkind = 'zone_lost'\nzone = 'hall-a'\n"
         "at_s = 5\nfor_s = 2\n[[faults]]\nkind = 'release'\npart = 0.5\nat_s = 10\nfor_s = 4"
     )
-    day = Drawn(made, 1)
+    day = GeneratedWorld(made, 1)
     lost = {c.target for c in day.changes if c.kind == "server_silent"}
     assert lost == {s.name for s in day.servers if s.zone == "hall-a" and s.at_start}
     assert {c.kind for c in day.changes if c.at_ms == 5000} == {
--- a/yewstage/__main__.py
+++ b/yewstage/__main__.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from yewstage.log import Event, Several, at, set_up
-from yewstage.net.clients import Names, Server
+from yewstage.log import Event, JoinedList, address_event, configure_logging
+from yewstage.net.clients import ClassAndPlanNames, ClientListener
 from yewstage.net.config import Config, ConfigError, load, reload
 from yewstage.net.core import Core
 from yewstage.net.handover import Handover
@@ -43,7 +43,7 @@
     def __init__(
         self,
         core: Core,
-        server: Server,
+        server: ClientListener,
         loop: asyncio.AbstractEventLoop,
         handover: Handover | None,
         peers: Peers | None,
@@ -55,7 +55,7 @@
         """Begin to accept, once a process before us has left that to us."""
         if self._handover is not None and self._handover.start(self._took, self._alone):
             log.info(Event("waiting", "another process serves: waiting for it to hand over"))
-            self._core.share(True)
+            self._core.share_descriptors(True)
         else:
             self._join()
             self._accept(self._loop.time() + READY_S if self._handover is not None else 0.0)
@@ -77,7 +77,7 @@
         """Leave all to the next process; False if there is none."""
         if self._peers is not None:
             self._peers.leave()
-        if self._handover is None or not self._handover.succeeded():
+        if self._handover is None or not self._handover.has_successor():
             return False
         self._handover.hand_over(self._core.hand_over())
         return True
@@ -95,14 +95,14 @@
         self._accept(self._loop.time() + READY_S)
 
     def _alone(self) -> None:
-        self._core.alone()
+        self._core.predecessor_exited()
         self._watch()
 
     def _watch(self) -> None:
         """Share the descriptors while a next process is there, also if it never comes to serve."""
         if self._handover is not None and not self._core.draining:
-            if self._handover.succeeded() != self._core.shared:
-                self._core.share(not self._core.shared)
+            if self._handover.has_successor() != self._core.shared:
+                self._core.share_descriptors(not self._core.shared)
             self._loop.call_later(SUCCESSOR_S, self._watch)
 
 
@@ -110,7 +110,7 @@
     """SIGTERM: accept a little longer or leave that to a next process, finish what was taken, then end."""
 
     def __init__(
-        self, core: Core, server: Server, loop: asyncio.AbstractEventLoop, succession: Succession
+        self, core: Core, server: ClientListener, loop: asyncio.AbstractEventLoop, succession: Succession
     ) -> None:
         self._core, self._server, self._loop, self._succession = core, server, loop, succession
         self.done = asyncio.Event()
@@ -153,16 +153,16 @@
     from yewstage.net.peers import Peers  # what it needs is paid only where there are some
 
     peers = Peers(config.peers, config.name, loop, random.Random(config.seed), core.failing)
-    log.info(at("members", "hearing members on", await peers.open()))
-    core.more_figures = peers.figures
+    log.info(address_event("members", "hearing members on", await peers.open()))
+    core.more_figures = peers.metrics
     return peers
 
 
-def _reconfigure(core: Core, server: Server, peers: Peers | None, first: Config) -> None:
+def _reconfigure(core: Core, server: ClientListener, peers: Peers | None, first: Config) -> None:
     """SIGHUP: take what the configuration says now; one that is no good changes nothing."""
     try:
         config = reload(os.environ, first)
-        names = Names(config.settings)
+        names = ClassAndPlanNames(config.settings)
     except ConfigError as error:
         core.stats.invalid += 1
         log.error(Event("configuration_refused", "configuration not taken: {error}", error=str(error)))
@@ -175,7 +175,7 @@
             "{classes:, }, {attempts} attempts",
             discovery=config.discovery,
             counter=config.counter,
-            classes=Several(c.name for c in settings.classes),
+            classes=JoinedList(c.name for c in settings.classes),
             attempts=settings.try_limit,
         )
     )
@@ -199,7 +199,7 @@
     """Run until SIGTERM or SIGINT has been served; SIGHUP brings new addresses."""
     loop = asyncio.get_running_loop()
     core = Core(config, loop)
-    server = Server(core, loop, config.sockets)
+    server = ClientListener(core, loop, config.sockets)
     peers = await _open_peers(config, core, loop)
     succession = Succession(core, server, loop, _handover(config, loop), peers)
     shutdown = Shutdown(core, server, loop, succession)
@@ -208,9 +208,9 @@
     loop.add_signal_handler(signal.SIGHUP, _reconfigure, core, server, peers, config)
     core.start()
     pages = {"/ops/members": lambda: json.dumps(peers.status()).encode()} if peers is not None else {}
-    ops = Ops(loop, core.ready, core.figures, core.stats.descriptors.uses["ops"], pages)
+    ops = Ops(loop, core.ready, core.metrics, core.stats.descriptors.uses["ops"], pages)
     if config.ops is not None:
-        log.info(at("ops", "operators' address", await ops.start(config.ops)))
+        log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     address = server.start(config.listen, config.listen_fd)
     succession.start()
     log.info(
@@ -223,7 +223,7 @@
             descriptors=config.sockets,
         )
     )
-    log.info(at("listening", "listening on", address))
+    log.info(address_event("listening", "listening on", address))
     gc.freeze()
     gc.set_threshold(GC_ALLOCATIONS)  # requests leave next to no cycles: look for them seldom
     await shutdown.done.wait()
@@ -242,7 +242,7 @@
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
-    set_up(config.name, config.log, {"gateway": config.name}, LINES_PER_S)
+    configure_logging(config.name, config.log, {"gateway": config.name}, LINES_PER_S)
     try:
         uvloop.run(serve(config))
     except OSError as error:
--- a/yewstage/checker.py
+++ b/yewstage/checker.py
@@ -17,13 +17,13 @@
 
 import uvloop
 
-from yewstage.log import FORMATS, Event, at, set_up
-from yewstage.metrics import Figures, Metric, count, counts, gauge
+from yewstage.log import FORMATS, Event, address_event, configure_logging
+from yewstage.metrics import Metric, MetricsPage, count, counts, gauge
 from yewstage.net.config import Address, ConfigError
-from yewstage.net.http1 import Dial, Reply, ReplyProtocol
+from yewstage.net.http1 import ConnectAttempt, Reply, ReplyProtocol
 from yewstage.net.ops import Ops
-from yewstage.net.stats import Use
-from yewstage.registry.client import Client, Duty, SilentError, Watch
+from yewstage.net.stats import DescriptorUse
+from yewstage.registry.client import LeaseHolder, ListWatch, NoAnswerError, ServiceClient
 from yewstage.registry.config import CheckerConfig, checker, read
 
 log = logging.getLogger(__name__)
@@ -75,12 +75,12 @@
             if not over.done():
                 over.set_result(0)
         elif over.done():
-            connection.drop()
+            connection.abort()
         else:
             connections.append(connection)
             connection.ask(target)
 
-    dial = Dial(loop, lambda: _Probe(over), target, timeout_s, Use(), dialled)
+    dial = ConnectAttempt(loop, lambda: _Probe(over), target, timeout_s, DescriptorUse(), dialled)
     try:
         async with asyncio.timeout(timeout_s):
             return await over
@@ -89,7 +89,7 @@
     finally:
         dial.cancel()
         for connection in connections:
-            connection.drop()
+            connection.abort()
 
 
 class Checker:
@@ -98,16 +98,16 @@
     def __init__(
         self,
         config: CheckerConfig,
-        watch: Watch,
-        duty: Duty,
-        client: Client,
+        watch: ListWatch,
+        duty: LeaseHolder,
+        client: ServiceClient,
         ask: Callable[[Address, float], Awaitable[int]] = probe,
         rng: random.Random | None = None,
     ) -> None:
         self._config, self.watch, self.duty, self._client, self._ask = config, watch, duty, client, ask
         self._rng = rng or random.Random()
         self._findings: dict[str, Finding] = {}
-        self._figures = Figures(self._collect)
+        self._figures = MetricsPage(self._collect)
         self.probes, self.written, self.refused = 0, 0, 0
 
     async def run(self) -> None:
@@ -121,13 +121,13 @@
         names = list(self.watch.servers)
         self._rng.shuffle(names)
         for name in names:
-            if not self.duty.held():
+            if not self.duty.is_held():
                 self._findings.clear()  # what the next holder writes meanwhile is not known here
                 break
             if name in self.watch.addresses:
                 await self._check(name)
                 await asyncio.sleep(1 / self._config.rate_per_s)
-        if not names or not self.duty.held():
+        if not names or not self.duty.is_held():
             await asyncio.sleep(IDLE_S)
 
     async def _check(self, name: str) -> None:
@@ -144,13 +144,13 @@
             await self._write(name, found, False)
 
     async def _write(self, name: str, found: Finding, well: bool) -> None:
-        if not self.duty.held():
+        if not self.duty.is_held():
             return  # it ended while we asked
         try:
             told = await self._client.call(
                 "POST", f"/v1/endpoints/{name}/verdict", {"well": well, **self.duty.fence()}
             )
-        except SilentError as error:
+        except NoAnswerError as error:
             log.warning(
                 Event(
                     "verdict_lost",
@@ -179,16 +179,16 @@
 
     def ready(self) -> bool:
         """Whether the list is known; holding the duty is no condition."""
-        return bool(self.watch.servers) or not self.watch.doubt
+        return bool(self.watch.servers) or not self.watch.stale_reason
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """What operators read."""
         return self._figures.text()
 
     def _collect(self) -> list[Metric]:
         unwell = sum(found.told is False for found in self._findings.values())
         return [
-            gauge("checker_holds_duty", "whether it acts", self.duty.held()),
+            gauge("checker_holds_duty", "whether it acts", self.duty.is_held()),
             gauge("checker_token", "of the duty as it held it last", self.duty.token),
             count("checker_grants", "of the duty", self.duty.grants),
             gauge("checker_servers", "in the list", len(self.watch.servers)),
@@ -209,15 +209,15 @@
     loop = asyncio.get_running_loop()
     holder = f"{config.name}.{random.SystemRandom().getrandbits(48):012x}"  # each life is a holder of its own
     # a watch holds its connection, renewals cannot wait
-    clients = [Client(config.registry) for _ in range(3)]
-    watch = Watch(clients[0], time.monotonic)
-    duty = Duty(clients[1], DUTY, holder, config.ttl_ms, config.drift, time.monotonic)
+    clients = [ServiceClient(config.registry) for _ in range(3)]
+    watch = ListWatch(clients[0], time.monotonic)
+    duty = LeaseHolder(clients[1], DUTY, holder, config.ttl_ms, config.drift, time.monotonic)
     work = Checker(config, watch, duty, clients[2])
-    ops = Ops(loop, work.ready, work.figures)
+    ops = Ops(loop, work.ready, work.metrics)
     over = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, over.set)
-    log.info(at("ops", "operators' address", await ops.start(config.ops)))
+    log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     tasks = [loop.create_task(part.run()) for part in (watch, duty, work)]
     ending = loop.create_task(over.wait())
     done, _ = await asyncio.wait([*tasks, ending], return_when=asyncio.FIRST_COMPLETED)
@@ -243,7 +243,7 @@
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
-    set_up(config.name, options.log_format or config.log, {"service": config.name})
+    configure_logging(config.name, options.log_format or config.log, {"service": config.name})
     try:
         uvloop.run(serve(config))
     except OSError as error:
--- a/yewstage/holding/__main__.py
+++ b/yewstage/holding/__main__.py
@@ -14,8 +14,8 @@
 from yewstage.holding.config import HoldingConfig, holding
 from yewstage.holding.identity import Folder
 from yewstage.holding.node import Node
-from yewstage.log import FORMATS, Event, at, set_up
-from yewstage.metrics import Figures
+from yewstage.log import FORMATS, Event, address_event, configure_logging
+from yewstage.metrics import MetricsPage
 from yewstage.net.config import ConfigError
 from yewstage.net.ops import Ops
 from yewstage.raft.disk import DiskError
@@ -46,11 +46,11 @@
                 bytes=node.replicas.cut,
             )
         )
-    figures = Figures(lambda: [*node.registry.collect(), *node.figures()])
+    figures = MetricsPage(lambda: [*node.registry.collect(), *node.metrics()])
     ops = Ops(loop, node.registry.ready, figures.text)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, over.set)
-    log.info(at("ops", "operators' address", await ops.start(config.service.ops)))
+    log.info(address_event("ops", "operators' address", await ops.start(config.service.ops)))
     address = await node.start()
     log.info(
         Event(
@@ -63,7 +63,7 @@
             ),
         )
     )
-    log.info(at("listening", "listening on", address))
+    log.info(address_event("listening", "listening on", address))
     await over.wait()
     ops.stop()
     await node.stop()
@@ -86,7 +86,7 @@
     except (ConfigError, DiskError) as error:
         print(error, file=sys.stderr)
         return 2
-    set_up(config.name, options.log_format or config.service.log, {"service": config.name})
+    configure_logging(config.name, options.log_format or config.service.log, {"service": config.name})
     try:
         return uvloop.run(serve(config, folder))
     except DiskError as error:
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -10,19 +10,34 @@
 from msgspec import structs
 
 from yewstage.holding.accounts import LIFE_MS, Ask
-from yewstage.holding.keys import DONE, Keys, claiming
-from yewstage.holding.kinds import KEYED, LIST, MOST_KEYED, PLACES, group_of, names
-from yewstage.holding.ledger import Copied
-from yewstage.holding.members import beginner, used_twice
-from yewstage.holding.places import Sight, Table, begin, let_in, moved, name_of, taken_out
+from yewstage.holding.group_names import (
+    KEYED,
+    LIST_GROUP,
+    MOST_KEYED,
+    PLACEMENT_GROUP,
+    all_group_names,
+    group_of,
+)
+from yewstage.holding.keys import DONE, KeyStore, claim_plan
+from yewstage.holding.member_changes import beginner, used_twice
+from yewstage.holding.placement import (
+    ClusterView,
+    PlacementTable,
+    first_table,
+    moved,
+    name_of,
+    with_machine,
+    without_machine,
+)
 from yewstage.holding.recover import FORMAT as BACKUP_FORMAT
 from yewstage.holding.replicas import Replicas
+from yewstage.holding.replicated_backend import ReplicatedBackend
 from yewstage.net.config import ConfigError
-from yewstage.net.serve import Answer, Call, Caller
+from yewstage.net.http_server import HttpConnection, HttpRequest, HttpResponse
 from yewstage.raft.messages import Member, Members
+from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError
 from yewstage.registry.config import NAME, Fields
-from yewstage.registry.ledger import ElsewhereError, LaterError
-from yewstage.registry.server import failed, malformed, misdirected, said
+from yewstage.registry.server import error_response, json_response, malformed, misdirected
 from yewstage.registry.store import Entry, RefusedError
 
 FORGET_S = 0.2  # spacing of the look for keys whose window is over
@@ -59,7 +74,7 @@
     ) -> None:
         self._replicas, self._loop, self._spawn = replicas, loop, spawn
 
-    def handle(self, call: Call, caller: Caller) -> Answer | None:
+    def handle(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
         """One call; None if it is answered later."""
         for prefix, verbs in BY_KEY.items():
             if call.path.startswith(prefix):
@@ -75,24 +90,24 @@
             "backup": ("GET", self._backup),
         }
         if verb not in calls:
-            return failed(404, "no such path")
+            return error_response(404, "no such path")
         method, handle = calls[verb]
         if call.method != method:
-            return failed(405, f"not {call.method}")
+            return error_response(405, f"not {call.method}")
         try:
             return handle(call, caller)
         except msgspec.MsgspecError as error:
-            return failed(400, str(error))
+            return error_response(400, str(error))
         except ConfigError as error:
             return malformed(error)
 
     # --- How things are -----------------------------------------------------------------------------------
 
-    def _status(self, call: Call, caller: Caller) -> Answer:
+    def _status(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse:
         replicas = self._replicas
         me, table = replicas.me, replicas.table
         begun = [group for group in replicas.all if replicas.begun(group)]
-        return said(
+        return json_response(
             200,
             {
                 "cluster": replicas.config.cluster,
@@ -104,7 +119,7 @@
                 "copies": replicas.config.copies,
                 "begun": bool(begun),
                 "epoch": table.epoch,
-                "homes": {p.group: list(p.homes) for p in table.placed},
+                "homes": {p.group: list(p.machine_names) for p in table.placed},
                 "out": list(table.out),
                 "usedTwice": used_twice(replicas.present()),
                 "present": sorted(m.name for m in replicas.present()),
@@ -116,7 +131,7 @@
 
     def _group(self, group: str) -> dict[str, object]:
         replicas, ledger = self._replicas, self._replicas.all[group]
-        replica, leads = ledger.group.replica, ledger.group.leads()
+        replica, leads = ledger.group.replica, ledger.group.is_leader()
         now, age = replicas.now(), ledger.age_ms()
         rows = []
         for member in replica.members:
@@ -130,7 +145,7 @@
                     "call": member.call,
                     "behind": replica.last - peer.match if peer is not None else None,
                     "heardMsAgo": heard,
-                    "forgot": peer.forgot if peer is not None else 0,
+                    "forgot": peer.durability_losses if peer is not None else 0,
                 }
             )
         learner = replicas.me.id not in replica.voters()
@@ -138,7 +153,7 @@
             "role": "leader" if leads else "learner" if learner else "follower",
             "term": replica.term,
             "leader": replica.leader,
-            "commit": replica.commit,
+            "commit": replica.commit_index,
             "applied": ledger.group.applied,
             "short": replicas.short(group),
             "ageMs": round(age) if age < 1e9 else None,
@@ -149,101 +164,109 @@
 
     # --- A cluster's beginning ----------------------------------------------------------------------------
 
-    def _init(self, call: Call, caller: Caller) -> Answer | None:
+    def _init(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
         """Begin a cluster on these processes. One of them does it, so that two operators at once cannot
         begin two. Where a list is held already, as by earlier versions, it is taken in."""
         told = msgspec.json.decode(call.body, type=_Init)
         members: Members = tuple(Member(*structs.astuple(m)) for m in told.members)
         replicas, copies = self._replicas, self._replicas.config.copies
         if not 0 <= told.keyed <= MOST_KEYED:
-            return failed(400, f"must be from 0 to {MOST_KEYED}", "keyed")
+            return error_response(400, f"must be from 0 to {MOST_KEYED}", "keyed")
         if len({m.name for m in members}) < len(members) or len({m.id for m in members}) < len(members):
-            return failed(400, "a name or an id stands twice", "members")
-        if not members or beginner(members, PLACES, copies).id != replicas.me.id:
-            return failed(409, "another member begins: the least id of those that hold places", "members")
-        if replicas.begun(PLACES):
-            return failed(409, "this process holds something already")
+            return error_response(400, "a name or an id stands twice", "members")
+        if not members or beginner(members, PLACEMENT_GROUP, copies).id != replicas.me.id:
+            return error_response(
+                409, "another member begins: the least id of those that hold places", "members"
+            )
+        if replicas.begun(PLACEMENT_GROUP):
+            return error_response(409, "this process holds something already")
         left_out = sorted({m.name for m in replicas.present()} - {m.name for m in members})
         if left_out:  # else two operators who name different ones could begin two clusters
-            return failed(409, f"{', '.join(left_out)} is there, too: name all that are", "members")
+            return error_response(409, f"{', '.join(left_out)} is there, too: name all that are", "members")
         kept = {}
-        listed = replicas.heard.reports.get(LIST)
-        if replicas.begun(LIST):
-            kept[LIST] = tuple(m.name for m in replicas.all[LIST].group.replica.members)
+        listed = replicas.heard.reports.get(LIST_GROUP)
+        if replicas.begun(LIST_GROUP):
+            kept[LIST_GROUP] = tuple(m.name for m in replicas.all[LIST_GROUP].group.replica.members)
         elif listed is not None:
-            kept[LIST] = tuple(name_of(member) for member, _ in listed[0].members)
-        table = begin(names(told.keyed), members, copies, told.first, kept)
+            kept[LIST_GROUP] = tuple(name_of(member) for member, _ in listed[0].members)
+        table = first_table(all_group_names(told.keyed), members, copies, told.first, kept)
         self._spawn(self._begin(table, caller))
         return None
 
-    async def _begin(self, table: Table, caller: Caller) -> None:
+    async def _begin(self, table: PlacementTable, caller: HttpConnection) -> None:
         await self._replicas.begin_cluster(table)
-        caller.answer(said(200, {"groups": len(table.placed)}))
+        caller.answer(json_response(200, {"groups": len(table.placed)}))
 
     # --- Places -------------------------------------------------------------------------------------------
 
-    def _move(self, call: Call, caller: Caller) -> None:
+    def _move(self, call: HttpRequest, caller: HttpConnection) -> None:
         """A copy of a group from one machine to another."""
         fields = Fields(msgspec.json.decode(call.body, type=dict[str, object]))
         group, old, new = fields.name("group"), fields.name("from"), fields.name("to")
         fields.done()
         self._spawn(self._placed(caller, lambda sight: moved(sight, group, old, new)))
 
-    def _add(self, call: Call, caller: Caller) -> None:
+    def _add(self, call: HttpRequest, caller: HttpConnection) -> None:
         """A machine is to hold its part."""
         name = self._machine(call)
-        self._spawn(self._placed(caller, lambda sight: let_in(sight, name)))
+        self._spawn(self._placed(caller, lambda sight: with_machine(sight, name)))
 
-    def _remove(self, call: Call, caller: Caller) -> None:
+    def _remove(self, call: HttpRequest, caller: HttpConnection) -> None:
         """A machine is to hold nothing."""
         name = self._machine(call)
-        self._spawn(self._placed(caller, lambda sight: taken_out(sight, name)))
+        self._spawn(self._placed(caller, lambda sight: without_machine(sight, name)))
 
     @staticmethod
-    def _machine(call: Call) -> str:
+    def _machine(call: HttpRequest) -> str:
         fields = Fields(msgspec.json.decode(call.body, type=dict[str, object]))
         name = fields.name("name")
         fields.done()
         return name
 
-    async def _placed(self, caller: Caller, next_table: Callable[[Sight], Table]) -> None:
+    async def _placed(
+        self, caller: HttpConnection, next_table: Callable[[ClusterView], PlacementTable]
+    ) -> None:
         replicas = self._replicas
 
         async def change() -> dict[str, object]:
-            await replicas.all[PLACES].confirm()
+            await replicas.all[PLACEMENT_GROUP].confirm()
             table = next_table(replicas.sight())
-            await replicas.all[PLACES].write(lambda store, now: store.plan(table))
-            return {"epoch": table.epoch, "homes": {p.group: list(p.homes) for p in table.placed}}
+            await replicas.all[PLACEMENT_GROUP].write(lambda store, now: store.plan(table))
+            return {"epoch": table.epoch, "homes": {p.group: list(p.machine_names) for p in table.placed}}
 
         await self._told(caller, change)
 
-    async def _answered(self, work: Callable[[], Coroutine[object, object, dict[str, object]]]) -> Answer:
+    async def _answered(
+        self, work: Callable[[], Coroutine[object, object, dict[str, object]]]
+    ) -> HttpResponse:
         """What came of a write, as callers are told it."""
         try:
-            return said(200, await work())
+            return json_response(200, await work())
         except RefusedError as error:
-            return failed(error.status, error.why, error.field)
-        except ElsewhereError as error:
-            return misdirected(error) if error.at else failed(503, str(error))
-        except LaterError as error:
-            return failed(503, str(error))
+            return error_response(error.status, error.why, error.field)
+        except MisdirectedError as error:
+            return misdirected(error) if error.leader_address else error_response(503, str(error))
+        except OutcomeUnknownError as error:
+            return error_response(503, str(error))
 
-    def _hand_over(self, call: Call, caller: Caller) -> Answer:
+    def _hand_over(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse:
         """Let another replica lead: of one group, or of all that are led here."""
         body = msgspec.json.decode(call.body or b"{}", type=dict[str, str])
         group = body.get("group", "")
         if group and group not in self._replicas.led():
             at = self._replicas.leader_of(group)
-            return misdirected(ElsewhereError(at)) if at else failed(503, "no leader is known")
+            return misdirected(MisdirectedError(at)) if at else error_response(503, "no leader is known")
         chosen = [group] if group else self._replicas.led()
-        return said(200, {"handed": [g for g in chosen if self._replicas.all[g].hand_over()]})
+        return json_response(200, {"handed": [g for g in chosen if self._replicas.all[g].hand_over()]})
 
-    def _backup(self, call: Call, caller: Caller) -> Answer | None:
+    def _backup(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
         """All that a group holds, as of now or later."""
-        group = call.query.get("group", LIST)
+        group = call.query.get("group", LIST_GROUP)
         if group not in self._replicas.all:
             at = self._replicas.leader_of(group)
-            return misdirected(ElsewhereError(at)) if at else failed(404, f"no group {group}", "group")
+            return (
+                misdirected(MisdirectedError(at)) if at else error_response(404, f"no group {group}", "group")
+            )
         ledger = self._replicas.all[group]
 
         async def read() -> dict[str, object]:
@@ -259,7 +282,7 @@
         self._spawn(self._told(caller, read))
         return None
 
-    async def _told(self, caller: Caller, work: Callable[[], Coroutine]) -> None:
+    async def _told(self, caller: HttpConnection, work: Callable[[], Coroutine]) -> None:
         caller.answer(await self._answered(work))
 
     # --- Keys ---------------------------------------------------------------------------------------------
@@ -267,23 +290,27 @@
     def keys(self) -> int:
         """Records that are kept here."""
         stores = [ledger.store for ledger in self._replicas.all.values()]
-        return sum(len(store.records) for store in stores if isinstance(store, Keys))
+        return sum(len(store.records) for store in stores if isinstance(store, KeyStore))
 
-    def _keyed(self, call: Call, caller: Caller, prefix: str, verbs: tuple[str, ...]) -> Answer | None:
+    def _keyed(
+        self, call: HttpRequest, caller: HttpConnection, prefix: str, verbs: tuple[str, ...]
+    ) -> HttpResponse | None:
         """A call that goes to the group of its key."""
         key, _, verb = call.path.removeprefix(prefix).partition("/")
         keyed = sum(p.group.startswith(KEYED) for p in self._replicas.table.placed)
         if call.method != "POST" or verb not in verbs:
-            return failed(405 if verb in verbs else 404, "no such call")
+            return error_response(405 if verb in verbs else 404, "no such call")
         if not NAME.fullmatch(key):
-            return failed(400, "must be 1 to 64 letters, digits, dots, colons, dashes and underlines", "key")
+            return error_response(
+                400, "must be 1 to 64 letters, digits, dots, colons, dashes and underlines", "key"
+            )
         if not keyed:
-            return failed(503, "no places for keys are known here")
+            return error_response(503, "no places for keys are known here")
         group = group_of(key, keyed)
         ledger = self._replicas.all.get(group)
-        if ledger is None or not ledger.group.leads():
+        if ledger is None or not ledger.group.is_leader():
             at = ledger.leader() if ledger is not None else self._replicas.leader_of(group)
-            return misdirected(ElsewhereError(at)) if at else failed(503, "no leader is known")
+            return misdirected(MisdirectedError(at)) if at else error_response(503, "no leader is known")
         try:
             fields = Fields(msgspec.json.decode(call.body or b"{}", type=dict[str, object]))
             work = {
@@ -294,17 +321,17 @@
                 "show": self._show,
             }[verb](ledger, key, fields)
         except msgspec.MsgspecError as error:
-            return failed(400, str(error), "body")
+            return error_response(400, str(error), "body")
         except ConfigError as error:
             return malformed(error)
         self._spawn(self._told(caller, work))
         return None
 
-    def _take(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
+    def _take(self, ledger: ReplicatedBackend, key: str, fields: Fields) -> Callable[[], Coroutine]:
         """A share of a customer's quota, before any of it may be spent."""
         ask = Ask(
             fields.text("by", 128),
-            fields.whole("serial", None, 0),
+            fields.integer("serial", None, 0),
             fields.number("rate", None, 1e-6),
             fields.number("burst", None, 0.0),
             fields.number("want", None, 0.0),
@@ -314,7 +341,7 @@
         fields.done()
         granted = [0.0]
 
-        def plan(store: Keys, now: float) -> Entry | None:
+        def plan(store: KeyStore, now: float) -> Entry | None:
             entry, granted[0] = store.accounts.plan_take(key, ask, now)
             return entry
 
@@ -324,31 +351,35 @@
 
         return take
 
-    def _show(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
+    def _show(self, ledger: ReplicatedBackend, key: str, fields: Fields) -> Callable[[], Coroutine]:
         """An account as of now or later."""
         fields.done()
 
         async def show() -> dict[str, object]:
             await ledger.confirm()
-            return {"account": ledger.live().accounts.told(key, ledger.now()) if ledger.live() else None}
+            return {
+                "account": ledger.leader_store().accounts.told(key, ledger.now())
+                if ledger.leader_store()
+                else None
+            }
 
         return show
 
-    def _claim(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
+    def _claim(self, ledger: ReplicatedBackend, key: str, fields: Fields) -> Callable[[], Coroutine]:
         by = fields.text("by", 128)
         window_ms = fields.number("windowMs", None, 1.0, MOST_WINDOW_MS)
         fields.done()
         told: dict[str, object] = {}
 
         async def claim() -> dict[str, object]:
-            await ledger.write(claiming(key, by, window_ms, told))
+            await ledger.write(claim_plan(key, by, window_ms, told))
             return told or {"state": "yours"}
 
         return claim
 
-    def _done(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
+    def _done(self, ledger: ReplicatedBackend, key: str, fields: Fields) -> Callable[[], Coroutine]:
         by = fields.text("by", 128)
-        status = fields.whole("status", None, 100, 599)
+        status = fields.integer("status", None, 100, 599)
         answer = fields.text("answer", LONGEST_ANSWER) if fields.has("answer") else ""
         fields.done()
 
@@ -358,7 +389,7 @@
 
         return done
 
-    def _release(self, ledger: Copied, key: str, fields: Fields) -> Callable[[], Coroutine]:
+    def _release(self, ledger: ReplicatedBackend, key: str, fields: Fields) -> Callable[[], Coroutine]:
         by = fields.text("by", 128)
         fields.done()
 
@@ -371,8 +402,8 @@
     def accounts(self) -> tuple[int, float]:
         """Accounts kept here, and units granted of those that are led here."""
         here = [(ledger, ledger.store) for ledger in self._replicas.all.values()]
-        held = [(ledger, store.accounts) for ledger, store in here if isinstance(store, Keys)]
-        led = [sum(accounts.granted(ledger.now())) for ledger, accounts in held if ledger.group.leads()]
+        held = [(ledger, store.accounts) for ledger, store in here if isinstance(store, KeyStore)]
+        led = [sum(accounts.granted(ledger.now())) for ledger, accounts in held if ledger.group.is_leader()]
         return sum(len(accounts.all) for _, accounts in held), sum(led)
 
     async def forget(self) -> None:
@@ -380,7 +411,7 @@
         while True:
             await asyncio.sleep(FORGET_S)
             for group, ledger in list(self._replicas.all.items()):
-                store = ledger.live()
+                store = ledger.leader_store()
                 if not group.startswith(KEYED) or store is None:
                     continue
                 try:
@@ -388,5 +419,5 @@
                         lambda store, now: store.plan_forget(now)
                     ):
                         pass
-                except (ElsewhereError, LaterError):
+                except (MisdirectedError, OutcomeUnknownError):
                     continue  # another one leads
--- a/yewstage/holding/config.py
+++ b/yewstage/holding/config.py
@@ -36,7 +36,7 @@
         zone=fields.optional("zone"),
         peer=fields.address("peer"),
         peers=_peers(raw.get("peers")),
-        copies=fields.whole("copies", 3, 1, 7),
+        copies=fields.integer("copies", 3, 1, 7),
         gone_ms=fields.number("gone_ms", 30_000.0, 100.0),
         copy_bytes_per_s=fields.number("copy_bytes_per_s", 16e6, 1000.0),
         settings=Settings(
--- a/yewstage/holding/group.py
+++ b/yewstage/holding/group.py
@@ -17,16 +17,16 @@
 
 import msgspec
 
-from yewstage.raft.core import LEADER, NotLeaderError, Output, Replica, Saved, Settings, Write
+from yewstage.raft.core import LEADER, DurableState, NotLeaderError, Output, Replica, Settings, Write
 from yewstage.raft.messages import DATA, AnyMessage
-from yewstage.raft.pace import Pace
+from yewstage.raft.rate_limiter import CopyRateLimiter
 from yewstage.registry.store import Entry, RefusedError, Rules, Store
 
 encode_entry = msgspec.msgpack.Encoder().encode
 decode_entry = msgspec.msgpack.Decoder(dict[str, object]).decode
 
 
-class Kept(Protocol):
+class ReplicatedStore(Protocol):
     """A store that consensus keeps the same: entries in, nothing else."""
 
     def apply(self, entry: Entry, now: float) -> None:
@@ -36,11 +36,11 @@
         """All that entries have brought about."""
 
     @classmethod
-    def restored(cls, rules: Rules, state: Entry, now: float) -> Kept:
+    def restored(cls, rules: Rules, state: Entry, now: float) -> ReplicatedStore:
         """A store from a snapshot; all that ends with time has its whole time."""
 
 
-Planned = Callable[[Kept, float], Entry | None]  # against which store, at what time on its clock
+WritePlan = Callable[[ReplicatedStore, float], Entry | None]  # against which store, at what time on its clock
 
 
 class UnsureError(Exception):
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class GroupOutput:
     """What the caller has to do."""
 
     messages: list[AnyMessage] = field(default_factory=list)
@@ -84,17 +84,17 @@
         me: str,
         settings: Settings,
         rules: Rules,
-        saved: Saved,
+        saved: DurableState,
         rng: random.Random,
         now: float,
         replica: type[Replica] = Replica,
-        store: type[Kept] = Store,
-        pace: Pace | None = None,
+        store: type[ReplicatedStore] = Store,
+        pace: CopyRateLimiter | None = None,
     ) -> None:
         self.rules, self._kind = rules, store
         self.replica = replica(me, settings, saved, rng, now, pace)
-        self.store: Kept = store(rules)
-        self.planned: Kept | None = None  # as it will be; only while we lead
+        self.store: ReplicatedStore = store(rules)
+        self.planned: ReplicatedStore | None = None  # as it will be; only while we lead
         self._planned_term = 0  # in which: what was planned in an earlier one may have been replaced
         self.applied = 0
         self.applied_since = 0  # entries since the last snapshot
@@ -104,7 +104,7 @@
 
     # --- What is asked ------------------------------------------------------------------------------------
 
-    def write(self, now: float, plan: Planned) -> int:
+    def write(self, now: float, plan: WritePlan) -> int:
         """Begin a write; the ticket under which its result comes.
 
         What it would change, or why it is refused, is planned at once. A refusal, too, is answered only when
@@ -136,15 +136,15 @@
         self.replica.read(now, self._tickets)
         return self._tickets
 
-    def _leading(self, now: float) -> Kept:
+    def _leading(self, now: float) -> ReplicatedStore:
         """The store to plan against; NotLeaderError where another leads."""
         self.replica.tick(now)
-        if not self.leads():
+        if not self.is_leader():
             leader = self.replica.leader if self.replica.role != LEADER else ""
             raise NotLeaderError(leader)
         return self.planned
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether writes are taken here."""
         return self.planned is not None and self.replica.leading() and self._planned_term == self.replica.term
 
@@ -162,9 +162,9 @@
         """Writes are on the disk."""
         self.replica.durable(now, number)
 
-    def take(self, now: float) -> Result:
+    def take(self, now: float) -> GroupOutput:
         """Bring about what is committed, and say what there is to do."""
-        result = Result()
+        result = GroupOutput()
         out = self.replica.take(now)
         result.messages, result.writes = out.messages, out.writes
         if out.install is not None:
@@ -179,12 +179,12 @@
         self._lead_or_not(now, result)
         return result
 
-    def _install(self, out: Output, result: Result, now: float) -> None:
+    def _install(self, out: Output, result: GroupOutput, now: float) -> None:
         self.store = self._kind.restored(self.rules, decode_entry(out.install.data), now)
         self.applied, self.applied_since = out.install.index, 0
         result.changed = True
 
-    def _answer(self, out: Output, result: Result) -> None:
+    def _answer(self, out: Output, result: GroupOutput) -> None:
         while self._writes and self._writes[0].index <= self.applied:
             waiting = self._writes.popleft()
             # The entry there is ours if nobody led in between: then its term is that of the write.
@@ -201,8 +201,8 @@
             del self._confirms[waiting.ticket]
             result.done.append(Done(waiting.ticket, waiting.error))
 
-    def _lead_or_not(self, now: float, result: Result) -> None:
-        if self.leads():
+    def _lead_or_not(self, now: float, result: GroupOutput) -> None:
+        if self.is_leader():
             return
         if self.planned is not None or self._confirms or self._writes:
             self.planned = None
--- a/yewstage/holding/kinds.py
+++ b/yewstage/holding/group_names.py
@@ -6,18 +6,18 @@
 
 import xxhash
 
-from yewstage.holding.keys import Keys
-from yewstage.holding.places import Places
+from yewstage.holding.keys import KeyStore
+from yewstage.holding.placement import PlacementStore
 from yewstage.registry.store import Store
 
-PLACES, LIST, KEYED = "places", "list", "keys-"
+PLACEMENT_GROUP, LIST_GROUP, KEYED = "places", "list", "keys-"
 NAME = re.compile(r"places|list|keys-[1-9][0-9]{0,2}")
 MOST_KEYED = 256
 
 
-def names(keyed: int) -> tuple[str, ...]:
+def all_group_names(keyed: int) -> tuple[str, ...]:
     """All groups of a cluster that splits its keys over so many."""
-    return PLACES, LIST, *(f"{KEYED}{i}" for i in range(1, keyed + 1))
+    return PLACEMENT_GROUP, LIST_GROUP, *(f"{KEYED}{i}" for i in range(1, keyed + 1))
 
 
 def group_of(key: str, keyed: int) -> str:
@@ -25,6 +25,6 @@
     return f"{KEYED}{1 + xxhash.xxh64_intdigest(key.encode()) % keyed}"
 
 
-def store_of(group: str) -> type[Store] | type[Places] | type[Keys]:
+def store_of(group: str) -> type[Store] | type[PlacementStore] | type[KeyStore]:
     """What a group's replicas keep the same."""
-    return {PLACES: Places, LIST: Store}.get(group, Keys)
+    return {PLACEMENT_GROUP: PlacementStore, LIST_GROUP: Store}.get(group, KeyStore)
--- a/yewstage/holding/keys.py
+++ b/yewstage/holding/keys.py
@@ -22,23 +22,23 @@
 BATCH = 500  # forgotten by one entry
 
 
-class Keyed(msgspec.Struct, frozen=True, array_like=True):
+class KeyRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is known of a key."""
 
-    by: str  # the request that holds it: unique to one request in one life of one gateway
+    claimant: str  # the request that holds it: unique to one request in one life of one gateway
     window_ms: float
     state: str = BEGUN
     status: int = 0
     answer: str = ""  # base64
 
 
-def claiming(
+def claim_plan(
     key: str, by: str, window_ms: float, told: dict[str, object]
-) -> Callable[[Keys, float], Entry | None]:
+) -> Callable[[KeyStore, float], Entry | None]:
     """The plan of a claim that puts into `told` what is known where another request has the key: an answer
     as any other, that may only be given once it rests on what a majority has."""
 
-    def plan(store: Keys, now: float) -> Entry | None:
+    def plan(store: KeyStore, now: float) -> Entry | None:
         told.clear()
         known = store.records.get(key)
         try:
@@ -54,12 +54,12 @@
     return plan
 
 
-class Keys:
+class KeyStore:
     """The store of a group that holds keys, and accounts of customers' quotas."""
 
     def __init__(self, rules: Rules | None = None) -> None:
         self.accounts = Accounts((rules or Rules()).drift)
-        self.records: dict[str, Keyed] = {}
+        self.records: dict[str, KeyRecord] = {}
         self._ends: dict[str, float] = {}  # when each may be forgotten
         self.kept = 0  # bytes of answers
 
@@ -69,13 +69,13 @@
         RefusedError 409 where another one has it: look at `records`.
         """
         known = self.records.get(key)
-        if known is not None and (known.by != by or known.state == DONE):
+        if known is not None and (known.claimant != by or known.state == DONE):
             raise RefusedError(409, "is done" if known.state == DONE else "is under way, or its end was lost")
         if known is not None:
             return None
         if len(self.records) >= MOST:
             raise RefusedError(503, f"{MOST} keys are held already")
-        return {"op": "put", "key": key, "record": msgspec.to_builtins(Keyed(by, window_ms))}
+        return {"op": "put", "key": key, "record": msgspec.to_builtins(KeyRecord(by, window_ms))}
 
     def plan_done(self, key: str, by: str, status: int, answer: str) -> Entry | None:
         """How it ended; None if that is known."""
@@ -83,13 +83,13 @@
         if known.state == DONE:
             return None
         answer = answer if self.kept + len(answer) <= MOST_KEPT else ""
-        ended = Keyed(by, known.window_ms, DONE, status, answer)
+        ended = KeyRecord(by, known.window_ms, DONE, status, answer)
         return {"op": "put", "key": key, "record": msgspec.to_builtins(ended)}
 
     def plan_release(self, key: str, by: str) -> Entry | None:
         """It was never sent on, or is sure not to have run: the key is free again."""
         known = self.records.get(key)
-        if known is None or known.by != by:
+        if known is None or known.claimant != by:
             return None
         if known.state == DONE:
             raise RefusedError(409, "is done")
@@ -101,9 +101,9 @@
         accounts = self.accounts.plan_forget(now)
         return {"op": "forget", "keys": late, "accounts": accounts} if late or accounts else None
 
-    def _held(self, key: str, by: str) -> Keyed:
+    def _held(self, key: str, by: str) -> KeyRecord:
         known = self.records.get(key)
-        if known is None or known.by != by:
+        if known is None or known.claimant != by:
             raise RefusedError(409, "is not held by this request")
         return known
 
@@ -118,9 +118,9 @@
             self.accounts.forget(entry.get("accounts", []))
             return
         self._drop(entry["key"])
-        self._put(entry["key"], Keyed(*entry["record"]), now)
+        self._put(entry["key"], KeyRecord(*entry["record"]), now)
 
-    def _put(self, key: str, record: Keyed, now: float) -> None:
+    def _put(self, key: str, record: KeyRecord, now: float) -> None:
         self.records[key] = record
         self._ends[key] = now + record.window_ms
         self.kept += len(record.answer)
@@ -136,10 +136,10 @@
         return {"keys": dict(self.records), "accounts": self.accounts.snapshot()}
 
     @classmethod
-    def restored(cls, rules: Rules, state: Entry, now: float) -> Keys:
+    def restored(cls, rules: Rules, state: Entry, now: float) -> KeyStore:
         """The store as it was, each record with its whole window."""
         store = cls(rules)
         for key, raw in state["keys"].items():
-            store._put(key, raw if isinstance(raw, Keyed) else Keyed(*raw), now)
+            store._put(key, raw if isinstance(raw, KeyRecord) else KeyRecord(*raw), now)
         store.accounts.restore(state.get("accounts", {}), now)  # folders of earlier versions have none
         return store
--- a/yewstage/holding/link.py
+++ b/yewstage/holding/link.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from yewstage.holding.places import Report, Table
+from yewstage.holding.placement import LeaderReport, PlacementTable
 from yewstage.log import Event
 from yewstage.net.config import Address
 from yewstage.raft.messages import AnyMessage, Member
@@ -36,8 +36,8 @@
     version: int
     cluster: str
     member: Member
-    leads: tuple[Report, ...] = ()
-    table: Table = Table()
+    leads: tuple[LeaderReport, ...] = ()
+    table: PlacementTable = PlacementTable()
 
 
 class Said(msgspec.Struct, array_like=True, tag=2):
--- a/yewstage/holding/passing.py
+++ b/yewstage/holding/list_forwarder.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from yewstage.net.config import Address
-from yewstage.net.serve import Answer, Caller
-from yewstage.registry.client import Client, SilentError, Told
+from yewstage.net.http_server import HttpConnection, HttpResponse
+from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 from yewstage.registry.server import PASSED
 
 PART_MS = 1000  # of a watch, asked for at one time: what an answer may age on its way
@@ -30,7 +30,7 @@
     def __init__(
         self,
         homes: Callable[[], tuple[Address, ...]],
-        later: Callable[[str], Answer],
+        later: Callable[[str], HttpResponse],
         loop: asyncio.AbstractEventLoop,
         rng: random.Random,
         spawn: Callable[[Coroutine], asyncio.Task],
@@ -40,10 +40,10 @@
         """`homes`: where processes that hold the list are called; `most`: calls at one time."""
         self._homes, self._later, self._loop, self._rng, self._spawn = homes, later, loop, rng, spawn
         self._most, self._most_age_ms = most, most_age_ms
-        self._idle: list[tuple[tuple[Address, ...], Client]] = []
+        self._idle: list[tuple[tuple[Address, ...], ServiceClient]] = []
         self.under_way = self.passed = self.failed = 0
 
-    def list(self, after: int | None, wait_ms: int, caller: Caller) -> bool:
+    def list(self, after: int | None, wait_ms: int, caller: HttpConnection) -> bool:
         """Pass a call on; False where nobody is known who could answer it."""
         if not self._homes():
             return False
@@ -51,17 +51,17 @@
             caller.answer(self._later("too many calls for the list are passed on"))
             return True
         task = self._spawn(self._list(after, wait_ms, caller))
-        caller.gone = task.cancel
+        caller.on_disconnect = task.cancel
         return True
 
-    async def _list(self, after: int | None, wait_ms: int, caller: Caller) -> None:
+    async def _list(self, after: int | None, wait_ms: int, caller: HttpConnection) -> None:
         self.under_way += 1
         try:
             caller.answer(await self._asked(after, wait_ms))
         finally:
             self.under_way -= 1
 
-    async def _asked(self, after: int | None, wait_ms: int) -> Answer:
+    async def _asked(self, after: int | None, wait_ms: int) -> HttpResponse:
         """The answer, once there is something to tell or the caller's time is up. A watch outlives those that
         it was held by: while nobody answers it waits on, as far as its time goes."""
         until = self._now() + wait_ms
@@ -73,14 +73,14 @@
                 if told.body.get("reset", True) or told.body.get("instances") or self._now() >= until:
                     self.passed += 1
                     age = b"X-Age-Ms: %d\r\n" % age_ms
-                    return Answer(200, msgspec.json.encode(told.body), b"application/json", age)
+                    return HttpResponse(200, msgspec.json.encode(told.body), b"application/json", age)
             elif self._now() >= until:
                 self.failed += 1
                 return self._later("no process that holds the list answers with what is new enough")
             else:
                 await asyncio.sleep(REST_S)
 
-    async def _told(self, after: int | None, wait_ms: int) -> Told | None:
+    async def _told(self, after: int | None, wait_ms: int) -> ServiceReply | None:
         """What the first says that can say anything; only the first is given time to wait."""
         homes = self._homes()
         if not homes:
@@ -93,7 +93,7 @@
             try:
                 async with asyncio.timeout(ANSWER_S + part_ms / 1000):
                     told = await client.call("GET", path, None, part_ms / 1000)
-            except (SilentError, TimeoutError):
+            except (NoAnswerError, TimeoutError):
                 continue
             if told.status == 200:
                 self._idle.append((homes, client))
@@ -106,12 +106,12 @@
     def _now(self) -> float:
         return self._loop.time() * 1000
 
-    def _client(self, homes: tuple[Address, ...]) -> Client:
+    def _client(self, homes: tuple[Address, ...]) -> ServiceClient:
         for at, (known, client) in enumerate(self._idle):
             if known == homes:
                 del self._idle[at]
                 return client
-        return Client(homes, self._rng)
+        return ServiceClient(homes, self._rng)
 
     def close(self) -> None:
         """End the connections that are kept."""
--- a/yewstage/holding/members.py
+++ b/yewstage/holding/member_changes.py
@@ -8,17 +8,17 @@
 
 from msgspec import structs
 
-from yewstage.holding.places import ideal
+from yewstage.holding.placement import ideal
 from yewstage.raft.messages import Member, Members
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class GroupView:
     """What a group's leader sees."""
 
     me: str
     members: Members
-    homes: tuple[str, ...]  # names of the machines that are to hold it; empty: not known
+    machine_names: tuple[str, ...]  # names of the machines that are to hold it; empty: not known
     silent_ms: Mapping[str, float]  # of members, by id: since we last heard of it
     present: tuple[Member, ...]  # processes that say now that they are there, members or not
     caught_up: frozenset[str]  # ids of those who have all but what is under way
@@ -26,7 +26,7 @@
     may_copy: bool = True  # whether a copy may be begun now
 
 
-def next_change(view: View) -> Members | None:
+def next_change(view: GroupView) -> Members | None:
     """The members after the next change; None: nothing is to be changed.
 
     A learner is let in first and made a voter once it has all; only then another one goes, so that there
@@ -34,30 +34,32 @@
     itself, or wanted no more, it goes again.
     """
     for learner in (m for m in view.members if not m.voter):
-        wanted = learner.name in view.homes and not _reborn(view, learner)
+        wanted = learner.name in view.machine_names and not _reborn(view, learner)
         if not wanted or _silent(view, learner) > view.fresh_ms:
             return _without(view, learner)
         if learner.id in view.caught_up:
             return tuple(structs.replace(m, voter=True) if m.id == learner.id else m for m in view.members)
         return None
-    if not view.homes:
+    if not view.machine_names:
         return None
     leaving = [m for m in view.members if _leaves(view, m)]
-    if leaving and len(view.members) > len(view.homes):
+    if leaving and len(view.members) > len(view.machine_names):
         goes = max(leaving, key=lambda m: (_missing(view, m), m.id != view.me, _silent(view, m)))
         if not _missing(view, goes) and any(_missing(view, m) for m in view.members if m not in leaving):
             return None  # a whole copy is not given up while one that is to stay may be lost
         return _without(view, goes)
     stay = {m.name for m in view.members if m not in leaving}
     twice = used_twice(view.present)
-    coming = [m for m in view.present if m.name in view.homes and m.name not in stay and m.name not in twice]
+    coming = [
+        m for m in view.present if m.name in view.machine_names and m.name not in stay and m.name not in twice
+    ]
     if coming and view.may_copy:
-        chosen = min(coming, key=lambda m: view.homes.index(m.name))
+        chosen = min(coming, key=lambda m: view.machine_names.index(m.name))
         return *view.members, structs.replace(chosen, voter=False)
     return None
 
 
-def lost(view: View, gone_ms: float) -> tuple[str, ...]:
+def lost(view: GroupView, gone_ms: float) -> tuple[str, ...]:
     """Ids of members that are silent for too long, or whose machine is there with another disk, so that they
     never come back."""
     return tuple(
@@ -68,7 +70,7 @@
     )
 
 
-def to_begin(statuses: list[dict[str, object]], group: str) -> tuple[int, list[dict[str, object]]]:
+def founder_and_members(statuses: list[dict[str, object]], group: str) -> tuple[int, list[dict[str, object]]]:
     """By what processes say of themselves: which one begins, and the members it is told."""
     members = [{key: told[key] for key in ("id", "name", "zone", "peer", "call")} for told in statuses]
     first = beginner(tuple(Member(**m) for m in members), group, int(statuses[0]["copies"]))
@@ -87,26 +89,26 @@
     return sorted(name for name, times in count.items() if times > 1)
 
 
-def _silent(view: View, member: Member) -> float:
+def _silent(view: GroupView, member: Member) -> float:
     return view.silent_ms.get(member.id, 0.0)
 
 
-def _missing(view: View, member: Member) -> bool:
+def _missing(view: GroupView, member: Member) -> bool:
     """Whether a copy may be lost: its machine is not heard of, or is there with another disk."""
     return member.id != view.me and (_reborn(view, member) or _silent(view, member) > view.fresh_ms)
 
 
-def _reborn(view: View, member: Member) -> bool:
+def _reborn(view: GroupView, member: Member) -> bool:
     """Whether the machine is there with another disk."""
     return any(m.name == member.name and m.id != member.id for m in view.present)
 
 
-def _leaves(view: View, member: Member) -> bool:
+def _leaves(view: GroupView, member: Member) -> bool:
     """Whether a voter is to go, once another one has come in its place."""
-    if member.name not in view.homes:
+    if member.name not in view.machine_names:
         return True
     return member.id != view.me and _reborn(view, member) and _silent(view, member) > view.fresh_ms
 
 
-def _without(view: View, member: Member) -> Members:
+def _without(view: GroupView, member: Member) -> Members:
     return tuple(m for m in view.members if m.id != member.id)
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -11,16 +11,16 @@
 
 from yewstage.holding.calls import BY_KEY, Calls
 from yewstage.holding.config import HoldingConfig
+from yewstage.holding.group_names import LIST_GROUP
 from yewstage.holding.identity import Folder
-from yewstage.holding.kinds import LIST
 from yewstage.holding.link import VERSION, Hearing, Hello, Link, Said, frame
-from yewstage.holding.passing import Passing
-from yewstage.holding.places import name_of
+from yewstage.holding.list_forwarder import Passing
+from yewstage.holding.placement import name_of
 from yewstage.holding.replicas import Replicas
-from yewstage.log import at
+from yewstage.log import address_event
 from yewstage.metrics import Metric, count, gauge, gauges
 from yewstage.net.config import Address
-from yewstage.net.serve import Answer, Call, Caller
+from yewstage.net.http_server import HttpConnection, HttpRequest, HttpResponse
 from yewstage.raft.messages import AnyMessage
 from yewstage.registry.server import Registry
 
@@ -47,7 +47,7 @@
         self._server: asyncio.Server | None = None
         self.refused_peers = 0
         self.replicas = Replicas(config, folder, loop, rng, self._send, self._fail, self._greet, self._spawn)
-        self.registry = Registry(config.service, self.replicas.all[LIST], loop, rng)
+        self.registry = Registry(config.service, self.replicas.all[LIST_GROUP], loop, rng)
         self.calls = Calls(self.replicas, loop, self._spawn)
         self.registry.listener.handle = self._call
         service = config.service
@@ -60,7 +60,7 @@
             service.watches,
             service.most_age_ms,
         )
-        self.registry.pass_on = self.passing.list
+        self.registry.forward_list = self.passing.list
 
     # --- Start and end ------------------------------------------------------------------------------------
 
@@ -72,7 +72,7 @@
         port = self._server.sockets[0].getsockname()[1]
         replicas = self.replicas
         replicas.me = structs.replace(replicas.me, peer=f"{host}:{port}", call=f"{address[0]}:{address[1]}")
-        log.info(at("peers", "hearing others on", (host, port)))
+        log.info(address_event("peers", "hearing others on", (host, port)))
         for name in self.config.peers:
             self._link(name)
         replicas.start()
@@ -167,14 +167,14 @@
 
     # --- Calls --------------------------------------------------------------------------------------------
 
-    def _call(self, call: Call, caller: Caller) -> Answer | None:
+    def _call(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
         if call.path.startswith(("/v1/holding/", *BY_KEY)):
             return self.calls.handle(call, caller)
         return self.registry.handle(call, caller)
 
     # --- Figures ------------------------------------------------------------------------------------------
 
-    def figures(self) -> list[Metric]:
+    def metrics(self) -> list[Metric]:
         """What operators read, beside the list service's."""
         replicas, links = self.replicas, self._links.values()
         accounts, granted = self.calls.accounts()
@@ -187,7 +187,7 @@
         return [
             by_group("holding_leads", "whether it leads", {g: r.leading() for g, r in held.items()}),
             by_group("holding_term", "of the group", {g: r.term for g, r in held.items()}),
-            by_group("holding_commit", "index", {g: r.commit for g, r in held.items()}),
+            by_group("holding_commit", "index", {g: r.commit_index for g, r in held.items()}),
             by_group(
                 "holding_age_seconds",
                 "bound on how old what is known here is",
@@ -215,7 +215,11 @@
             count("holding_elections", "stood in here", self._sum_of("elections")),
             count("holding_member_changes", "begun here", replicas.changes),
             count("holding_copied_bytes", "sent to copies that are made", replicas.pace.copied),
-            count("holding_disk_forgot", "what a peer's disk had said to be durable", self._sum_of("forgot")),
+            count(
+                "holding_disk_forgot",
+                "what a peer's disk had said to be durable",
+                self._sum_of("durability_losses"),
+            ),
             count("holding_passed_on", "calls for the list, to one that holds it", self.passing.passed),
             count("holding_passed_on_failed", "nobody answered in time", self.passing.failed),
             count("holding_unsure", "writes whose result is not known here", self._sum("unsure")),
--- a/yewstage/holding/places.py
+++ b/yewstage/holding/placement.py
@@ -21,34 +21,36 @@
 AT_ONCE = 2  # groups whose copies are on the move at one time: the rest wait, the most endangered go first
 
 
-class Placed(msgspec.Struct, frozen=True, array_like=True):
+class GroupPlacement(msgspec.Struct, frozen=True, array_like=True):
     """One group."""
 
     group: str
-    homes: tuple[str, ...]  # names of the machines that are to hold it
+    machine_names: tuple[str, ...]  # names of the machines that are to hold it
     members: Members  # that it began with; this and what follows never changes
     first: float = 0.0  # Unix time in ms when the cluster began
 
 
-class Table(msgspec.Struct, frozen=True, array_like=True):
+class PlacementTable(msgspec.Struct, frozen=True, array_like=True):
     """All groups. The epoch rises with each change."""
 
     epoch: int = 0  # 0: nothing was agreed yet
-    placed: tuple[Placed, ...] = ()
+    placed: tuple[GroupPlacement, ...] = ()
     out: tuple[str, ...] = ()  # machines that are to hold nothing
     coming: tuple[str, ...] = ()  # machines that are to be given their part
 
-    def of(self, group: str) -> Placed | None:
+    def of(self, group: str) -> GroupPlacement | None:
         """What is said of one group."""
         return next((p for p in self.placed if p.group == group), None)
 
-    def rehomed(self, group: str, homes: tuple[str, ...]) -> Table:
+    def rehomed(self, group: str, homes: tuple[str, ...]) -> PlacementTable:
         """The next table, with other homes for one group."""
-        placed = tuple(structs.replace(p, homes=homes) if p.group == group else p for p in self.placed)
+        placed = tuple(
+            structs.replace(p, machine_names=homes) if p.group == group else p for p in self.placed
+        )
         return structs.replace(self, epoch=self.epoch + 1, placed=placed)
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True):
+class LeaderReport(msgspec.Struct, frozen=True, array_like=True):
     """What a group's leader tells all of it."""
 
     group: str
@@ -57,13 +59,13 @@
     lost: tuple[str, ...]  # ids that it has not heard for too long
 
 
-class Places:
+class PlacementStore:
     """The store of the group that agrees on the table."""
 
-    def __init__(self, rules: Rules | None = None, table: Table | None = None) -> None:
-        self.table = table or Table()
+    def __init__(self, rules: Rules | None = None, table: PlacementTable | None = None) -> None:
+        self.table = table or PlacementTable()
 
-    def plan(self, table: Table | None) -> Entry | None:
+    def plan(self, table: PlacementTable | None) -> Entry | None:
         """The next table; RefusedError where another one came in between."""
         if table is None:
             return None
@@ -73,16 +75,16 @@
 
     def apply(self, entry: Entry, now: float) -> None:
         """Bring an entry about."""
-        self.table = msgspec.convert(entry["table"], Table)
+        self.table = msgspec.convert(entry["table"], PlacementTable)
 
     def snapshot(self) -> Entry:
         """All of it."""
         return {"table": msgspec.to_builtins(self.table)}
 
     @classmethod
-    def restored(cls, rules: Rules, state: Entry, now: float) -> Places:
+    def restored(cls, rules: Rules, state: Entry, now: float) -> PlacementStore:
         """The store as it was."""
-        return cls(rules, msgspec.convert(state["table"], Table))
+        return cls(rules, msgspec.convert(state["table"], PlacementTable))
 
 
 def name_of(member_id: str) -> str:
@@ -110,30 +112,30 @@
     return tuple(homes)
 
 
-def begin(
+def first_table(
     groups: Iterable[str], members: Members, copies: int, first: float, kept: Mapping[str, tuple[str, ...]]
-) -> Table:
+) -> PlacementTable:
     """The first table. `kept`: homes of groups that are there already."""
     placed = []
     for group in groups:
         homes = kept.get(group) or ideal(group, members, copies)
-        placed.append(Placed(group, homes, tuple(m for m in members if m.name in homes), first))
-    return Table(1, tuple(placed))
+        placed.append(GroupPlacement(group, homes, tuple(m for m in members if m.name in homes), first))
+    return PlacementTable(1, tuple(placed))
 
 
 @dataclass(slots=True, frozen=True)
-class Sight:
+class ClusterView:
     """What the leader of the places' group sees of the cluster."""
 
-    table: Table
-    reports: Mapping[str, Report]  # by group, of leaders that were heard of lately
+    table: PlacementTable
+    reports: Mapping[str, LeaderReport]  # by group, of leaders that were heard of lately
     present: tuple[Member, ...]  # processes that are there, each name once
     silent_ms: Mapping[str, float]  # by name, since it was heard of
     gone_ms: float
     copies: int
 
 
-def next_table(sight: Sight) -> Table | None:
+def next_table(sight: ClusterView) -> PlacementTable | None:
     """The table after the next change; None: nothing is to be changed.
 
     A home is given up when the group's leader and this process have both missed it for too long, so that one
@@ -163,27 +165,27 @@
     return None
 
 
-def moved(sight: Sight, group: str, old: str, new: str) -> Table:
+def moved(sight: ClusterView, group: str, old: str, new: str) -> PlacementTable:
     """By an operator's word; RefusedError names the field."""
     placed = sight.table.of(group)
     if placed is None:
         raise RefusedError(404, f"no group {group}", "group")
-    if old not in placed.homes:
-        raise RefusedError(409, f"{old} is none of {', '.join(placed.homes)}", "from")
-    if new in placed.homes or new in sight.table.out or all(m.name != new for m in sight.present):
+    if old not in placed.machine_names:
+        raise RefusedError(409, f"{old} is none of {', '.join(placed.machine_names)}", "from")
+    if new in placed.machine_names or new in sight.table.out or all(m.name != new for m in sight.present):
         raise RefusedError(409, f"{new} holds it already, is out, or is not there", "to")
     if not _settled(sight, placed):
         raise RefusedError(409, f"{group} is being moved already", "group")
-    homes = tuple(new if h == old else h for h in placed.homes)
-    if len(_zones(sight, placed, list(homes))) < len(_zones(sight, placed, list(placed.homes))):
+    homes = tuple(new if h == old else h for h in placed.machine_names)
+    if len(_zones(sight, placed, list(homes))) < len(_zones(sight, placed, list(placed.machine_names))):
         raise RefusedError(409, f"with {new} it would stand in fewer zones, and be moved back", "to")
     return sight.table.rehomed(group, homes)
 
 
-def taken_out(sight: Sight, name: str) -> Table:
+def without_machine(sight: ClusterView, name: str) -> PlacementTable:
     """A machine is to hold nothing any more."""
     table = sight.table
-    if all(name not in p.homes for p in table.placed) and all(m.name != name for m in sight.present):
+    if all(name not in p.machine_names for p in table.placed) and all(m.name != name for m in sight.present):
         raise RefusedError(404, f"no machine {name}", "name")
     out = tuple(sorted({*table.out, name}))
     left = [m for m in sight.present if m.name not in out]
@@ -193,7 +195,7 @@
     return structs.replace(table, epoch=table.epoch + 1, out=out, coming=coming)
 
 
-def let_in(sight: Sight, name: str) -> Table:
+def with_machine(sight: ClusterView, name: str) -> PlacementTable:
     """A machine is to hold its part, as if it had been there from the beginning."""
     table = sight.table
     if all(m.name != name for m in sight.present):
@@ -202,7 +204,7 @@
     return structs.replace(table, epoch=table.epoch + 1, out=out, coming=(*table.coming, name))
 
 
-def _alive(sight: Sight, placed: Placed) -> int:
+def _alive(sight: ClusterView, placed: GroupPlacement) -> int:
     """Copies that are whole and heard of."""
     report = sight.reports.get(placed.group)
     if report is None:
@@ -210,68 +212,68 @@
     return sum(voter and member not in report.lost for member, voter in report.members)
 
 
-def _settled(sight: Sight, placed: Placed) -> bool:
+def _settled(sight: ClusterView, placed: GroupPlacement) -> bool:
     """Whether a group is where it is to be."""
     report = sight.reports.get(placed.group)
     if report is None:
         return False
     names = [name_of(member) for member, voter in report.members if voter]
-    return sorted(names) == sorted(placed.homes) and len(names) == len(report.members)
+    return sorted(names) == sorted(placed.machine_names) and len(names) == len(report.members)
 
 
-def _lost(sight: Sight, report: Report, name: str) -> bool:
+def _lost(sight: ClusterView, report: LeaderReport, name: str) -> bool:
     """Whether a home is given up: not by the word of one alone."""
     there = any(m.name == name for m in sight.present)
     missed = all(member in report.lost for member, _ in report.members if name_of(member) == name)
     return not there and sight.silent_ms.get(name, 0.0) > sight.gone_ms and missed
 
 
-def _mended(sight: Sight, placed: Placed) -> tuple[str, ...] | None:
+def _mended(sight: ClusterView, placed: GroupPlacement) -> tuple[str, ...] | None:
     """Other homes for a group that has one that is lost or out, or has too few."""
     report = sight.reports[placed.group]
-    bad = [h for h in placed.homes if _lost(sight, report, h)]
-    bad += [h for h in placed.homes if h in sight.table.out and h not in bad]
+    bad = [h for h in placed.machine_names if _lost(sight, report, h)]
+    bad += [h for h in placed.machine_names if h in sight.table.out and h not in bad]
     voters = {name_of(member) for member, voter in report.members if voter}
-    if any(h not in voters for h in placed.homes if h not in bad):
+    if any(h not in voters for h in placed.machine_names if h not in bad):
         return None  # a copy is being made
-    kept = [h for h in placed.homes if h != bad[0]] if bad else list(placed.homes)
+    kept = [h for h in placed.machine_names if h != bad[0]] if bad else list(placed.machine_names)
     if not bad and len(kept) >= sight.copies:
         return None
     chosen = best(placed.group, _free(sight, placed), _zones(sight, placed, kept))
     return (*kept, chosen.name) if chosen is not None else None
 
 
-def _spread(sight: Sight, placed: Placed) -> tuple[str, ...] | None:
+def _spread(sight: ClusterView, placed: GroupPlacement) -> tuple[str, ...] | None:
     """Homes in more zones, where there are more.
 
     Danger: while a zone is away its copies are made in the others; were they left there when it is back, the
     next zone that is lost could take a majority along.
     """
-    zones = _zones(sight, placed, list(placed.homes))
+    zones = _zones(sight, placed, list(placed.machine_names))
     free = [m for m in _free(sight, placed) if m.zone not in zones]
     chosen = best(placed.group, free, {})
     if chosen is None or max(zones.values()) < 2:
         return None
     crowded = max(zones, key=lambda zone: (zones[zone], zone))
     here = {m.name: m.zone for m in (*placed.members, *sight.present)}
-    leaves = next(h for h in reversed(placed.homes) if here.get(h, "") == crowded)
-    return tuple(chosen.name if h == leaves else h for h in placed.homes)
+    leaves = next(h for h in reversed(placed.machine_names) if here.get(h, "") == crowded)
+    return tuple(chosen.name if h == leaves else h for h in placed.machine_names)
 
 
-def _shared(sight: Sight, placed: Placed, name: str) -> tuple[str, ...] | None:
+def _shared(sight: ClusterView, placed: GroupPlacement, name: str) -> tuple[str, ...] | None:
     """The homes of a group that a machine which comes in ought to hold; None where it does not."""
     usable = [m for m in sight.present if m.name not in sight.table.out]
     wanted = ideal(placed.group, usable, sight.copies)
-    others = [h for h in placed.homes if h not in wanted]
-    if name not in wanted or name in placed.homes or not others:
+    others = [h for h in placed.machine_names if h not in wanted]
+    if name not in wanted or name in placed.machine_names or not others:
         return None
-    return tuple(name if h == others[0] else h for h in placed.homes)
+    return tuple(name if h == others[0] else h for h in placed.machine_names)
 
 
-def _free(sight: Sight, placed: Placed) -> list[Member]:
-    return [m for m in sight.present if m.name not in placed.homes and m.name not in sight.table.out]
+def _free(sight: ClusterView, placed: GroupPlacement) -> list[Member]:
+    return [m for m in sight.present if m.name not in placed.machine_names and m.name not in sight.table.out]
 
 
-def _zones(sight: Sight, placed: Placed, kept: list[str]) -> Counter[str]:
+def _zones(sight: ClusterView, placed: GroupPlacement, kept: list[str]) -> Counter[str]:
     known = {m.name: m.zone for m in (*placed.members, *sight.present)}
     return Counter(known.get(h, "") for h in kept)
--- a/yewstage/holding/recover.py
+++ b/yewstage/holding/recover.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from yewstage.holding.config import HoldingConfig
-from yewstage.holding.group import Kept, decode_entry, encode_entry
+from yewstage.holding.group import ReplicatedStore, decode_entry, encode_entry
+from yewstage.holding.group_names import KEYED, LIST_GROUP, NAME, PLACEMENT_GROUP, all_group_names, store_of
 from yewstage.holding.identity import Folder, meta_of
-from yewstage.holding.kinds import KEYED, LIST, NAME, PLACES, names, store_of
-from yewstage.holding.places import Placed, Places, Table
+from yewstage.holding.placement import GroupPlacement, PlacementStore, PlacementTable
 from yewstage.raft.core import Write, first_state
 from yewstage.raft.disk import Disk, DiskError
 from yewstage.raft.messages import DATA, Member
@@ -34,7 +34,7 @@
     cluster: str
     index: int
     state: Entry
-    group: str = LIST
+    group: str = LIST_GROUP
 
 
 def read_backups(paths: Iterable[Path]) -> dict[str, Backup]:
@@ -78,7 +78,9 @@
         disk.close()
         if not saved.snapshot.index:
             continue
-        store: Kept = store_of(folder.name).restored(Rules(), decode_entry(saved.snapshot.data), 0.0)
+        store: ReplicatedStore = store_of(folder.name).restored(
+            Rules(), decode_entry(saved.snapshot.data), 0.0
+        )
         for entry in saved.entries:
             if entry.kind == DATA:
                 store.apply(decode_entry(entry.data), 0.0)
@@ -92,14 +94,14 @@
 def wanted(backups: dict[str, Backup]) -> tuple[str, ...]:
     """The groups that the old cluster had, as far as the backups tell."""
     keyed = {group for group in backups if group.startswith(KEYED)}
-    places = backups.get(PLACES)
+    places = backups.get(PLACEMENT_GROUP)
     if places is not None:
-        table = msgspec.convert(places.state["table"], Table)
+        table = msgspec.convert(places.state["table"], PlacementTable)
         keyed |= {p.group for p in table.placed if p.group.startswith(KEYED)}
-    return names(max((int(group.removeprefix(KEYED)) for group in keyed), default=0))
+    return all_group_names(max((int(group.removeprefix(KEYED)) for group in keyed), default=0))
 
 
-def begin_again(
+def restore_cluster(
     config: HoldingConfig, backups: dict[str, Backup], wall_ms: float, without: Iterable[str] = ()
 ) -> str:
     """Begin a new cluster with one member, on an empty folder; the id of its disk. Others join it by
@@ -110,7 +112,7 @@
             "be mixed in"
         )
     groups = wanted(backups)
-    lost = [g for g in groups if g not in backups and g != PLACES and g not in without]
+    lost = [g for g in groups if g not in backups and g != PLACEMENT_GROUP and g not in without]
     if lost:
         raise DiskError(f"from: has nothing of {', '.join(lost)}: give more folders, or say --without each")
     folder = Folder(config.service.folder, config.cluster, config.name)
@@ -119,9 +121,15 @@
             raise DiskError(f"{folder.path}: holds something already; give an empty folder")
         (peer, call) = (f"{host}:{port}" for host, port in (config.peer, config.service.listen))
         me = Member(folder.id, config.name, config.zone, peer, call)
-        table = Table(1, tuple(Placed(group, (me.name,), (me,), wall_ms) for group in groups))
+        table = PlacementTable(
+            1, tuple(GroupPlacement(group, (me.name,), (me,), wall_ms) for group in groups)
+        )
         for group in groups:
-            state = Places(table=table).snapshot() if group == PLACES else _state(group, backups, wall_ms)
+            state = (
+                PlacementStore(table=table).snapshot()
+                if group == PLACEMENT_GROUP
+                else _state(group, backups, wall_ms)
+            )
             saved = first_state((me,), encode_entry(state))
             disk = Disk(folder.path / group)
             disk.load()
@@ -136,7 +144,7 @@
     """What a group goes on with."""
     backup = backups.get(group)
     state = dict(backup.state) if backup is not None else store_of(group)(Rules()).snapshot()
-    if group == LIST:
+    if group == LIST_GROUP:
         state["revision"] = max(int(state["revision"]) + 1, int(wall_ms))
         state["token"] = int(state["token"]) + TOKENS_AHEAD
     return state
--- a/yewstage/holding/ledger.py
+++ b/yewstage/holding/replicated_backend.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from yewstage.holding.group import Group, Kept, Planned, UnsureError
+from yewstage.holding.group import Group, ReplicatedStore, UnsureError, WritePlan
 from yewstage.log import Event
 from yewstage.raft.core import BusyError, NotLeaderError, Write
 from yewstage.raft.disk import Disk, FullError
 from yewstage.raft.messages import AnyMessage, Members
-from yewstage.registry.ledger import ElsewhereError, LaterError
+from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError
 from yewstage.registry.store import Entry
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,7 @@
 FULL_S = 0.5  # how soon a full disk is tried again
 
 
-class Copied:
+class ReplicatedBackend:
     """One group's ledger, replicated. `failed` is told when the disk can't be trusted any more; `elsewhere`
     knows where the leader is called, as others say."""
 
@@ -51,7 +51,7 @@
     # The service's side
 
     @property
-    def store(self) -> Kept:
+    def store(self) -> ReplicatedStore:
         return self.group.store
 
     @property
@@ -65,11 +65,11 @@
     def now(self) -> float:
         return self._loop.time() * 1000
 
-    def live(self) -> Kept | None:
-        return self.group.planned if self.group.leads() else None
+    def leader_store(self) -> ReplicatedStore | None:
+        return self.group.planned if self.group.is_leader() else None
 
     def leader(self) -> str:
-        return "" if self.group.leads() else self._call_of(self.group.replica.leader)
+        return "" if self.group.is_leader() else self._call_of(self.group.replica.leader)
 
     def _call_of(self, leader: str) -> str:
         """Where a leader is called: by consensus, else by what is said."""
@@ -79,11 +79,11 @@
     def age_ms(self) -> float:
         return self.group.replica.age_ms(self.now())
 
-    async def write(self, plan: Planned) -> bool:
+    async def write(self, plan: WritePlan) -> bool:
         """Planned here if we lead; done once a majority has it."""
         made: list[Entry] = []
 
-        def noted(store: Kept, now: float) -> Entry | None:
+        def noted(store: ReplicatedStore, now: float) -> Entry | None:
             entry = plan(store, now)
             made.extend([entry] if entry is not None else [])
             return entry
@@ -100,15 +100,15 @@
             ticket = begin()
         except NotLeaderError as error:
             self.soon()
-            raise ElsewhereError(self._call_of(error.leader)) from None
+            raise MisdirectedError(self._call_of(error.leader)) from None
         except BusyError as error:
-            raise LaterError(str(error)) from None
+            raise OutcomeUnknownError(str(error)) from None
         future = self._waiting[ticket] = self._loop.create_future()
         self.soon()
         error = await future
         if isinstance(error, UnsureError):
             self.unsure += 1
-            raise LaterError("leadership passed on meanwhile: it may have been done, ask again")
+            raise OutcomeUnknownError("leadership passed on meanwhile: it may have been done, ask again")
         if error is not None:
             raise error
 
@@ -137,7 +137,7 @@
 
     def change(self, members: Members) -> None:
         """Begin to change a member. NotLeaderError, BusyError."""
-        self.group.replica.change(self.now(), members)
+        self.group.replica.change_members(self.now(), members)
         self.soon()
 
     def soon(self) -> None:
@@ -155,7 +155,7 @@
         result = self.group.take(self.now())
         for message in result.messages:
             self._send(message)
-        if self.group.replica.forgot > self._forgot_told:
+        if self.group.replica.durability_losses > self._forgot_told:
             self._tell_forgot()
         self._queue += result.writes
         if self._queue and self._writing is None:
@@ -170,12 +170,12 @@
 
     def _tell_forgot(self) -> None:
         replica = self.group.replica
-        self._forgot_told = replica.forgot
+        self._forgot_told = replica.durability_losses
         log.error(
             Event(
                 "disk_forgot",
                 "replace the disk: what it had said to be durable is gone at {members}",
-                members=", ".join(name for name, peer in replica.peers.items() if peer.forgot),
+                members=", ".join(name for name, peer in replica.peers.items() if peer.durability_losses),
             )
         )
 
@@ -220,10 +220,10 @@
         """Hand leadership to the voter that is furthest; whether there is one, and it is ours to hand."""
         replica = self.group.replica
         voters = [v for v in replica.voters() if v in replica.peers]
-        if not self.group.leads() or not voters:
+        if not self.group.is_leader() or not voters:
             return False
         try:
-            replica.hand_to(self.now(), max(voters, key=lambda v: replica.peers[v].match))
+            replica.transfer_leadership(self.now(), max(voters, key=lambda v: replica.peers[v].match))
         except (NotLeaderError, BusyError):
             return False
         self.soon()
--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -10,8 +10,8 @@
 
 # Results of an attempt, and whether each one proves that the request never ran.
 OK, ERROR, FULL, TIMED_OUT = "ok", "error", "full", "timed_out"
-CONNECT_FAILED, RESET, CANCELLED, MOOT = "connect_failed", "reset", "cancelled", "moot"
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))
+CONNECT_FAILED, RESET, CANCELLED, START_EXPIRED = "connect_failed", "reset", "cancelled", "moot"
+NEVER_RAN = frozenset((FULL, CONNECT_FAILED, START_EXPIRED))
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,7 +19,7 @@
     """A class of request: what it is worth, when it is wanted, whether it may run again."""
 
     name: str
-    aim_ms: float
+    objective_ms: float
     deadline_ms: float
     worth: float = 1.0
     late_worth: float = 0.0
@@ -41,7 +41,9 @@
     ceiling_rate: float = 0.0  # units a second; 0: no ceiling
     ceiling_burst: float = 0.0
     parallel: int = 0  # attempts out at once; 0: no such quota
-    shares: bool = False  # its quota is spent out of shares that are granted to one gateway each, and only so
+    uses_quota_shares: bool = (
+        False  # its quota is spent out of shares that are granted to one gateway each, and only so
+    )
     floor: float = 0.0  # units that a gateway which hears nobody may spend besides, once
     floor_ms: float = 0.0  # and for how long
 
@@ -52,7 +54,7 @@
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...] = ()
-    me: int = 0
+    gateway_index: int = 0
     fleet_size: int = 1
     try_limit: int = 1
     second_copies: bool = False
@@ -60,8 +62,8 @@
     retry_after: bool = False
     marks_retry: bool = False  # clients mark their retries: what is not marked is a first try
     max_retry_after_ms: float = 0.0
-    must_ask: bool = False  # the list of servers comes only on request
-    may_count: bool = False
+    server_list_on_request: bool = False  # the list of servers comes only on request
+    counter_enabled: bool = False
     count_wait_ms: float = 50.0
     tick_ms: float = 1.0
     cold_from: float = 1.0
@@ -70,7 +72,9 @@
     tip_after_ms: float = 0.0
     handshake: float = 0.0  # price of a new connection, in first tries
     idle_ms: float = 15000.0  # servers close connections that stand idle for so long
-    record: bool = False  # keyed requests are claimed on a record that all gateways share, before any is sent
+    uses_claim_record: bool = (
+        False  # keyed requests are claimed on a record that all gateways share, before any is sent
+    )
 
     def check(self) -> None:
         """Refuse settings that make no sense, naming the field."""
@@ -78,10 +82,10 @@
             raise ValueError("classes: at least one is needed")
         if self.fleet_size < 1:
             raise ValueError("fleet_size: must be 1 or more")
-        if not 0 <= self.me < self.fleet_size:
+        if not 0 <= self.gateway_index < self.fleet_size:
             raise ValueError("me: must lie in 0 .. fleet_size - 1")
         for c in self.classes:
-            if c.aim_ms <= 0 or c.deadline_ms <= 0:
+            if c.objective_ms <= 0 or c.deadline_ms <= 0:
                 raise ValueError(f"classes[{c.name}].aim_ms, deadline_ms: must be above 0")
             if c.effect not in ("safe", "keyed", "unsafe"):
                 raise ValueError(f"classes[{c.name}].effect: {c.effect!r} is not safe, keyed or unsafe")
@@ -112,7 +116,7 @@
     zone: str = ""
     cell: int = 0
     status: str = "up"  # up, draining, removed
-    nominal: float = 1.0
+    nominal_capacity: float = 1.0
     up_since_ms: float = 0.0  # 0: a long time back
 
 
@@ -137,10 +141,10 @@
     customer: str
     time_left_ms: float
     units: float = 1.0
-    width: int = 1  # gateways that this customer's requests may come through
-    first: int = 0  # number of the first of them
-    repeat: bool = False
-    kept: bool = True  # its body is kept; else it is passed on once, as it comes: see `Uploaded`
+    gateway_count: int = 1  # gateways that this customer's requests may come through
+    first_gateway: int = 0  # number of the first of them
+    is_retry: bool = False
+    body_is_buffered: bool = True  # its body is kept; else it is passed on once, as it comes: see `Uploaded`
     cls: RequestClass | None = None  # its class as it was when the request came; None: as it is
 
 
@@ -154,9 +158,9 @@
     result: str
     took_ms: float
     final: bool
-    true_units: float = 0.0  # 0: not told
-    report: dict[str, float] = field(default_factory=dict)  # of its load: util, inflight, queue, or some
-    unbegun: bool = False  # no byte of it has left: a body that is not kept is still whole
+    billed_units: float = 0.0  # 0: not told
+    load_report: dict[str, float] = field(default_factory=dict)  # of its load: util, inflight, queue, or some
+    nothing_sent: bool = False  # no byte of it has left: a body that is not kept is still whole
 
 
 @dataclass(slots=True, frozen=True)
@@ -237,7 +241,7 @@
     request: str
     server: str
     timeout_ms: float
-    start_ms: float = math.inf  # what is not begun by then must not begin any more: it ends as MOOT
+    start_deadline_ms: float = math.inf  # what is not begun by then must not begin any more: it ends as MOOT
 
 
 @dataclass(slots=True, frozen=True)
@@ -246,7 +250,7 @@
 
     request: str
     retry_after_ms: float = 0.0
-    why: str = ""  # for the log
+    reason: str = ""  # for the log
 
 
 @dataclass(slots=True, frozen=True)
@@ -292,7 +296,7 @@
     """Ask for a TimerDue."""
 
     name: str
-    in_ms: float
+    delay_ms: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -301,9 +305,9 @@
 
     name: str
     amount: float
-    keep_ms: float
+    ttl_ms: float
     plan: str = ""  # of the share
-    least: float = 0.0  # units under which a share is of no use
+    min_units: float = 0.0  # units under which a share is of no use
 
 
 @dataclass(slots=True, frozen=True)
--- a/yewstage/log.py
+++ b/yewstage/log.py
@@ -27,14 +27,14 @@
         return self.text.format_map(self.fields)
 
 
-class Several(list):
+class JoinedList(list):
     """A field of several things; in a text they stand with the template's separator between them."""
 
     def __format__(self, separator: str) -> str:
         return separator.join(map(str, self)) or "none"
 
 
-def at(name: str, text: str, address: tuple[str, int]) -> Event:
+def address_event(name: str, text: str, address: tuple[str, int]) -> Event:
     """That something can be reached at an address."""
     return Event(name, text + " {host}:{port}", host=address[0], port=address[1])
 
@@ -58,7 +58,7 @@
         return self._lines <= self._most
 
 
-def set_up(name: str, style: str, who: Mapping[str, str], lines_per_s: int | None = None) -> None:
+def configure_logging(name: str, style: str, who: Mapping[str, str], lines_per_s: int | None = None) -> None:
     """Log to standard error; `who` are the fields that every JSON line carries, `name` is for texts."""
     handler = logging.StreamHandler(sys.stderr)
     if style == JSON:
--- a/yewstage/membership/messages.py
+++ b/yewstage/membership/messages.py
@@ -24,11 +24,11 @@
     """It is dropped; the text is the reason that is counted."""
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class MemberRow(msgspec.Struct, frozen=True, array_like=True):
     """What is said of a member. Of two, the one of the higher incarnation counts, then the worse state."""
 
     name: str
-    life: int  # of the process: another one under the name has another
+    start_id: int  # of the process: another one under the name has another
     at: str  # HOST:PORT of its datagrams
     zone: str
     region: str
@@ -38,7 +38,7 @@
 
     def rank(self) -> tuple[int, int, int]:
         """What is newer is greater: the same for all, whatever the order in which they hear."""
-        return self.incarnation, self.state, self.life
+        return self.incarnation, self.state, self.start_id
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -46,22 +46,22 @@
 
     probe: int
     life: int
-    rows: tuple[Row, ...] = ()
+    rows: tuple[MemberRow, ...] = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Whoever was asked is there."""
 
     probe: int
-    rows: tuple[Row, ...] = ()
+    rows: tuple[MemberRow, ...] = ()
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Ask another one for me: ack if it answers you, nack if it does not, so that I know it was not me."""
 
     probe: int
-    target: Row
-    rows: tuple[Row, ...] = ()
+    target: MemberRow
+    rows: tuple[MemberRow, ...] = ()
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
@@ -79,7 +79,7 @@
 class Page(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Rows of buckets that differed, as many as fit."""
 
-    rows: tuple[Row, ...]
+    rows: tuple[MemberRow, ...]
 
 
 class Carried(msgspec.Struct, frozen=True, array_like=True, tag=7):
@@ -88,20 +88,20 @@
     data: bytes
 
 
-Message = Ping | Ack | Ask | Nack | Sync | Page | Carried
+Message = Ping | Ack | PingRequest | Nack | Sync | Page | Carried
 
 
-class Letter(msgspec.Struct, frozen=True, array_like=True):
+class Datagram(msgspec.Struct, frozen=True, array_like=True):
     """A message and who sent it. `serial` rises with each: one that comes again is not taken again."""
 
     cluster: str
-    sender: Row
+    sender: MemberRow
     serial: int
     message: Message
 
 
 encode = msgspec.msgpack.Encoder().encode
-_letter = msgspec.msgpack.Decoder(Letter)
+_letter = msgspec.msgpack.Decoder(Datagram)
 
 
 def size(value: object) -> int:
@@ -109,13 +109,13 @@
     return len(encode(value))
 
 
-def sealed(letter: Letter, key: bytes) -> bytes:
+def seal(letter: Datagram, key: bytes) -> bytes:
     """The datagram: version, seal, letter."""
     body = bytes((VERSION,)) + encode(letter)
     return body[:1] + _seal(body, key) + body[1:]
 
 
-def opened(data: bytes, cluster: str, keys: Sequence[bytes]) -> Letter:
+def unseal(data: bytes, cluster: str, keys: Sequence[bytes]) -> Datagram:
     """The letter of a datagram. BadDatagramError says why there is none: oversized, version, forged, nonsense
     or foreign."""
     if len(data) > LONGEST:
