--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -29,14 +29,14 @@
     SEAL,
     SUSPECT,
     Ack,
-    Ask,
     Carried,
-    Letter,
+    Datagram,
+    MemberRow,
     Message,
     Nack,
     Page,
     Ping,
-    Row,
+    PingRequest,
     Sync,
     size,
 )
@@ -64,10 +64,10 @@
 
 
 @dataclass(slots=True)
-class Other:
+class PeerState:
     """What is known of another member."""
 
-    row: Row
+    row: MemberRow
     since: float  # when it came to be in that state
     suspected_by: set[str] = field(default_factory=set)
     serial: int = 0  # the highest of its life, and which of those behind it came
@@ -77,7 +77,7 @@
 @dataclass(slots=True)
 class _Probe:
     number: int
-    target: Row
+    target: MemberRow
     indirect_at: float
     over_at: float
     asked: int = 0  # helpers
@@ -89,7 +89,7 @@
     """A question that another one has us ask."""
 
     number: int  # its own
-    for_whom: Row
+    for_whom: MemberRow
     until: float
 
 
@@ -97,20 +97,22 @@
 class Output:
     """What came out: letters, each with a name (empty: not known) and an address; rows that changed."""
 
-    letters: list[tuple[str, str, Letter]] = field(default_factory=list)
-    changes: list[Row] = field(default_factory=list)
-    carried: list[tuple[Row, bytes]] = field(default_factory=list)  # what came for others, with its sender
+    letters: list[tuple[str, str, Datagram]] = field(default_factory=list)
+    changes: list[MemberRow] = field(default_factory=list)
+    carried: list[tuple[MemberRow, bytes]] = field(
+        default_factory=list
+    )  # what came for others, with its sender
 
 
 class Swim:
     """One member."""
 
     def __init__(
-        self, me: Row, settings: Settings, seeds: Iterable[str], rng: random.Random, now: float
+        self, own_row: MemberRow, settings: Settings, seeds: Iterable[str], rng: random.Random, now: float
     ) -> None:
         """`me`: incarnation 1 or more; its life has to be another one for each start. `seeds`: addresses."""
-        self.me, self.settings, self.seeds, self._rng = me, settings, tuple(seeds), rng
-        self.others: dict[str, Other] = {}
+        self.own_row, self.settings, self.seeds, self._rng = own_row, settings, tuple(seeds), rng
+        self.peers: dict[str, PeerState] = {}
         self.health = 0  # 0 is well, WORST is worst
         self.out = Output()
         self.dropped: Counter[str] = Counter()  # letters, by reason
@@ -128,17 +130,17 @@
         self._looked_at = now
         self.left = False
         self._digests = [0] * BUCKETS
-        self._noted(None, me)
+        self._noted(None, own_row)
 
     # --- Reading ------------------------------------------------------------------------------------------
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[MemberRow]:
         """All that is known, this member too."""
-        return [self.me, *(other.row for other in self.others.values())]
+        return [self.own_row, *(other.row for other in self.peers.values())]
 
-    def alive(self) -> list[Row]:
+    def alive(self) -> list[MemberRow]:
         """Others that are there, suspects too."""
-        return [other.row for other in self.others.values() if other.row.state in (ALIVE, SUSPECT)]
+        return [other.row for other in self.peers.values() if other.row.state in (ALIVE, SUSPECT)]
 
     def next_at(self) -> float:
         """When `tick` is to be called at the latest."""
@@ -201,7 +203,7 @@
             return
         self._probe, self._errands = None, {}
         self.health = min(self.health + 1, WORST)
-        for other in self.others.values():
+        for other in self.peers.values():
             other.since += slept
 
     def _span(self) -> float:
@@ -216,7 +218,7 @@
             if not self._ring:  # all, in an order of our own, before any comes again
                 self._ring = [row.name for row in self.alive()]
                 self._rng.shuffle(self._ring)
-            other = self.others.get(self._ring.pop())
+            other = self.peers.get(self._ring.pop())
             if other is None or other.row.state not in (ALIVE, SUSPECT):
                 continue
             self._probes += 1
@@ -224,7 +226,7 @@
             self._probe = _Probe(self._probes, other.row, now + answer_ms, now + self._span())
             # A suspect is told so first of all, that it may object.
             first = (other.row,) if other.row.state == SUSPECT else ()
-            self._send(other.row, Ping(self._probes, other.row.life, first))
+            self._send(other.row, Ping(self._probes, other.row.start_id, first))
             return
 
     def _ask_others(self, probe: _Probe) -> None:
@@ -234,30 +236,30 @@
         if not chosen:
             probe.indirect_at = probe.over_at
         for row in chosen:
-            self._send(row, Ask(probe.number, probe.target))
+            self._send(row, PingRequest(probe.number, probe.target))
 
     def _missed(self, probe: _Probe, now: float) -> None:
         """Nobody has an answer from it. Helpers that did not even say so leave the doubt with us."""
         self._probe = None
         silent = probe.asked - probe.nacks
         self._feel(silent if probe.asked else 1)
-        other = self.others.get(probe.target.name)
+        other = self.peers.get(probe.target.name)
         if other is not None and other.row.rank() == probe.target.rank() and other.row.state == ALIVE:
             self.suspicions += 1
-            self._take_row(structs.replace(other.row, state=SUSPECT, by=self.me.name), now)
-        elif other is not None and other.row.state == SUSPECT and other.row.life == probe.target.life:
-            self._take_row(structs.replace(other.row, by=self.me.name), now)
+            self._take_row(structs.replace(other.row, state=SUSPECT, by=self.own_row.name), now)
+        elif other is not None and other.row.state == SUSPECT and other.row.start_id == probe.target.start_id:
+            self._take_row(structs.replace(other.row, by=self.own_row.name), now)
 
     def _feel(self, worse: int) -> None:
         self.health = min(max(self.health + worse, 0), WORST)
 
     def _judge_suspects(self, now: float) -> None:
-        for other in list(self.others.values()):
+        for other in list(self.peers.values()):
             state, since = other.row.state, now - other.since
             if state == SUSPECT and since >= self.suspect_ms(len(other.suspected_by) - 1):
-                self._take_row(structs.replace(other.row, state=DEAD, by=self.me.name), now)
+                self._take_row(structs.replace(other.row, state=DEAD, by=self.own_row.name), now)
             elif state in (DEAD, LEFT) and since >= FORGET_PERIODS * self.settings.period_ms:
-                del self.others[other.row.name]
+                del self.peers[other.row.name]
                 self._noted(other.row, None)
                 self._news.pop(other.row.name, None)
 
@@ -270,9 +272,9 @@
         digests = Sync(self.digests())
         if there:
             self._send(self._rng.choice(there), digests)
-        gone = [other.row.at for other in self.others.values() if other.row.state == DEAD]
+        gone = [other.row.at for other in self.peers.values() if other.row.state == DEAD]
         known = {row.at for row in there}
-        far = [at for at in (*gone, *self.seeds) if at not in known and at != self.me.at]
+        far = [at for at in (*gone, *self.seeds) if at not in known and at != self.own_row.at]
         if far and (not there or self._rng.random() < 0.5):
             self._post(self._rng.choice(far), digests)
 
@@ -280,13 +282,13 @@
         """Of each bucket of the table."""
         return tuple(self._digests)
 
-    def _noted(self, old: Row | None, new: Row | None) -> None:
+    def _noted(self, old: MemberRow | None, new: MemberRow | None) -> None:
         """One row of the table has changed, come or gone."""
         for row in (old, new):
             if row is not None:
                 self._digests[_bucket(row.name)] ^= _digest(row)
 
-    def _on_sync(self, sender: Row, m: Sync) -> None:
+    def _on_sync(self, sender: MemberRow, m: Sync) -> None:
         mine = self.digests()
         if len(m.digests) != BUCKETS:
             return
@@ -304,7 +306,7 @@
 
     # --- Letters ------------------------------------------------------------------------------------------
 
-    def handle(self, now: float, letter: Letter) -> None:
+    def handle(self, now: float, letter: Datagram) -> None:
         """One letter, whenever it comes."""
         self._wake(now)
         sender = letter.sender
@@ -313,12 +315,12 @@
         match letter.message:
             case Ping():
                 self._hear(letter.message.rows, now)
-                if letter.message.life == self.me.life:
+                if letter.message.life == self.own_row.start_id:
                     self._send(sender, Ack(letter.message.probe))
             case Ack():
                 self._hear(letter.message.rows, now)
                 self._on_ack(letter.message, now)
-            case Ask():
+            case PingRequest():
                 self._hear(letter.message.rows, now)
                 self._run_errand(letter.message, sender, now)
             case Nack():
@@ -331,26 +333,26 @@
             case Carried():
                 self.out.carried.append((sender, letter.message.data))
 
-    def _believed(self, letter: Letter, now: float) -> bool:
+    def _believed(self, letter: Datagram, now: float) -> bool:
         """Whether a letter is no repeat, and of its sender's present life. Who goes by our own name, or by a
         life that another one has followed, is told what is known of that name, and nothing of it is taken."""
         sender = letter.sender
-        if sender.name == self.me.name:
-            if sender.life != self.me.life:
+        if sender.name == self.own_row.name:
+            if sender.start_id != self.own_row.start_id:
                 self._take_row(sender, now)
                 if isinstance(letter.message, Ping | Sync):  # danger: answers to answers would never end
-                    self._post(sender.at, Page((self.me,)))
+                    self._post(sender.at, Page((self.own_row,)))
             self.dropped["own name"] += 1
             return False
-        known = self.others.get(sender.name)
-        if known is not None and known.row.life != sender.life and known.row.rank() > sender.rank():
+        known = self.peers.get(sender.name)
+        if known is not None and known.row.start_id != sender.start_id and known.row.rank() > sender.rank():
             self.dropped["earlier life"] += 1
             if isinstance(letter.message, Ping | Sync):
                 self._send(sender, Page((known.row,)))
             return False
         self._take_row(sender, now)
-        known = self.others.get(sender.name)
-        if known is None or known.row.life != sender.life or not _fresh(known, letter.serial):
+        known = self.peers.get(sender.name)
+        if known is None or known.row.start_id != sender.start_id or not _fresh(known, letter.serial):
             self.dropped["repeated"] += 1
             return False
         worse = known.row.state != ALIVE and known.row.incarnation >= sender.incarnation
@@ -358,7 +360,7 @@
             self._send(sender, Page((known.row,)))  # it objects by a higher incarnation, if it can
         return True
 
-    def _hear(self, rows: Iterable[Row], now: float) -> None:
+    def _hear(self, rows: Iterable[MemberRow], now: float) -> None:
         for row in rows:
             self._take_row(row, now)
 
@@ -370,37 +372,37 @@
             self._probe = None
             self._feel(-1)
 
-    def _run_errand(self, m: Ask, sender: Row, now: float) -> None:
+    def _run_errand(self, m: PingRequest, sender: MemberRow, now: float) -> None:
         """Its number is ours, so that its answer is not taken for another one's."""
         self._probes += 1
         self._errands[self._probes] = _Errand(m.probe, sender, now + self.settings.answer_ms)
-        self._send(m.target, Ping(self._probes, m.target.life))
+        self._send(m.target, Ping(self._probes, m.target.start_id))
 
     # --- What is known ------------------------------------------------------------------------------------
 
-    def know(self, row: Row, now: float) -> None:
+    def know(self, row: MemberRow, now: float) -> None:
         """Take in what is known of another member from elsewhere, as nothing new to tell on."""
-        if row.name != self.me.name and self._take_row(row, now):
+        if row.name != self.own_row.name and self._take_row(row, now):
             del self._news[row.name]
 
-    def _take_row(self, row: Row, now: float) -> bool:
+    def _take_row(self, row: MemberRow, now: float) -> bool:
         """Take in what is said of a member; whether that was new."""
-        if row.name == self.me.name:
+        if row.name == self.own_row.name:
             return self._of_me(row, now)
-        known = self.others.get(row.name)
+        known = self.peers.get(row.name)
         if known is None:
             if row.state == DEAD and row.incarnation <= 0:
                 return False
-            known = self.others[row.name] = Other(row, now)
+            known = self.peers[row.name] = PeerState(row, now)
             self._noted(None, row)
         else:
             if row.state == SUSPECT and known.row.rank() == row.rank():
                 return self._confirmed(known, row.by)
             if row.rank() <= known.row.rank():
                 return False
-            if known.row.state == SUSPECT and row.state == ALIVE and row.life == known.row.life:
+            if known.row.state == SUSPECT and row.state == ALIVE and row.start_id == known.row.start_id:
                 self.false_suspicions += 1
-            if row.life != known.row.life:
+            if row.start_id != known.row.start_id:
                 known.serial = known.came = 0
             self._noted(known.row, row)
             known.row, known.since = row, now
@@ -411,7 +413,7 @@
         self.out.changes.append(row)
         return True
 
-    def _confirmed(self, known: Other, by: str) -> bool:
+    def _confirmed(self, known: PeerState, by: str) -> bool:
         """Another one suspects it as well: told on, as far as that shortens anybody's patience."""
         if by in known.suspected_by or len(known.suspected_by) > CONFIRMED:
             return False
@@ -420,22 +422,22 @@
         self._news[known.row.name] = 0
         return True
 
-    def _of_me(self, row: Row, now: float) -> bool:
+    def _of_me(self, row: MemberRow, now: float) -> bool:
         """What is said of our own name: an objection is a higher incarnation, ours alone to take."""
-        if row.life == self.me.life:
-            if row.state == ALIVE or row.incarnation < self.me.incarnation or self.left:
+        if row.start_id == self.own_row.start_id:
+            if row.state == ALIVE or row.incarnation < self.own_row.incarnation or self.left:
                 return False
             self._raise(row.incarnation)
             self.refuted += 1
             self._feel(1)
             return True
-        if row.rank() <= self.me.rank():
+        if row.rank() <= self.own_row.rank():
             return False
         if row.state == ALIVE:
             self._claims = [at for at in self._claims if now - at < self._contest_ms()] + [now]
         # Once is our own earlier life, of which some have not heard that it is over. Danger: two that go by
         # one name would outbid each other without end; the lower life gives way, and both are told of.
-        if len(self._claims) > 1 and row.life > self.me.life:
+        if len(self._claims) > 1 and row.start_id > self.own_row.start_id:
             self.contested = True
             return False
         self.contested = len(self._claims) > 1
@@ -446,46 +448,46 @@
         return 60 * self.settings.period_ms
 
     def _raise(self, above: int) -> None:
-        self._noted(self.me, me := structs.replace(self.me, incarnation=above + 1))
-        self.me = me
-        self._news[self.me.name] = 0
+        self._noted(self.own_row, me := structs.replace(self.own_row, incarnation=above + 1))
+        self.own_row = me
+        self._news[self.own_row.name] = 0
 
-    def carry(self, to: Row, data: bytes) -> None:
+    def carry(self, to: MemberRow, data: bytes) -> None:
         """Send something of no meaning to membership; it may be lost, and never comes twice."""
         self._send(to, Carried(data))
 
     def leave(self, now: float) -> None:
         """Say that we go, to as many as hear of things at first hand; nothing is sent after that."""
-        self.me = structs.replace(self.me, incarnation=self.me.incarnation + 1, state=LEFT)
+        self.own_row = structs.replace(self.own_row, incarnation=self.own_row.incarnation + 1, state=LEFT)
         there = self.alive()
         for row in self._rng.sample(there, min(len(there), REPEATS * HELPERS)):
-            self._send(row, Page((self.me,)))
+            self._send(row, Page((self.own_row,)))
         self.left = True
 
     # --- Sending ------------------------------------------------------------------------------------------
 
-    def _send(self, to: Row, message: Message) -> None:
+    def _send(self, to: MemberRow, message: Message) -> None:
         self._post(to.at, message, to.name)
 
     def _post(self, at: str, message: Message, name: str = "") -> None:
         self._serial += 1
-        if isinstance(message, Ping | Ack | Ask):
+        if isinstance(message, Ping | Ack | PingRequest):
             rows = (*message.rows, *self._told_on(self._room(message)))
             message = structs.replace(message, rows=rows)
         self.out.letters.append((name, at, self._letter(message)))
 
-    def _letter(self, message: Message) -> Letter:
-        return Letter(self.settings.cluster, self.me, self._serial, message)
+    def _letter(self, message: Message) -> Datagram:
+        return Datagram(self.settings.cluster, self.own_row, self._serial, message)
 
     def _room(self, message: Message) -> int:
         """Bytes that rows may take beside a message."""
         return LONGEST - HEAD - size(self._letter(message))
 
-    def _told_on(self, room: int) -> Iterator[Row]:
+    def _told_on(self, room: int) -> Iterator[MemberRow]:
         """What is new, the least told first, as much as fits; what was told often enough is news no more."""
-        most = REPEATS * math.ceil(math.log10(len(self.others) + 2))
+        most = REPEATS * math.ceil(math.log10(len(self.peers) + 2))
         for name in sorted(self._news, key=lambda n: self._news[n]):
-            row = self.me if name == self.me.name else self.others[name].row
+            row = self.own_row if name == self.own_row.name else self.peers[name].row
             room -= size(row)
             if room < 0:
                 return
@@ -494,7 +496,7 @@
                 del self._news[name]
             yield row
 
-    def _fitting(self, rows: Iterable[Row]) -> Iterator[Row]:
+    def _fitting(self, rows: Iterable[MemberRow]) -> Iterator[MemberRow]:
         room = self._room(Page(()))
         for row in rows:
             room -= size(row)
@@ -507,13 +509,13 @@
     return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
 
 
-def _digest(row: Row) -> int:
+def _digest(row: MemberRow) -> int:
     """A suspicion is none of it: it passes, and is told by itself."""
     state = ALIVE if row.state == SUSPECT else row.state
-    return xxhash.xxh32_intdigest(f"{row.name}/{row.life}/{row.incarnation}/{state}".encode())
+    return xxhash.xxh32_intdigest(f"{row.name}/{row.start_id}/{row.incarnation}/{state}".encode())
 
 
-def _fresh(known: Other, serial: int) -> bool:
+def _fresh(known: PeerState, serial: int) -> bool:
     """Whether a serial is new of its sender: above all so far, or within the window behind and not seen."""
     if serial > known.serial:
         ahead = serial - known.serial
--- a/yewstage/metrics.py
+++ b/yewstage/metrics.py
@@ -35,7 +35,7 @@
     return _labelled(CounterMetricFamily(name, meaning, labels=[label]), values)
 
 
-class Figures:
+class MetricsPage:
     """What a program tells of itself when asked, and what the system tells of its process."""
 
     def __init__(self, collect: Callable[[], Iterable[Metric]]) -> None:
--- a/yewstage/net/hosts.py
+++ b/yewstage/net/attempts.py
@@ -10,7 +10,7 @@
 from yewstage import interface as api
 from yewstage.net.http1 import Reply, Upload
 from yewstage.net.pool import ABANDONED, Link, Pool, Source, Stream
-from yewstage.net.stats import Use
+from yewstage.net.stats import DescriptorUse
 
 GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before a time-out counts
 
@@ -55,7 +55,7 @@
         "timeout_s",
         "begun_at",
         "kind",
-        "hosts",
+        "attempt_runner",
         "waiting",
         "touched",
         "streams",
@@ -81,7 +81,7 @@
         self.timeout_s, self.asked_at = 0.0, 0.0
         self.start_by = math.inf  # not begun by then, it does not begin
         self.begun_at: float | None = None  # when its answer's head had come
-        self.hosts: Hosts | None = None
+        self.attempt_runner: AttemptRunner | None = None
         self.link: Link | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.wait_timer: asyncio.TimerHandle | None = None
@@ -106,9 +106,9 @@
         cause = f": {self.cause}" if self.cause else ""
         return f"{self.server} {self.result} in {self.took_s * 1000:.0f} ms ({line}{cause})"
 
-    def linked(self, link: Link) -> None:
+    def connection_ready(self, link: Link) -> None:
         """There is a link for it."""
-        self.hosts.linked(self, link)
+        self.attempt_runner.linked(self, link)
 
     def tell_time(self, now: float) -> None:
         """Complete the head: how long this attempt will be waited for yet, 1 ms at the least."""
@@ -118,12 +118,12 @@
             self.payload = b"%bX-Deadline: %dm\r\n\r\n%b" % (self.payload, left_ms, self.body)
             self.body = None
 
-    def unlinked(self, result: str, cause: str) -> None:
+    def connection_failed(self, result: str, cause: str) -> None:
         """There will be none."""
-        self.hosts.unlinked(self, result, cause)
+        self.attempt_runner.unlinked(self, result, cause)
 
 
-class Hosts:
+class AttemptRunner:
     """Sends attempts and reports how each one ended, exactly once."""
 
     def __init__(
@@ -133,7 +133,7 @@
         dial_ms: float,
         idle_ms: float,
         owner: Owner,
-        use: Use | None = None,
+        use: DescriptorUse | None = None,
         **how: object,
     ) -> None:
         self.loop, self._owner = loop, owner
@@ -141,12 +141,12 @@
 
     def send(self, attempt: Attempt, timeout_s: float, start_s: float = math.inf) -> None:
         """Write an attempt to an idle link, or to the first that is up or free; past `start_s` to none."""
-        attempt.hosts, attempt.timeout_s, attempt.waiting = self, timeout_s, True
+        attempt.attempt_runner, attempt.timeout_s, attempt.waiting = self, timeout_s, True
         attempt.asked_at = self.loop.time()
         attempt.start_by = attempt.asked_at + start_s
         if attempt.upload is None:
             attempt.timer = self.loop.call_later(timeout_s, self._overdue, attempt)
-        self.pool.want(attempt.server, attempt)
+        self.pool.acquire(attempt.server, attempt)
         if attempt.waiting:
             wait_s = min(self.pool.wait_s(), timeout_s) + 2 * GRACE_S  # a dial of its own ends before that
             attempt.wait_timer = self.loop.call_later(min(wait_s, start_s), self._waited_enough, attempt)
@@ -161,8 +161,8 @@
         """Its link is there: write it."""
         now = self.loop.time()
         if now > attempt.start_by or not self._owner.wanted(attempt):
-            self.pool.free(link, reusable=True)
-            self.unlinked(attempt, api.MOOT, "too late to begin")
+            self.pool.release(link, reusable=True)
+            self.unlinked(attempt, api.START_EXPIRED, "too late to begin")
             return
         self._stop_waiting(attempt)
         attempt.link, attempt.touched = link, True
@@ -179,7 +179,7 @@
     def _waited_enough(self, attempt: Attempt) -> None:
         # Never sent for want of a free link, which says nothing of its host: another may have one.
         self.pool.forget(attempt.server, attempt)
-        self.unlinked(attempt, api.MOOT, "no free link")
+        self.unlinked(attempt, api.START_EXPIRED, "no free link")
 
     @staticmethod
     def _stop_waiting(attempt: Attempt) -> None:
@@ -195,8 +195,8 @@
     def _time_out(self, attempt: Attempt) -> None:
         result = api.CONNECT_FAILED
         if attempt.waiting and not self.pool.reaching(attempt.server):
-            result = api.MOOT
-        elif attempt.link is not None and not attempt.link.unsent:
+            result = api.START_EXPIRED
+        elif attempt.link is not None and not attempt.link.has_unsent_data:
             result = api.TIMED_OUT
         self._abandon(attempt)
         self._end(attempt, result)
@@ -208,7 +208,7 @@
             self._stop_waiting(attempt)
         if attempt.link is not None:
             attempt.link.job = None
-            attempt.link.drop(ABANDONED)
+            attempt.link.abort(ABANDONED)
 
     def _end(self, attempt: Attempt, result: str, reply: Reply | None = None) -> None:
         if attempt.done:
--- a/yewstage/net/budget.py
+++ b/yewstage/net/budget.py
@@ -20,19 +20,19 @@
         self.bytes = 0
 
 
-class Held:
+class MemoryAccount:
     """What one connection holds for one purpose, and how its reading is stopped; without that it is a count
     only."""
 
-    __slots__ = ("bytes", "turn", "stopped", "moved_at", "stop", "evict", "_budget", "_share")
+    __slots__ = ("bytes", "turn", "stopped", "moved_at", "pause_reading", "evict", "_budget", "_share")
 
-    def __init__(self, budget: Budget, share: Share) -> None:
+    def __init__(self, budget: MemoryBudget, share: Share) -> None:
         self._budget, self._share = budget, share
         self.bytes = 0
         self.turn = False  # it may make one read, for which room is kept
         self.stopped = False
         self.moved_at = 0.0  # when it last gave bytes back, or began
-        self.stop: Callable[[bool], None] | None = None  # while it is a stream
+        self.pause_reading: Callable[[bool], None] | None = None  # while it is a stream
         self.evict: Callable[[], None] | None = None
 
     def set(self, size: int) -> None:
@@ -46,17 +46,17 @@
         budget.held += grown
         if budget.held > budget.peak:
             budget.peak = budget.held
-        if self.stop is not None or budget.tight or budget.held > budget.high:
+        if self.pause_reading is not None or budget.tight or budget.held > budget.high:
             budget.changed(self, grown)
 
     def begin(self, stop: Callable[[bool], None], evict: Callable[[], None]) -> None:
         """A long body: from now on its reading may be stopped, and it may be ended if it stalls."""
-        self.stop, self.evict = stop, evict
+        self.pause_reading, self.evict = stop, evict
         self._budget.begun(self)
 
     def finish(self) -> None:
         """Its body is whole: it is no stream any more, what is left of it is still held."""
-        if self.stop is not None:
+        if self.pause_reading is not None:
             self._budget.finished(self)
 
     def end(self) -> None:
@@ -65,7 +65,7 @@
         self.finish()
 
 
-class Budget:
+class MemoryBudget:
     """All that is held.
 
     Above the high watermark no long body is read freely: they take turns, each for one read, as far as the
@@ -81,18 +81,18 @@
         self.uses = {use: Share() for use in USES}
         self.tight = False
         self.stops = self.evicted = self.refused = 0
-        self._turns: dict[Held, float] = {}  # who may make one read, and since when
-        self._streams: dict[Held, None] = {}
-        self._line: dict[Held, None] = {}  # streams that are stopped, in the order of their turns
+        self._turns: dict[MemoryAccount, float] = {}  # who may make one read, and since when
+        self._streams: dict[MemoryAccount, None] = {}
+        self._line: dict[MemoryAccount, None] = {}  # streams that are stopped, in the order of their turns
         self.limit(most)
 
     def limit(self, most: int) -> None:
         """Hold so much at the most."""
         self.most, self.high, self._low = most, int(HIGH * most), int(LOW * most)
 
-    def account(self, use: str) -> Held:
+    def open_account(self, use: str) -> MemoryAccount:
         """A count of its own for one connection's purpose."""
-        return Held(self, self.uses[use])
+        return MemoryAccount(self, self.uses[use])
 
     def by_use(self) -> dict[str, int]:
         """What is held, by purpose."""
@@ -111,7 +111,7 @@
         these."""
         return self.held + size <= self.most
 
-    def changed(self, holder: Held, grown: int) -> None:
+    def changed(self, holder: MemoryAccount, grown: int) -> None:
         """A holder holds so much more or less: a stream's does, or room is short."""
         if grown < 0:
             holder.moved_at = self._now_s()
@@ -122,7 +122,7 @@
         elif self.tight:
             self._go_on()
 
-    def begun(self, holder: Held) -> None:
+    def begun(self, holder: MemoryAccount) -> None:
         """A long body begins; while room is short it waits for its turn."""
         holder.moved_at = self._now_s()
         self._streams[holder] = None
@@ -130,12 +130,12 @@
             self._stop(holder)
             self._go_on()
 
-    def finished(self, holder: Held) -> None:
+    def finished(self, holder: MemoryAccount) -> None:
         """A long body is whole."""
         self._streams.pop(holder, None)
         self._line.pop(holder, None)
         self._turns.pop(holder, None)
-        holder.stop = holder.evict = None
+        holder.pause_reading = holder.evict = None
         holder.stopped = holder.turn = False
         if self.tight:
             self._go_on()
@@ -161,24 +161,24 @@
         for holder in self._streams:
             self._stop(holder)
 
-    def _stop(self, holder: Held) -> None:
-        if holder.stop is not None and not holder.stopped:
+    def _stop(self, holder: MemoryAccount) -> None:
+        if holder.pause_reading is not None and not holder.stopped:
             holder.stopped = True
             self.stops += 1
             self._line[holder] = None
-            holder.stop(True)
+            holder.pause_reading(True)
 
-    def _end_turn(self, holder: Held) -> None:
+    def _end_turn(self, holder: MemoryAccount) -> None:
         """Its read was made, or did not come: it is the next one's turn."""
         self._turns.pop(holder, None)
         holder.turn = False
         if self.tight:
             self._stop(holder)
 
-    def _release(self, holder: Held) -> None:
+    def _release(self, holder: MemoryAccount) -> None:
         del self._line[holder]
         holder.stopped = False
-        holder.stop(False)
+        holder.pause_reading(False)
 
     def _go_on(self) -> None:
         if self.held < self._low:
--- a/yewstage/net/keyed.py
+++ b/yewstage/net/claim_record.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass
 
 from yewstage.log import Event
+from yewstage.net.holding_client import TRY_S, HoldingClient
 from yewstage.net.http1 import Reply
-from yewstage.net.lanes import TRY_S, Lanes
-from yewstage.registry.client import Told
+from yewstage.registry.client import ServiceReply
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class KeyClaim:
     """One request's claim."""
 
     key: str
@@ -38,13 +38,13 @@
     answer: Reply | None = None  # as the record has it
 
 
-class Record:
+class ClaimRecord:
     """All claims of one gateway's life."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        lanes: Lanes,
+        lanes: HoldingClient,
         name: str,
     ) -> None:
         self._loop, self._lanes = loop, lanes
@@ -62,21 +62,21 @@
         window_ms: float,
         wait_ms: float,
         told: Callable[[str], None],
-    ) -> Held:
+    ) -> KeyClaim:
         """Claim a key; `told` is called once, with a result. A key is one customer's, of one class: nobody
         learns by it what another was answered."""
         name = hashlib.blake2b(b"\0".join((customer.encode(), class_name.encode(), key)), digest_size=20)
-        held = Held(name.hexdigest(), f"{self._life}/{rid}")
+        held = KeyClaim(name.hexdigest(), f"{self._life}/{rid}")
         self._spawn(self._claim(held, window_ms, wait_ms, told))
         return held
 
-    def release(self, held: Held) -> None:
+    def release(self, held: KeyClaim) -> None:
         """It never ran. A claim that is still being asked for is given up as soon as that is known."""
         if held.result:
             self._settle(held, "release", {})
         held.left = True
 
-    def done(self, held: Held, reply: Reply) -> None:
+    def complete(self, held: KeyClaim, reply: Reply) -> None:
         """It ran, and this is what came of it. An answer that is long is known as done only."""
         body: dict[str, object] = {"status": reply.status}
         if 0 < len(reply.body) <= LONGEST_KEPT:
@@ -90,7 +90,7 @@
             task.cancel()
         self._lanes.close()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """What operators read."""
         return {
             **{f'keyed_claims_total{{result="{name}"}}': n for name, n in self.results.items()},
@@ -98,7 +98,9 @@
             "keyed_ends_waiting": len(self._tasks),
         }
 
-    async def _claim(self, held: Held, window_ms: float, wait_ms: float, told: Callable[[str], None]) -> None:
+    async def _claim(
+        self, held: KeyClaim, window_ms: float, wait_ms: float, told: Callable[[str], None]
+    ) -> None:
         until = self._loop.time() + wait_ms / 1000
         result = "silent"
         while (left_s := until - self._loop.time()) > 0 and not held.left:
@@ -117,7 +119,7 @@
                     )
                 )
                 break
-            await self._lanes.rest()
+            await self._lanes.pause_before_retry()
         held.result = result
         self.results[result] += 1
         if result == "silent" or (held.left and result == "yours"):
@@ -125,7 +127,7 @@
         told(result)
 
     @staticmethod
-    def _understood(held: Held, body: dict[str, object]) -> str:
+    def _understood(held: KeyClaim, body: dict[str, object]) -> str:
         """What an answer to a claim means. A done one whose answer is not there is like one that is held."""
         state, answer = body.get("state"), body.get("answer")
         if state == "yours":
@@ -139,23 +141,25 @@
             return "done"
         return "held"
 
-    def _settle(self, held: Held, verb: str, body: dict[str, object]) -> None:
+    def _settle(self, held: KeyClaim, verb: str, body: dict[str, object]) -> None:
         if len(self._tasks) >= MOST_TOLD:
             self.untold += 1
             return
         self._spawn(self._tell(held, verb, body))
 
-    async def _tell(self, held: Held, verb: str, body: dict[str, object]) -> None:
+    async def _tell(self, held: KeyClaim, verb: str, body: dict[str, object]) -> None:
         """Tell an end until it is heard; repeating it is harmless."""
         until = self._loop.time() + SETTLE_S
         while self._loop.time() < until:
             answer = await self._call(held, verb, body, TRY_S)
             if answer is not None and answer.status not in (421, 503):
                 return
-            await self._lanes.rest()
+            await self._lanes.pause_before_retry()
         self.untold += 1
 
-    async def _call(self, held: Held, verb: str, body: dict[str, object], within_s: float) -> Told | None:
+    async def _call(
+        self, held: KeyClaim, verb: str, body: dict[str, object], within_s: float
+    ) -> ServiceReply | None:
         path = f"/v1/keys/{held.key}/{verb}"
         return await self._lanes.call(held.key, path, {"by": held.by, **body}, within_s)
 
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -18,8 +18,8 @@
 
 from yewstage import interface as api
 from yewstage.log import Event
-from yewstage.net.core import Core, Order
-from yewstage.net.http1 import LONGEST_BODY, Upload, narrow
+from yewstage.net.core import ClientRequest, Core
+from yewstage.net.http1 import LONGEST_BODY, Upload, limit_socket_buffer
 from yewstage.net.pool import Source
 
 log = logging.getLogger(__name__)
@@ -116,7 +116,7 @@
         self.head = 0  # bytes of its headers
         self.twice = False  # a header that we go by came twice
         self.length: int | None = 0  # of its body; None: it comes in chunks
-        self.order: Order | None = None  # what is asked; None: whether we are ready
+        self.order: ClientRequest | None = None  # what is asked; None: whether we are ready
         self.upload: Upload | None = None  # the body, where it is too long to keep
         self.headed_at = 0.0  # when its head was whole; 0: it is not
         self.held_s = 0.0  # how long we have kept its client from sending
@@ -124,7 +124,7 @@
         self.expects = False  # its client waits for our word before it sends the body
 
 
-class Names:
+class ClassAndPlanNames:
     """The classes and plans that a request may name, as they stand in its headers."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -132,7 +132,7 @@
         self.plans = {p.name.encode(): p.name for p in settings.plans}
 
 
-def order(message: _Message, names: Names) -> Order:
+def order(message: _Message, names: ClassAndPlanNames) -> ClientRequest:
     """A request for `/api/` as an `Order`; BadRequestErrorError where it breaks the protocol."""
     headers = message.headers
     if message.twice:
@@ -150,7 +150,7 @@
         raise BadRequestError("X-Deadline")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = _quota_info(headers.get(b"quota-info", b""))
-    return Order(
+    return ClientRequest(
         headers.get(b"x-request-id", b"").decode("latin-1"),
         cls,
         plan,
@@ -209,7 +209,7 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client: requests are taken one at a time, in order."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: ClientListener) -> None:
         self._server, self._core = server, server.core
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -224,8 +224,8 @@
         self._pumping = False
         self._crowded = self._slowed = False  # what must not be read yet: requests behind others, a body
         self._choked = self._draining = False  # by the budget; its answer is whole and not all read yet
-        self._held_in = server.core.budget.account("requests")
-        self._held_out = server.core.budget.account("answers")
+        self._held_in = server.core.budget.open_account("requests")
+        self._held_out = server.core.budget.open_account("answers")
         self._kept = 0  # of the request that is owed its answer
         self._paused_at: float | None = None  # since when we do not read
         self._blocked_at: float | None = None  # since when the client does not read its answers
@@ -312,7 +312,7 @@
 
     def _hold_source(self) -> None:
         if self._source is not None:
-            self._source.hold(self._blocked_at is not None or self._choked)
+            self._source.pause(self._blocked_at is not None or self._choked)
 
     def _evict(self) -> None:
         """Others need the room that this connection holds and does nothing with."""
@@ -332,7 +332,7 @@
         else:
             self._leave()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left while we do not read, where its end is not told."""
         if self._paused_at is None or self.transport.is_closing():
             return self.transport.is_closing()
@@ -356,7 +356,7 @@
         """Nothing is owed any more."""
         rid, self._open = self._open, None
         if rid is not None:
-            self._core.left(rid)
+            self._core.client_disconnected(rid)
 
     # httptools
 
@@ -445,9 +445,11 @@
         if not self._core.budget.admits_long():
             self._reject(self._refused(message))
             return
-        message.upload = Upload(message.length, self._slow, self._core.budget.account("uploads"), self._evict)
+        message.upload = Upload(
+            message.length, self._slow, self._core.budget.open_account("uploads"), self._evict
+        )
         message.expects = message.headers.get(b"expect", b"").lower() == b"100-continue" and not message.size
-        narrow(self.transport, socket.SO_RCVBUF)
+        limit_socket_buffer(self.transport, socket.SO_RCVBUF)
         if message.body:
             self._core.stats.passed_up += message.size
             message.upload.feed(b"".join(message.body))
@@ -629,7 +631,7 @@
         if content_type:
             parts.append(b"Content-Type: %b\r\n" % content_type)
         parts.append(b"\r\n" if self._stays else b"Connection: close\r\n\r\n")
-        narrow(self.transport, socket.SO_SNDBUF)
+        limit_socket_buffer(self.transport, socket.SO_SNDBUF)
         self._held_out.begin(self._choke, self._evict)
         self._write(b"".join(parts))
         self._hold_source()
@@ -755,12 +757,12 @@
             self.transport.close()
 
 
-class Server:
+class ClientListener:
     """Accepts clients while there is room for them."""
 
     def __init__(self, core: Core, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
         self.core, self.loop = core, loop
-        self.names = Names(core.settings)
+        self.names = ClassAndPlanNames(core.settings)
         self.connections: set[ClientConnection] = set()
         self.use = core.stats.descriptors.uses["clients"]
         self.longest_upload = core.longest_upload
@@ -770,9 +772,9 @@
         self._pending: set[asyncio.Task] = set()
         self._told_at = -TELL_S
 
-    def retune(self, names: Names) -> None:
+    def retune(self, names: ClassAndPlanNames) -> None:
         """Take the classes and plans of new settings; a dropped class is still taken for a while."""
-        late = Names(api.Settings(()))
+        late = ClassAndPlanNames(api.Settings(()))
         late.classes = {**self.names.classes, **names.classes}
         late.plans = names.plans
         self.names = late
@@ -783,7 +785,7 @@
         self._sockets, self.longest_upload = sockets, longest_upload
         self._resume()
 
-    def _drop(self, late: Names, names: Names) -> None:
+    def _drop(self, late: ClassAndPlanNames, names: ClassAndPlanNames) -> None:
         if self.names is late:  # else they were changed again
             self.names = names
 
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -47,7 +47,7 @@
     seed: int
     sockets: int
     settings: api.Settings
-    known: Listing
+    fallback_listing: Listing
     keys: frozenset[str]  # all that the file holds, by path
     dial_ms: float
     idle_ms: float
@@ -118,10 +118,10 @@
     told = _object(raw, "settings")
     settings, bounds = _settings(told), told.get("bounds", {})
     settings = dataclasses.replace(
-        settings, record=raw.get("holding") is not None, plans=_shares(raw, settings.plans)
+        settings, uses_claim_record=raw.get("holding") is not None, plans=_shares(raw, settings.plans)
     )
     counter = raw.get("counter")
-    if settings.may_count and not counter:
+    if settings.counter_enabled and not counter:
         raise ConfigError("counter: is missing, though the settings allow calls")
     try:
         known = parse_listing(raw["known"]) if raw.get("known") else Listing(0, True, (), {})
@@ -137,7 +137,7 @@
         seed=_seed(raw),
         sockets=_sockets(raw),
         settings=settings,
-        known=known,
+        fallback_listing=known,
         keys=keys,
         dial_ms=float(bounds.get("dial_timeout_ms", DIAL_MS)),
         idle_ms=float(bounds.get("conn_idle_ms", IDLE_MS)),
@@ -189,7 +189,9 @@
     for name, mode in modes.items():
         if name not in known or known[name].rate <= 0:
             raise ConfigError(f"shares.{name}: no such plan, or it has no quota")
-        known[name] = dataclasses.replace(known[name], shares=True, **_floor(f"shares.{name}", mode))
+        known[name] = dataclasses.replace(
+            known[name], uses_quota_shares=True, **_floor(f"shares.{name}", mode)
+        )
     return tuple(known.values())
 
 
@@ -249,7 +251,7 @@
 def _settings(told: dict[str, object]) -> api.Settings:
     try:
         fields.check(told)
-        settings = wire.settings([f"{key}={value}" for key, value in _flatten("", told)])
+        settings = wire.parse_settings([f"{key}={value}" for key, value in _flatten("", told)])
         settings.check()
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
@@ -258,7 +260,7 @@
 
 def _count_wait_ms(settings: api.Settings) -> float:
     """The counter answers every call, however late: to give up with time to spare is to guess."""
-    return max(settings.count_wait_ms, CALL_SHARE * min(c.aim_ms for c in settings.classes))
+    return max(settings.count_wait_ms, CALL_SHARE * min(c.objective_ms for c in settings.classes))
 
 
 def _seed(raw: Mapping[str, object]) -> int:
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -15,20 +15,20 @@
 
 from yewstage import interface as api
 from yewstage import wire
-from yewstage.log import Event, Several
-from yewstage.net.budget import Budget
+from yewstage.log import Event, JoinedList
+from yewstage.net.attempts import Attempt, AttemptRunner
+from yewstage.net.budget import MemoryBudget
 from yewstage.net.config import Config
 from yewstage.net.counter import Counter
 from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing
-from yewstage.net.hosts import Attempt, Hosts
 from yewstage.net.http1 import Reply, Upload
 from yewstage.net.pool import Source
-from yewstage.net.stats import REFUSED, Stats, Use
+from yewstage.net.stats import REFUSED, DescriptorUse, Stats
 from yewstage.policy import Gateway
 
 if TYPE_CHECKING:
-    from yewstage.net.keyed import Held, Record
-    from yewstage.net.lanes import Lanes
+    from yewstage.net.claim_record import ClaimRecord, KeyClaim
+    from yewstage.net.holding_client import HoldingClient
     from yewstage.net.shares import Shares
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
 class Client(Protocol):
     """Who is owed an answer."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left, though its connection has not told yet."""
 
     def answer(
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Order:
+class ClientRequest:
     """A valid request of a client: what the module is told, and what goes on to a host."""
 
     client_id: str  # X-Request-Id, by which the log names it
@@ -90,7 +90,7 @@
     time_left_ms: float
     units: float
     width: int
-    first: int
+    first_gateway: int
     repeat: bool
     head: bytes  # request line and headers for the host, but for X-Deadline
     body: bytes
@@ -116,7 +116,7 @@
     )
 
     def __init__(
-        self, rid: str, client: Client, order: Order, taken_at: float, end_at: float, most: int
+        self, rid: str, client: Client, order: ClientRequest, taken_at: float, end_at: float, most: int
     ) -> None:
         self.most = most  # attempts, as the settings had it when the request came
         self.id, self.order, self.taken_at, self.end_at = rid, order, taken_at, end_at
@@ -140,10 +140,10 @@
         self._most = int(UPSTREAM_SHARE * config.sockets)
         own = self.stats.process.memory_bytes()[1]
         self._room = max(int(BODY_SHARE * (config.memory_mb * 2**20 - own)), LEAST_ROOM)
-        self.budget = Budget(self._room, loop.time)
+        self.budget = MemoryBudget(self._room, loop.time)
         self.longest_upload = config.longest_upload
         uses = self.stats.descriptors.uses
-        self._hosts = Hosts(
+        self._attempt_runner = AttemptRunner(
             loop,
             self._most,
             config.dial_ms,
@@ -155,16 +155,16 @@
             rng=random.Random(config.seed),
             budget=self.budget,
         )
-        self._pool = self._hosts.pool
+        self._pool = self._attempt_runner.pool
         self._discovery = Discovery(
             loop,
             config.discovery,
             self._listed,
-            config.known.generation if config.known.servers else None,
+            config.fallback_listing.generation if config.fallback_listing.servers else None,
             config.settings.fleet_size,
             random.Random(config.seed),
             uses["discovery"],
-            ASKED if config.settings.must_ask else PUSHED,
+            ASKED if config.settings.server_list_on_request else PUSHED,
         )
         self._counter = (
             Counter(loop, config.counter, config.settings.count_wait_ms, self._post, uses["counter"])
@@ -174,9 +174,9 @@
         self._config = config
         self._record = self._recorded() if config.holding else None
         self._shares: Shares | None = None  # made when the first one is asked for
-        self._known = config.known
+        self._known = config.fallback_listing
         self._requests: dict[str, _Open] = {}
-        self._claims: dict[str, Held] = {}  # by request, where there is a record
+        self._claims: dict[str, KeyClaim] = {}  # by request, where there is a record
         self._owed = 0  # requests that are owed their answer
         self._serial = 0
         self._events: deque[api.Event] = deque()
@@ -189,16 +189,16 @@
         self.draining = self._over = False  # SIGTERM has come; all is answered, nothing is begun any more
         self.shared = False  # with another process: each has half of the descriptors
 
-    def _recorded(self) -> Record:
-        from yewstage.net.keyed import Record  # what it needs is paid only where there is one
+    def _recorded(self) -> ClaimRecord:
+        from yewstage.net.claim_record import ClaimRecord  # what it needs is paid only where there is one
 
-        return Record(self._loop, self._lanes("record"), self._config.name)
+        return ClaimRecord(self._loop, self._lanes("record"), self._config.name)
 
-    def _lanes(self, use: str) -> Lanes:
-        from yewstage.net.lanes import Lanes
+    def _lanes(self, use: str) -> HoldingClient:
+        from yewstage.net.holding_client import HoldingClient
 
-        held = self.stats.descriptors.uses[use] = Use(self.stats.descriptors)
-        return Lanes(self._config.holding, random.Random(self._config.seed), held)
+        held = self.stats.descriptors.uses[use] = DescriptorUse(self.stats.descriptors)
+        return HoldingClient(self._config.holding, random.Random(self._config.seed), held)
 
     def _share(self, act: api.Count) -> None:
         """Units of a customer's quota that this gateway alone may spend."""
@@ -227,18 +227,18 @@
 
     def reconfigure(self, config: Config) -> None:
         """Go on by the new settings, and with discovery and the counter where they are now."""
-        self.settings = dataclasses.replace(config.settings, record=self._record is not None)
+        self.settings = dataclasses.replace(config.settings, uses_claim_record=self._record is not None)
         self.stats.know(c.name for c in config.settings.classes)
         self._pool.tune(config.dial_ms, config.idle_ms)
         self._most = int(UPSTREAM_SHARE * config.sockets)
         self.longest_upload = config.longest_upload
-        self.share(self.shared)
+        self.share_descriptors(self.shared)
         self._post(api.Retuned(self.settings))
         self._discovery.move(config.discovery)
         if self._counter is not None and config.counter is not None:
             self._counter.move(config.counter, config.settings.count_wait_ms)
 
-    def share(self, shared: bool) -> None:
+    def share_descriptors(self, shared: bool) -> None:
         """Go on with half of the descriptors and of the room for bodies, or with all of them."""
         self.shared = shared
         self._pool.limit(self._most // (2 if shared else 1))
@@ -252,9 +252,9 @@
         """Go on from what the process before us left, if it left anything."""
         self._post(api.TakenOver(state))
 
-    def alone(self) -> None:
+    def predecessor_exited(self) -> None:
         """The process before us is gone."""
-        self.share(False)
+        self.share_descriptors(False)
         self._post(api.PredecessorGone())
 
     def stop(self) -> None:
@@ -277,15 +277,15 @@
         """Servers that this gateway finds failing: how often in a row each has."""
         return self._gateway.failing()
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """What operators read."""
         return self.stats.text(
             self._owed,
             *self._gateway.rotation(),
-            self._pool.figures(),
+            self._pool.metrics(),
             self._body_figures(),
             self._ramp_figures(),
-            *(part.figures() for part in (self._record, self._shares) if part is not None),
+            *(part.metrics() for part in (self._record, self._shares) if part is not None),
             self.more_figures(),
         )
 
@@ -304,7 +304,10 @@
             "bodies_refused_total": budget.refused,
             'passed_bytes_total{way="up"}': self.stats.passed_up,
             'passed_bytes_total{way="down"}': self.stats.passed_down,
-            **{f'streams_short_total{{cause="{cause}"}}': n for cause, n in self.stats.short.items()},
+            **{
+                f'streams_short_total{{cause="{cause}"}}': n
+                for cause, n in self.stats.truncated_by_cause.items()
+            },
         }
 
     def farewell(self) -> str:
@@ -341,7 +344,7 @@
 
     # --- Clients ------------------------------------------------------------------------------------------
 
-    def request(self, client: Client, order: Order) -> str:
+    def request(self, client: Client, order: ClientRequest) -> str:
         """Take a request; its id tells `left` which one is meant."""
         self._serial += 1
         rid = f"r{self._serial}"
@@ -365,7 +368,7 @@
                 left_ms - MODULE_MS,
                 order.units,
                 order.width,
-                order.first,
+                order.first_gateway,
                 order.repeat,
                 order.upload is None,
                 order.cls,
@@ -380,7 +383,7 @@
         request.end_at = time.monotonic() + (left_ms - GUARD_MS) / 1000
         request.guard = self._loop.call_later(max(left_ms - GUARD_MS, 0.0) / 1000, self._guard, request)
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """The client is gone."""
         request = self._requests.get(rid)
         if request is not None and request.client is not None:
@@ -395,7 +398,7 @@
             _tell_story(request, 0, "client left")
             self._post(api.ClientLeft(rid))
             for attempt in bound:  # nothing of it can go on without its client
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
             self._forget_claim(rid)
 
     def _guard(self, request: _Open) -> None:
@@ -446,7 +449,7 @@
             # What waits for its link has not begun, so no server need be asked to let go of it: settings that
             # forbid that say nothing of this.
             if attempt is not None and attempt.waiting:
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
         self._forget(request)
 
     def _forget(self, request: _Open) -> None:
@@ -457,7 +460,7 @@
 
     def _listed(self, listing: Listing) -> None:
         self._heard = True
-        self._apply(listing, "full" if listing.whole else "changes")
+        self._apply(listing, "full" if listing.is_full else "changes")
 
     def _apply(self, listing: Listing, kind: str) -> None:
         gone = {s.name for s in listing.servers if s.status == "removed"}
@@ -492,7 +495,12 @@
                 request.attempts.append(None)
             self._post(
                 api.Outcome(
-                    act.request, number, act.server, api.MOOT, 0.0, request is None or request.client is None
+                    act.request,
+                    number,
+                    act.server,
+                    api.START_EXPIRED,
+                    0.0,
+                    request is None or request.client is None,
                 )
             )
             return
@@ -511,12 +519,12 @@
         )
         request.attempts.append(attempt)
         request.out += 1
-        self._hosts.send(attempt, max(wait_s, 0.0), act.start_ms / 1000)
+        self._attempt_runner.send(attempt, max(wait_s, 0.0), act.start_deadline_ms / 1000)
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether its client is still there, as it is about to begin."""
         client = self._requests[attempt.request].client
-        return client is not None and not client.gone()
+        return client is not None and not client.has_disconnected()
 
     def sent(self, attempt: Attempt) -> None:
         """An attempt's last byte was written."""
@@ -555,7 +563,7 @@
         if result == api.OK:
             units = _number(reply.headers.get(b"billed-units"))
             if attempt.request in self._claims:
-                self._record.done(self._claims[attempt.request], reply)
+                self._record.complete(self._claims[attempt.request], reply)
         if attempt is request.streaming:
             self._finish_stream(request, result)
         elif result == api.OK:
@@ -570,9 +578,9 @@
                 result,
                 took,
                 final,
-                true_units=units,
-                report=report,
-                unbegun=not attempt.touched,
+                billed_units=units,
+                load_report=report,
+                nothing_sent=not attempt.touched,
             )
         )
         self._forget_claim(attempt.request)
@@ -635,7 +643,7 @@
         if request is not None and act.attempt < len(request.attempts):
             attempt = request.attempts[act.attempt]
             if attempt is not None:
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
 
     # --- The module ---------------------------------------------------------------------------------------
 
@@ -686,7 +694,7 @@
                 self._send(act)
             case api.Refuse():
                 self._answer(
-                    self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms, why=act.why
+                    self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms, why=act.reason
                 )
             case api.Fail():
                 self._answer(self._requests.get(act.request), 502, why="failed")
@@ -699,7 +707,7 @@
             case api.Cancel():
                 self._cancel(act)
             case api.Timer():
-                self._loop.call_later(max(act.in_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
+                self._loop.call_later(max(act.delay_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
             case api.Count() if act.plan:
                 self._share(act)
             case api.Count():
@@ -730,7 +738,7 @@
             status=status,
             why=why,
             took_ms=round(took_ms, 3),
-            attempts=Several("not sent" if a is None else a for a in request.attempts),
+            attempts=JoinedList("not sent" if a is None else a for a in request.attempts),
         )
     )
 
@@ -738,7 +746,7 @@
 def _report(text: bytes) -> dict[str, float]:
     """A server's load report; nothing where it makes no sense."""
     try:
-        return wire.report(text.decode("ascii").replace(" ", "").replace("=", ":") or "-")
+        return wire.parse_load_report(text.decode("ascii").replace(" ", "").replace("=", ":") or "-")
     except ValueError:
         return {}
 
--- a/yewstage/net/counter.py
+++ b/yewstage/net/counter.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from yewstage import interface as api
-from yewstage.net.http1 import Dial, Reply, ReplyProtocol
-from yewstage.net.stats import Use
+from yewstage.net.http1 import ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.stats import DescriptorUse
 
 CONNECTIONS = 4  # a slow part of the counter holds up what is written behind it on the same connection
 DIAL_S = 0.25
@@ -36,9 +36,9 @@
         address: tuple[str, int],
         wait_ms: float,
         replied: Callable[[api.CountReply], None],
-        use: Use | None = None,
+        use: DescriptorUse | None = None,
     ) -> None:
-        self._use = use or Use()
+        self._use = use or DescriptorUse()
         self._loop, self._address, self._wait_s, self._replied = loop, address, wait_ms / 1000, replied
         self._slots = [_Slot(self) for _ in range(CONNECTIONS)]
 
@@ -96,9 +96,11 @@
         """A timer of the loop."""
         return self._loop.call_later(seconds, callback)
 
-    def dial(self, slot: _Slot) -> Dial:
+    def dial(self, slot: _Slot) -> ConnectAttempt:
         """Open a connection for a slot."""
-        return Dial(self._loop, lambda: _Connection(slot), self._address, DIAL_S, self._use, slot.dialled)
+        return ConnectAttempt(
+            self._loop, lambda: _Connection(slot), self._address, DIAL_S, self._use, slot.dialled
+        )
 
 
 class _Slot:
@@ -107,7 +109,7 @@
     def __init__(self, counter: Counter) -> None:
         self._counter = counter
         self._connection: _Connection | None = None
-        self._dial: Dial | None = None
+        self._dial: ConnectAttempt | None = None
         self._check_timer: asyncio.TimerHandle | None = None
         self._calls: deque[_Call] = deque()
         self._failures = 0
@@ -127,7 +129,7 @@
         if self._dial is not None:
             self._dial.cancel()
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def write(self, call: _Call) -> None:
         self._calls.append(call)
@@ -155,10 +157,10 @@
     def _send(self, call: _Call) -> None:
         act = call.act
         self._connection.write(
-            f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.keep_ms))}"
+            f"POST /v1/count/{act.name}?add={_decimal(act.amount)}&ttl_ms={max(1, round(act.ttl_ms))}"
             " HTTP/1.1\r\nHost: counter\r\nContent-Length: 0\r\n\r\n".encode()
         )
-        call.written = not self._connection.unsent
+        call.written = not self._connection.has_unsent_data
         if self._check_timer is None:
             self._check_timer = self._counter.later(SILENT_S, self._check)
 
@@ -176,17 +178,17 @@
         if left_s > 0:
             self._check_timer = self._counter.later(left_s, self._check)
         else:
-            self._connection.drop()
+            self._connection.abort()
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         """The answer to the oldest call on this connection."""
         if not self._calls:
-            self._connection.drop()  # an answer that nobody asked for
+            self._connection.abort()  # an answer that nobody asked for
             return
         self._failures = 0
         call = self._calls.popleft()
         if not reusable:
-            self._connection.drop()
+            self._connection.abort()
         if reply.status == 200:
             try:
                 total = float(reply.body)
@@ -197,7 +199,7 @@
             else:
                 self._counter.end(call, api.TIMED_OUT)  # it was added; to what is not known
                 if self._connection is not None:
-                    self._connection.drop()  # what else it says is not to be trusted
+                    self._connection.abort()  # what else it says is not to be trusted
         else:
             self._counter.end(call, api.FULL)
 
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -12,8 +12,8 @@
 
 from yewstage import interface as api
 from yewstage.log import Event
-from yewstage.net.http1 import LONGEST_LIST, TOO_LATE, Dial, Reply, ReplyProtocol
-from yewstage.net.stats import Use
+from yewstage.net.http1 import LONGEST_LIST, TOO_LATE, ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.stats import DescriptorUse
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Patience:
+class WatchTimeouts:
     """How long discovery may keep us without word, in seconds."""
 
     silent_s: float  # how long an answer or a connection may be overdue before it is given up
@@ -35,10 +35,10 @@
 
 # A change counts as told 6 s after discovery had it and could be reached: `silent_s` and `backoff_s` leave a
 # second of that. What a silent watch misses counts as told 2 s after its wait: it is opened anew soon after.
-ASKED = Patience(silent_s=2.0, first_backoff_s=0.5, backoff_s=3.0)
+ASKED = WatchTimeouts(silent_s=2.0, first_backoff_s=0.5, backoff_s=3.0)
 # An agent on our own machine answers at once and at no cost, and what it has counts as told: both together
 # are under the second that the settings leave for the last sends to a server that drains.
-PUSHED = Patience(silent_s=0.75, first_backoff_s=0.2, backoff_s=0.2)
+PUSHED = WatchTimeouts(silent_s=0.75, first_backoff_s=0.2, backoff_s=0.2)
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
     """One answer of discovery: hosts by instance id, and where to dial them."""
 
     generation: int
-    whole: bool
+    is_full: bool
     servers: tuple[api.Server, ...]
     addresses: dict[str, tuple[str, int]]
 
@@ -87,7 +87,7 @@
             float(entry.get("weight", 1.0)),
             float(entry.get("startedAtMs", 0)),
         )
-        if not (math.isfinite(server.nominal) and math.isfinite(server.up_since_ms)):
+        if not (math.isfinite(server.nominal_capacity) and math.isfinite(server.up_since_ms)):
             raise ValueError
     except (TypeError, ValueError, OverflowError):
         raise ValueError(f"{name}: cell, weight or startedAtMs is not a number") from None
@@ -110,16 +110,16 @@
         known: int | None = None,
         fleet_size: int = 1,
         rng: random.Random | None = None,
-        use: Use | None = None,
-        patience: Patience = ASKED,
+        use: DescriptorUse | None = None,
+        patience: WatchTimeouts = ASKED,
     ) -> None:
-        self._use, self._patience = use or Use(), patience
+        self._use, self._patience = use or DescriptorUse(), patience
         self._loop, self._address, self._told = loop, address, told
         self._generation = known  # of the list that we have; None: the whole list is wanted
         self._heard = False
         self._fleet_size, self._rng = fleet_size, rng or random.Random()
         self._connection: _Watch | None = None
-        self._dial: Dial | None = None
+        self._dial: ConnectAttempt | None = None
         self._timer: asyncio.TimerHandle | None = None  # the end of our patience, or of a backoff
         self._failures = 0
         self._stopped = False
@@ -136,7 +136,7 @@
         if self._dial is not None:
             self._dial.cancel()
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def move(self, address: tuple[str, int]) -> None:
         """Watch at another address from now on, beginning with the whole list; what is known stays."""
@@ -145,7 +145,7 @@
             self._timer.cancel()
         connection, self._connection = self._connection, None
         if connection is not None:
-            connection.drop()
+            connection.abort()
         if self._dial is not None:
             self._dial.cancel()  # its callback asks again
         else:
@@ -157,7 +157,7 @@
         if self._connection is not None:
             self._write(self._connection)
             return
-        self._dial = Dial(
+        self._dial = ConnectAttempt(
             self._loop, lambda: _Watch(self), self._address, self._patience.silent_s, self._use, self._dialled
         )
 
@@ -196,7 +196,7 @@
         # Guards against an agent that is silent for good: without this the watch would hang on one socket.
         log.warning(Event("discovery_silent", "discovery: no answer, asking again; the list is kept"))
         if self._connection is not None:
-            self._connection.drop()
+            self._connection.abort()
 
     def replied(self, connection: _Watch, reply: Reply, reusable: bool) -> None:
         """An answer: hand it on and ask for what comes next at once."""
@@ -204,13 +204,13 @@
             return  # from an address that was left
         if reply.status == 503:
             log.warning(Event("discovery_turned_away", "discovery: turned away, the list is kept"))
-            connection.drop()
+            connection.abort()
             return
         try:
             if reply.status != 200:
                 raise ValueError(f"status {reply.status}")
             listing = parse_listing(json.loads(reply.body))
-            if not listing.whole and (self._generation is None or listing.generation < self._generation):
+            if not listing.is_full and (self._generation is None or listing.generation < self._generation):
                 raise ValueError("changes to a list that was never sent")
         except (ValueError, RecursionError) as error:
             log.warning(
@@ -221,12 +221,12 @@
                 )
             )
             self._generation = None  # whatever was missed comes with the whole list
-            connection.drop()
+            connection.abort()
             return
         self._failures, self._generation, self._heard = 0, listing.generation, True
         if not reusable:
             self._connection = None
-            connection.drop()
+            connection.abort()
         self._ask()  # before the list is acted on: a late watch is a new one
         self._told(listing)
 
@@ -261,7 +261,7 @@
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         if not self.waiting:
-            self.drop()  # an answer that nobody asked for
+            self.abort()  # an answer that nobody asked for
             return
         self.waiting = False
         self._owner.replied(self, reply, reusable)
--- a/yewstage/net/handover.py
+++ b/yewstage/net/handover.py
@@ -61,7 +61,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether a next process has come."""
         if self._alone is not None:  # we are it
             return False
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -10,8 +10,8 @@
 
 import httptools
 
-from yewstage.net.budget import Held
-from yewstage.net.stats import Use
+from yewstage.net.budget import MemoryAccount
+from yewstage.net.stats import DescriptorUse
 
 LONGEST_BODY = 64 * 1024  # kept whole; what is longer is passed on as it comes
 BUFFER = 128 * 1024  # of a socket that carries such a body
@@ -32,7 +32,7 @@
     body: bytes
 
 
-def narrow(transport: asyncio.Transport, option: int) -> None:
+def limit_socket_buffer(transport: asyncio.Transport, option: int) -> None:
     """Bound what the system keeps for a socket in one direction: it grows to megabytes by itself."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
@@ -43,7 +43,7 @@
     """A body too long to keep, on its way from a client to a host: each end holds the other back."""
 
     def __init__(
-        self, length: int | None, hold: Callable[[bool], None], held: Held, evict: Callable[[], None]
+        self, length: int | None, hold: Callable[[bool], None], held: MemoryAccount, evict: Callable[[], None]
     ) -> None:
         self._length, self._hold = length, hold  # no length: sent on in chunks
         self._held, self._full, self._choked = held, False, False  # why its client is held back
@@ -51,7 +51,7 @@
         self._waiting: list[bytes] = []  # until there is a connection
         self._size = 0
         self._host: ReplyProtocol | None = None
-        self.whole = self._over = False  # its last byte has come; nobody wants the rest
+        self.is_complete = self._over = False  # its last byte has come; nobody wants the rest
 
     def feed(self, data: bytes) -> None:
         """More of it has come."""
@@ -63,14 +63,14 @@
 
     def finish(self) -> None:
         """Its last byte has come."""
-        self.whole = True
+        self.is_complete = True
         if not self._over:
             self._pass_on(b"0\r\n\r\n" if self._length is None else b"")
 
     def attach(self, host: ReplyProtocol, head: bytes) -> None:
         """Pass it on here from now on, behind its request's head."""
         self._host = host
-        narrow(host.transport, socket.SO_SNDBUF)
+        limit_socket_buffer(host.transport, socket.SO_SNDBUF)
         waiting, self._waiting = self._waiting, []
         self._pass_on(b"".join((head, *waiting)))
 
@@ -111,7 +111,7 @@
         self._host.flushed()
 
 
-class Dial:
+class ConnectAttempt:
     """One attempt to connect: bounded in time, its end told once, its descriptor counted from the start.
 
     A connection may break before its dial's callback runs. Its loss has been told by then and is not told
@@ -124,7 +124,7 @@
         make: Callable[[], ReplyProtocol],
         address: tuple[str, int],
         within_s: float,
-        use: Use,
+        use: DescriptorUse,
         ended: Callable[[ReplyProtocol | None, str], None],
     ) -> None:
         self._loop, self._make, self._use = loop, make, use
@@ -170,9 +170,9 @@
 
     def __init__(self, longest: int = LONGEST_BODY) -> None:
         self.transport: asyncio.Transport | None = None
-        self.use: Use | None = None  # what its descriptor counts as
-        self.unsent = False  # part of what we wrote has not left this process
-        self.ended_by = ""  # for the log: why the connection ended
+        self.use: DescriptorUse | None = None  # what its descriptor counts as
+        self.has_unsent_data = False  # part of what we wrote has not left this process
+        self.close_cause = ""  # for the log: why the connection ended
         self._parser = httptools.HttpResponseParser(self)
         self._longest = longest
         self._reset()
@@ -197,9 +197,9 @@
     def write(self, data: bytes) -> None:
         """Write, and know whether the last byte has left this process."""
         self.transport.write(data)
-        self.unsent = self.transport.get_write_buffer_size() > 0
+        self.has_unsent_data = self.transport.get_write_buffer_size() > 0
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """End the connection at once."""
         if self.transport is not None:
             self.transport.abort()
@@ -211,14 +211,14 @@
         transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
 
     def resume_writing(self) -> None:
-        self.unsent = False
+        self.has_unsent_data = False
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.ended_by = f"{error} in {data[:64]!r}"
-            self.drop()  # nonsense: whatever is out on it ends as a reset
+            self.close_cause = f"{error} in {data[:64]!r}"
+            self.abort()  # nonsense: whatever is out on it ends as a reset
 
     def eof_received(self) -> None:
         framed = b"content-length" in self._headers or b"transfer-encoding" in self._headers
@@ -228,7 +228,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         if self.use is not None:
             self.use.closed()
-        self.ended_by = self.ended_by or str(exc or "closed")
+        self.close_cause = self.close_cause or str(exc or "closed")
         self.lost()
 
     # httptools
@@ -261,5 +261,5 @@
     def _grow(self, size: int) -> None:
         self._size += size
         if self._size > self._longest + LONGEST_BODY:
-            self.ended_by = "answer too long"
-            self.drop()
+            self.close_cause = "answer too long"
+            self.abort()
--- a/yewstage/net/serve.py
+++ b/yewstage/net/http_server.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from yewstage.net.stats import Use
+from yewstage.net.stats import DescriptorUse
 
 LONGEST_HEAD = 16 * 1024
 LONGEST_CALL = 64 * 1024  # its body
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class HttpRequest:
     """One call, whole."""
 
     method: str
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class HttpResponse:
     """What a call comes to."""
 
     status: int
@@ -66,34 +66,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Manners:
+class ConnectionLimits:
     """How a listener treats its callers."""
 
     most: int  # connections; past that the one that nobody waits on for longest gives way
     call_s: float  # how long a call may take to come in, the first one from when the connection was opened
     read_s: float  # how long a caller may leave its answer unread
     idle_s: float = 0.0  # how long a connection is kept between calls; 0: one call to a connection
-    fail: Callable[[int, str], Answer] = lambda status, why: Answer(status)  # how what is no call is answered
+    fail: Callable[[int, str], HttpResponse] = lambda status, why: HttpResponse(
+        status
+    )  # how what is no call is answered
 
 
-class Listener:
+class HttpServer:
     """Takes connections and hands on the calls that come on them."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        handle: Callable[[Call, Caller], Answer | None],
-        manners: Manners,
-        use: Use | None = None,
+        handle: Callable[[HttpRequest, HttpConnection], HttpResponse | None],
+        limits: ConnectionLimits,
+        use: DescriptorUse | None = None,
     ) -> None:
-        self.loop, self.handle, self.manners, self._use = loop, handle, manners, use or Use()
-        self.callers: dict[Caller, None] = {}  # in the order in which they came
+        self.loop, self.handle, self.limits, self._use = loop, handle, limits, use or DescriptorUse()
+        self.callers: dict[HttpConnection, None] = {}  # in the order in which they came
         self.dropped = 0  # who was slow, silent or in the way
         self._server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
         """Listen; returns the address, with the port that the system chose for 0."""
-        self._server = await self.loop.create_server(lambda: Caller(self), *address)
+        self._server = await self.loop.create_server(lambda: HttpConnection(self), *address)
         self.loop.call_later(SWEEP_S, self._sweep)
         return self._server.sockets[0].getsockname()[:2]
 
@@ -105,20 +107,20 @@
         for caller in list(self.callers):
             caller.transport.abort()
 
-    def opened(self, caller: Caller) -> None:
+    def opened(self, caller: HttpConnection) -> None:
         """A caller has come. Past the bound the one that came first gives way: it had the most time."""
-        if len(self.callers) >= self.manners.most:
+        if len(self.callers) >= self.limits.most:
             waits = next((c for c in self.callers if not c.busy), next(iter(self.callers)))
             self.drop(waits)
         self.callers[caller] = None
         self._use.opened()
 
-    def closed(self, caller: Caller) -> None:
+    def closed(self, caller: HttpConnection) -> None:
         """A caller is gone."""
         self.callers.pop(caller, None)
         self._use.closed()
 
-    def drop(self, caller: Caller) -> None:
+    def drop(self, caller: HttpConnection) -> None:
         """End a connection at once; its place is free from now on."""
         self.callers.pop(caller, None)
         self.dropped += 1
@@ -133,16 +135,16 @@
         self.loop.call_later(SWEEP_S, self._sweep)
 
 
-class Caller(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """One connection: calls one after another, each with its one answer, in order."""
 
-    def __init__(self, listener: Listener) -> None:
+    def __init__(self, listener: HttpServer) -> None:
         self._listener = listener
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url, self._body, self._head = b"", b"", 0
         # that wait for their turn, and whether to stay after it
-        self._calls: deque[tuple[Call, bool]] = deque()
+        self._calls: deque[tuple[HttpRequest, bool]] = deque()
         self._stays = False  # behind the call that is being answered
         self._ending = False
         self.busy = False  # a call is owed its answer
@@ -150,7 +152,9 @@
         self._reading = self._in_head = self._served = False
         self._since = 0.0  # when the connection was opened, became idle, or a call began to come in
         self._unread_since: float | None = None  # since when its answer is not read
-        self.gone: Callable[[], None] | None = None  # told if the connection is lost while a call waits
+        self.on_disconnect: Callable[[], None] | None = (
+            None  # told if the connection is lost while a call waits
+        )
 
     # asyncio.Protocol
 
@@ -163,7 +167,7 @@
         self._ending = True
         self._calls.clear()
         self._listener.closed(self)
-        gone, self.gone = self.gone, None
+        gone, self.on_disconnect = self.on_disconnect, None
         if gone is not None:
             gone()
 
@@ -215,7 +219,7 @@
             url = httptools.parse_url(self._url)
             query = dict(parse_qsl((url.query or b"").decode("ascii"), keep_blank_values=True))
             path = unquote(url.path.decode("ascii"))
-            call = Call(self._parser.get_method().decode("ascii"), path, query, self._body)
+            call = HttpRequest(self._parser.get_method().decode("ascii"), path, query, self._body)
         except (httptools.HttpParserError, UnicodeDecodeError, AttributeError):
             self._spoil(400, "its target makes no sense")
             return
@@ -226,17 +230,17 @@
     def _next(self) -> None:
         while self._calls and not self.busy and not self.transport.is_closing():
             call, stays = self._calls.popleft()
-            self._stays = stays and self._listener.manners.idle_s > 0
+            self._stays = stays and self._listener.limits.idle_s > 0
             self.busy = True
             answer = self._listener.handle(call, self)
             if answer is not None:
                 self.answer(answer)
 
-    def answer(self, answer: Answer) -> None:
+    def answer(self, answer: HttpResponse) -> None:
         """The one answer to the call whose turn it is."""
         if not self.busy or self.transport.is_closing():
             return
-        self.gone, self.busy, self._served = None, False, True
+        self.on_disconnect, self.busy, self._served = None, False, True
         self._since = self._listener.loop.time()
         self.transport.writelines((answer.head(self._stays), answer.body))
         if not self._stays:
@@ -252,11 +256,11 @@
             self._listener.drop(self)
             return
         self.busy, self._stays = True, False
-        self.answer(self._listener.manners.fail(status, why))
+        self.answer(self._listener.limits.fail(status, why))
 
     def check(self, now: float) -> None:
         """End what is slow or silent for too long."""
-        manners = self._listener.manners
+        manners = self._listener.limits
         if self._unread_since is not None and now - self._unread_since > manners.read_s:
             self._listener.drop(self)
         elif self._ending:
--- a/yewstage/net/peers.py
+++ b/yewstage/net/peers.py
@@ -17,10 +17,10 @@
 
 from yewstage.log import Event
 from yewstage.membership.config import PeersConfig
-from yewstage.membership.messages import ALIVE, STATES, BadDatagramError, Row, opened, sealed
+from yewstage.membership.messages import ALIVE, STATES, BadDatagramError, MemberRow, seal, unseal
 from yewstage.membership.swim import Swim
 from yewstage.net.config import Address, address
-from yewstage.shared.spread import Shared
+from yewstage.shared.anti_entropy import SharedTables
 from yewstage.shared.tables import FullTableError, Settings, Table
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
         self._failing = failing
         self.keys = config.keys
         self.swim: Swim | None = None
-        self.shared: Shared | None = None
+        self.shared: SharedTables | None = None
         self._publish_at = 0.0
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -71,10 +71,10 @@
             return
         host, port = self._transport.get_extra_info("sockname")[:2]
         config = self.config
-        me = Row(self._name, secrets.randbits(62), f"{host}:{port}", config.zone, config.region, 1)
+        me = MemberRow(self._name, secrets.randbits(62), f"{host}:{port}", config.zone, config.region, 1)
         now = self._now()
         self.swim = Swim(me, config.settings, config.seeds, self._rng, now)
-        self.shared = Shared(self.swim, (SERVERS,), Settings(), self._rng, now)
+        self.shared = SharedTables(self.swim, (SERVERS,), Settings(), self._rng, now)
         self._ring()
 
     def leave(self) -> None:
@@ -102,7 +102,7 @@
         if self.swim is None:
             return
         try:
-            letter = opened(data, self.config.settings.cluster, self.keys)
+            letter = unseal(data, self.config.settings.cluster, self.keys)
         except BadDatagramError as error:
             self.dropped[str(error)] += 1
             return
@@ -144,7 +144,7 @@
         if out.carried:
             out.letters += self.swim.take().letters
         for name, at, letter in out.letters:
-            data = sealed(letter, self.keys[0])
+            data = seal(letter, self.keys[0])
             self.sent += 1
             self.sent_bytes += len(data)
             self._transport.sendto(data, self._where(name, at))
@@ -169,7 +169,7 @@
         return self._addresses[at]
 
     @staticmethod
-    def _tell(row: Row) -> None:
+    def _tell(row: MemberRow) -> None:
         words = {"member": row.name, "state": STATES[row.state], "zone": row.zone, "by": row.by}
         text = "{member} of zone {zone} is {state}" + (", says {by}" if row.by else "")
         log.log(logging.INFO if row.state == ALIVE else logging.WARNING, Event("member", text, **words))
@@ -182,8 +182,8 @@
         if swim is None:
             return {"name": self._name, "started": False, "members": []}
         now = self._now()
-        rows = [self._row(swim.me, 0.0)]
-        rows += [self._row(other.row, now - other.since) for other in swim.others.values()]
+        rows = [self._row(swim.own_row, 0.0)]
+        rows += [self._row(other.row, now - other.since) for other in swim.peers.values()]
         return {
             "name": self._name,
             "started": True,
@@ -212,10 +212,10 @@
         return self.dropped + self.swim.dropped if self.swim is not None else self.dropped
 
     @staticmethod
-    def _row(row: Row, since_ms: float) -> dict[str, object]:
+    def _row(row: MemberRow, since_ms: float) -> dict[str, object]:
         return {
             "name": row.name,
-            "life": f"{row.life:x}",
+            "life": f"{row.start_id:x}",
             "at": row.at,
             "zone": row.zone,
             "region": row.region,
@@ -225,7 +225,7 @@
             "sinceMs": round(since_ms),
         }
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """By name, as the gateway's figures are told."""
         if self.swim is None:
             return {}
--- a/yewstage/net/pool.py
+++ b/yewstage/net/pool.py
@@ -11,19 +11,19 @@
 from typing import Protocol
 
 from yewstage import interface as api
-from yewstage.net.budget import Budget
+from yewstage.net.budget import MemoryBudget
 from yewstage.net.http1 import (
     GIVEN_UP,
     LONGEST_BODY,
     NO_DESCRIPTOR,
     TOO_LATE,
-    Dial,
+    ConnectAttempt,
     Reply,
     ReplyProtocol,
     Upload,
-    narrow,
+    limit_socket_buffer,
 )
-from yewstage.net.stats import Use
+from yewstage.net.stats import DescriptorUse
 
 IDLE_SHARES = 0.5, 0.8  # idle links are retired between these parts of the server's idle limit
 SWEEP_S = 1.0
@@ -63,11 +63,11 @@
 class Source(Protocol):
     """Where a long answer comes from."""
 
-    def hold(self, held: bool) -> None:
+    def pause(self, held: bool) -> None:
         """Stop reading, or go on."""
 
 
-class Job(Protocol):
+class Exchange(Protocol):
     """What a link carries: one request and its answer."""
 
     payload: bytes
@@ -78,19 +78,19 @@
 class Ends(Protocol):
     """Who is told what becomes of the jobs on links."""
 
-    def sent(self, job: Job) -> None:
+    def sent(self, job: Exchange) -> None:
         """Its last byte was written."""
 
-    def streams(self, link: Link, job: Job, reply: Reply, length: int | None) -> Stream | None:
+    def streams(self, link: Link, job: Exchange, reply: Reply, length: int | None) -> Stream | None:
         """A long answer has begun; None if nobody reads it."""
 
-    def may_repeat(self, job: Job) -> bool:
+    def may_repeat(self, job: Exchange) -> bool:
         """Whether another server could have it if this answer broke."""
 
-    def replied(self, job: Job, reply: Reply) -> None:
+    def replied(self, job: Exchange, reply: Reply) -> None:
         """Its whole answer has come."""
 
-    def broke(self, job: Job, unsent: bool, cause: str) -> None:
+    def broke(self, job: Exchange, unsent: bool, cause: str) -> None:
         """Its link is gone, before its last byte was written or after."""
 
 
@@ -99,14 +99,14 @@
 
     kind: str  # waiters of different kinds take turns
 
-    def linked(self, link: Link) -> None:
+    def connection_ready(self, link: Link) -> None:
         """Here it is."""
 
-    def unlinked(self, result: str, cause: str) -> None:
+    def connection_failed(self, result: str, cause: str) -> None:
         """There is none to be had: the server could not be reached, or there was no room."""
 
 
-class Lines:
+class WaiterQueue:
     """Waiters for one server: in the order in which they came, the kinds by turns."""
 
     def __init__(self) -> None:
@@ -160,7 +160,7 @@
         self.links: set[Link] = set()
         self.long: set[Link] = set()  # those that carry a long body, at its client's pace
         self.dialling = 0
-        self.lines = Lines()
+        self.lines = WaiterQueue()
         self.leaving = False  # it drains: what it holds goes on, nothing is kept for later
 
 
@@ -179,21 +179,21 @@
         dial_ms: float,
         idle_ms: float,
         ends: Ends,
-        use: Use | None = None,
+        use: DescriptorUse | None = None,
         bound: Callable[[str], int] | None = None,
         clock_ms: Callable[[], float] = lambda: time.time() * 1000,
         rng: random.Random | None = None,
-        budget: Budget | None = None,
+        budget: MemoryBudget | None = None,
     ) -> None:
         self.loop, self.ends, self.clock_ms = loop, ends, clock_ms
-        self.budget = budget or Budget(2**30, loop.time)
-        self._use, self._rng = use or Use(), rng or random.Random()
+        self.budget = budget or MemoryBudget(2**30, loop.time)
+        self._use, self._rng = use or DescriptorUse(), rng or random.Random()
         self._bound = bound or (lambda name: most)  # links to one server, dials included
         self._most = most
         self._servers: dict[str, _Server] = {}
         self._links: set[Link] = set()
         self._thirsty: dict[_Server, None] = {}  # servers for which more wait than are dialled, in turn
-        self._dials: set[Dial] = set()
+        self._dials: set[ConnectAttempt] = set()
         self._stopped = False
         self.reuses = self.waits = 0
         self.dialled = dict.fromkeys(DIAL_RESULTS, 0)
@@ -210,7 +210,7 @@
         for dial in list(self._dials):
             dial.cancel()
         for link in list(self._links):
-            link.drop(STOPPED)
+            link.abort(STOPPED)
 
     def tune(self, dial_ms: float, idle_ms: float) -> None:
         """Go by other limits from now on."""
@@ -254,7 +254,7 @@
         """The servers that can be dialled."""
         return set(self._servers)
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """What operators read of links and dials."""
         idle = sum(len(server.idle) for server in self._servers.values())
         return {
@@ -272,16 +272,16 @@
         """Dials that have ended."""
         return sum(self.dialled.values())
 
-    def want(self, name: str, waiter: Waiter) -> None:
+    def acquire(self, name: str, waiter: Waiter) -> None:
         """Get a link to a server: at once, or when one is up or free."""
         server = self._servers.get(name)
         if server is None:
-            waiter.unlinked(api.CONNECT_FAILED, "not listed")
+            waiter.connection_failed(api.CONNECT_FAILED, "not listed")
             return
         link = self._freshest(server)
         if link is not None:
             self.reuses += 1
-            waiter.linked(link)
+            waiter.connection_ready(link)
             return
         server.lines.add(waiter)
         if not self._grow(server):
@@ -306,7 +306,7 @@
                 continue
             if now < link.retires_at:
                 return link
-            link.drop(RETIRED)  # danger: its server may be closing it at this moment
+            link.abort(RETIRED)  # danger: its server may be closing it at this moment
         return None
 
     def _grow(self, server: _Server) -> bool:
@@ -318,7 +318,7 @@
         if len(self._dials) >= DIALS or not self._room():  # guards the descriptors
             return False
         server.dialling += 1
-        dial = Dial(
+        dial = ConnectAttempt(
             self.loop,
             lambda: Link(self, server),
             server.address,
@@ -329,7 +329,7 @@
         self._dials.add(dial)
         return True
 
-    def _dialled(self, server: _Server, dial: Dial, link: Link | None, cause: str) -> None:
+    def _dialled(self, server: _Server, dial: ConnectAttempt, link: Link | None, cause: str) -> None:
         server.dialling -= 1
         self._dials.discard(dial)
         result = (
@@ -346,24 +346,24 @@
             self._close_idle(server, SILENT)
         if self._servers.get(server.name) is server and server.lines.count > server.dialling:
             waiter = server.lines.oldest()
-            waiter.unlinked(api.MOOT if result == NO_FILES else api.CONNECT_FAILED, cause)
+            waiter.connection_failed(api.START_EXPIRED if result == NO_FILES else api.CONNECT_FAILED, cause)
         self._go_on()
 
     def _offer(self, link: Link) -> None:
         """A link is free: for who is first in line, else for later."""
         server = link.server
         if self._stopped:
-            link.drop(STOPPED)
+            link.abort(STOPPED)
         elif self._servers.get(server.name) is not server:
-            link.drop(UNLISTED)
+            link.abort(UNLISTED)
         elif len(self._links) + len(self._dials) > self._most:
-            link.drop(NO_ROOM)
+            link.abort(NO_ROOM)
         else:
             waiter = server.lines.next()
             if waiter is not None:
-                waiter.linked(link)
+                waiter.connection_ready(link)
             elif server.leaving:
-                link.drop(DRAINED)
+                link.abort(DRAINED)
             else:
                 link.idle_since = self.loop.time()
                 link.retires_at = link.idle_since + self._idle_s * link.share
@@ -389,7 +389,7 @@
         """Close the link that has stood idle longest."""
         idle = [server for server in self._servers.values() if server.idle]
         if idle:
-            min(idle, key=lambda server: server.idle[0].idle_since).idle.pop(0).drop(NO_ROOM)
+            min(idle, key=lambda server: server.idle[0].idle_since).idle.pop(0).abort(NO_ROOM)
         return bool(idle)
 
     def _leave(self, server: _Server) -> None:
@@ -405,13 +405,13 @@
         """
         self._leave(old)
         for link in [link for link in old.links if link.opened_ms < new.born_ms]:
-            link.drop(OUTLIVED)
+            link.abort(OUTLIVED)
         while (waiter := old.lines.next()) is not None:
-            self.want(new.name, waiter)
+            self.acquire(new.name, waiter)
 
     def _turn_away(self, server: _Server, cause: str) -> None:
         while (waiter := server.lines.next()) is not None:
-            waiter.unlinked(api.CONNECT_FAILED, cause)
+            waiter.connection_failed(api.CONNECT_FAILED, cause)
 
     # From links
 
@@ -442,22 +442,22 @@
         job, link.job = link.job, None
         self.closed_by[link.why or (DIED_IDLE if job is None else BROKE)] += 1
         if job is not None:
-            self.ends.broke(job, link.unsent, link.ended_by)
+            self.ends.broke(job, link.has_unsent_data, link.close_cause)
         if self._thirsty:
             self._go_on()
 
-    def free(self, link: Link, reusable: bool) -> None:
+    def release(self, link: Link, reusable: bool) -> None:
         """A link has done its job: it is the next one's, if it is clean."""
         link.server.long.discard(link)
-        if reusable and not link.unsent:
+        if reusable and not link.has_unsent_data:
             self._offer(link)
         else:
-            link.drop(UNUSABLE)
+            link.abort(UNUSABLE)
 
     def _close_idle(self, server: _Server, why: str) -> None:
         idle, server.idle = server.idle, []
         for link in idle:
-            link.drop(why)
+            link.abort(why)
 
     def _sweep(self) -> None:
         # Guards against writing to a link that the server is about to close: that ends as a reset, after
@@ -468,7 +468,7 @@
         for server in self._servers.values():
             for link in [link for link in server.idle if link.retires_at <= now]:
                 server.idle.remove(link)
-                link.drop(RETIRED)
+                link.abort(RETIRED)
         for link in list(self._links):
             link.check(now)
         self.loop.call_later(SWEEP_S, self._sweep)
@@ -480,12 +480,12 @@
     def __init__(self, pool: Pool, server: _Server) -> None:
         super().__init__()
         self._pool, self.server = pool, server
-        self.job: Job | None = None
+        self.job: Exchange | None = None
         self.idle_since = self.retires_at = 0.0
         self.share = 0.0  # of the server's idle limit, after which we retire it
         self.opened_ms = 0.0  # by the clock that all machines share
-        self._kept = pool.budget.account("answers")  # what has come of an answer that is kept whole
-        self._answer: tuple[Job, Reply, bool] | None = None
+        self._kept = pool.budget.open_account("answers")  # what has come of an answer that is kept whole
+        self._answer: tuple[Exchange, Reply, bool] | None = None
         self._stream: Stream | None = None  # who reads the answer that is coming
         self._held = False  # by a client that reads slowly
         self._hold_timer: asyncio.TimerHandle | None = None
@@ -493,33 +493,33 @@
         self._read = 0
         self.why = ""  # we closed it; empty: its server did, or the way there
 
-    def drop(self, why: str = "") -> None:
+    def abort(self, why: str = "") -> None:
         """End the link at once."""
         self.why = self.why or why
         self._pool.dropped(self)
-        super().drop()
+        super().abort()
 
-    def begin(self, job: Job) -> None:
+    def begin(self, job: Exchange) -> None:
         """Write a job's request."""
         self.job = job
         self._moved_at = self._pool.loop.time()
         if job.upload is not None:
-            self.unsent = True
+            self.has_unsent_data = True
             self._pool.lengthy(self)
             job.upload.attach(self, job.payload)
             return
         self.write(job.payload)
         job.payload = b""  # held by the transport, as far as it is not gone
-        if not self.unsent:
+        if not self.has_unsent_data:
             self._pool.ends.sent(job)
 
     def flushed(self) -> None:
         """Tell once when the last byte of a request has left."""
         job = self.job
-        if not self.unsent or job is None or self.transport.get_write_buffer_size():
+        if not self.has_unsent_data or job is None or self.transport.get_write_buffer_size():
             return
-        if job.upload is None or job.upload.whole:
-            self.unsent = False
+        if job.upload is None or job.upload.is_complete:
+            self.has_unsent_data = False
             self._pool.ends.sent(job)
 
     def resume_writing(self) -> None:
@@ -533,7 +533,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.job is None:
-            self.drop(UNUSABLE)  # nobody asked: it would be taken for the next request's answer
+            self.abort(UNUSABLE)  # nobody asked: it would be taken for the next request's answer
             return
         self._read += 1
         super().data_received(data)
@@ -553,7 +553,7 @@
         if self._answer is not None:
             (job, reply, reusable), self._answer = self._answer, None
             clean = not self.begun and not self.transport.is_closing()
-            self._pool.free(self, reusable and clean)
+            self._pool.release(self, reusable and clean)
             self._pool.ends.replied(job, reply)
 
     def replied(self, reply: Reply, reusable: bool) -> None:
@@ -561,7 +561,7 @@
         self._stream = None
         self._stop_holding()
         if job is None:
-            self.drop(UNUSABLE)  # a second answer to one request
+            self.abort(UNUSABLE)  # a second answer to one request
         else:
             self._answer = (job, reply, reusable)
 
@@ -596,22 +596,22 @@
         """Pass a good answer on as it comes; of any other one its head is enough."""
         status = self._parser.get_status_code()
         if self.job is None or status < 200:
-            self.drop(UNUSABLE)
+            self.abort(UNUSABLE)
             return
         if status != 200:
             self._complete(reusable=False)
             return
         body, self._body = b"".join(self._body), []
-        narrow(self.transport, socket.SO_RCVBUF)
+        limit_socket_buffer(self.transport, socket.SO_RCVBUF)
         self._pool.lengthy(self)
         reply = Reply(status, self._headers, b"")
         self._stream = self._pool.ends.streams(self, self.job, reply, self._length())
         if self._stream is None:
-            self.drop(ABANDONED)  # its client is gone
+            self.abort(ABANDONED)  # its client is gone
         elif body:
             self._stream.more(body)
 
-    def hold(self, held: bool) -> None:
+    def pause(self, held: bool) -> None:
         """Stop reading while the client cannot take more."""
         if held == self._held:
             return
@@ -620,22 +620,22 @@
         (self.transport.pause_reading if held else self.transport.resume_reading)()
 
     def _stop_holding(self) -> None:
-        self.hold(False)
+        self.pause(False)
         if self._hold_timer is not None:
             self._hold_timer.cancel()
             self._hold_timer = None
 
     def check(self, now: float) -> None:
         """End a long body that no longer moves: its server or the way to it is gone."""
-        loading = self.unsent and self.job is not None and self.job.upload is not None
+        loading = self.has_unsent_data and self.job is not None and self.job.upload is not None
         if self._held or not (loading or self._stream is not None):
             return
         moved = (self._read, self.transport.get_write_buffer_size())
         if moved != self._moved or (loading and not moved[1]):
             self._moved, self._moved_at = moved, now
         elif now - self._moved_at > STALL_S:
-            self.ended_by = "nothing moves"
-            self.drop(STALLED)
+            self.close_cause = "nothing moves"
+            self.abort(STALLED)
 
     def eof_received(self) -> None:
         super().eof_received()
--- a/yewstage/net/shares.py
+++ b/yewstage/net/shares.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Coroutine
 
 from yewstage import interface as api
-from yewstage.net.lanes import Lanes
+from yewstage.net.holding_client import HoldingClient
 
 WAIT_S = 1.0  # after which nobody was heard
 RESULTS = ("granted", "empty", "silent")
@@ -20,7 +20,7 @@
 class Shares:
     """All of one gateway's."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, lanes: Lanes, name: str) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, lanes: HoldingClient, name: str) -> None:
         self._loop, self._lanes = loop, lanes
         self._life, self._serial = f"{name[:40] or 'gateway'}.{secrets.token_hex(8)}", 0
         self._tasks: set[asyncio.Task] = set()
@@ -37,7 +37,7 @@
             task.cancel()
         self._lanes.close()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """What operators read."""
         results = {f'shares_total{{result="{name}"}}': n for name, n in self.results.items()}
         return {**results, "shares_granted_units_total": round(self.units, 3)}
@@ -51,16 +51,16 @@
             "rate": plan.rate,
             "burst": plan.burst,
             "want": act.amount,
-            "least": act.least,
-            "lifeMs": act.keep_ms,
+            "least": act.min_units,
+            "lifeMs": act.ttl_ms,
         }
         units = None
         while units is None and (left_s := began + WAIT_S - self._loop.time()) > 0:
             answer = await self._lanes.call(act.name, f"/v1/shares/{act.name}/take", body, left_s)
             if answer is not None and answer.status == 200:
-                units = _units(answer.body.get("units"), act.amount, act.least)
+                units = _units(answer.body.get("units"), act.amount, act.min_units)
             if units is None:
-                await self._lanes.rest()
+                await self._lanes.pause_before_retry()
         self.results["silent" if units is None else "granted" if units else "empty"] += 1
         self.units += units or 0.0
         took_ms = (self._loop.time() - began) * 1000
--- a/yewstage/net/stats.py
+++ b/yewstage/net/stats.py
@@ -20,7 +20,7 @@
 OPEN_FILES = "/proc/self/fd"
 
 
-class Use:
+class DescriptorUse:
     """Descriptors held for one purpose."""
 
     __slots__ = ("held", "_all")
@@ -45,7 +45,7 @@
     """What the process's sockets are for, counted as they open and close: the system tells only how many."""
 
     def __init__(self) -> None:
-        self.uses = {name: Use(self) for name in USES}
+        self.uses = {name: DescriptorUse(self) for name in USES}
         self.held = self.peak = 0
 
     def note(self, change: int) -> None:
@@ -87,7 +87,7 @@
         except OSError:
             return Process.peak_bytes(), Process.peak_bytes()
 
-    def figures(self) -> list[tuple[str, float]]:
+    def metrics(self) -> list[tuple[str, float]]:
         """Names and values; what this system does not tell is left out, not guessed."""
         figures = [
             ("process_cpu_seconds_total", round(self.cpu_s(), 6)),
@@ -113,7 +113,7 @@
         self.relayed = 0  # attempts whose last byte was written
         self.accepted = self.invalid = 0  # configuration files at SIGHUP
         self.passed_up = self.passed_down = 0  # bytes of long bodies
-        self.short = dict.fromkeys(SHORT_CAUSES, 0)  # long bodies that ended before their end
+        self.truncated_by_cause = dict.fromkeys(SHORT_CAUSES, 0)  # long bodies that ended before their end
         self.descriptors = Descriptors()
         self.process = Process()
         self.know(classes)
@@ -137,7 +137,7 @@
 
     def cut_short(self, cause: str) -> None:
         """A long body has ended before its end."""
-        self.short[cause] += 1
+        self.truncated_by_cause[cause] += 1
 
     def requests(self) -> int:
         """Final answers given, of whatever kind."""
@@ -173,7 +173,7 @@
         lines += [
             f'gateway_descriptors{{use="{name}"}} {use.held}' for name, use in self.descriptors.uses.items()
         ]
-        lines += [f"{name} {value}" for name, value in self.process.figures()]
+        lines += [f"{name} {value}" for name, value in self.process.metrics()]
         return "\n".join(lines) + "\n"
 
     def farewell(self, dials: int) -> str:
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -82,7 +82,7 @@
     return value
 
 
-def account(plan: str, customer: str) -> str:
+def quota_account_name(plan: str, customer: str) -> str:
     """The name of a customer's account, where shares are granted; it tells nobody who that is."""
     return hashlib.blake2s(f"{plan}/{customer}".encode(), digest_size=16).hexdigest()
 
@@ -132,7 +132,7 @@
         self.update(server)
 
     def update(self, server: api.Server) -> None:
-        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.nominal, 1e-6)
+        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.nominal_capacity, 1e-6)
         self.up = server.status == "up"
         if server.up_since_ms > self.born:
             self.born = self.cold_from_ms = server.up_since_ms
@@ -191,7 +191,7 @@
         self.aim_at, self.end_at = aim_at, end_at
         self.attempts: list[_Attempt] = []
         self.answered = self.stream = False
-        self.loading = not req.kept  # its body is on its way
+        self.loading = not req.body_is_buffered  # its body is on its way
         self.claim = ""  # "asked" or "yours", where a record has to be asked first
 
 
@@ -272,16 +272,16 @@
         self.s = settings
         self.rng = random.Random(seed)
         self.classes = {c.name: c for c in settings.classes}
-        self.aim = min(c.aim_ms for c in settings.classes)  # the shortest
+        self.aim = min(c.objective_ms for c in settings.classes)  # the shortest
         self.plans = {p.name: p for p in settings.plans}
         self.out: list[api.Action] = []
-        self.hosts: dict[str, _Host] = {}
-        self.held: dict[str, _Held] = {}
-        self.uses: dict[str, _Use] = {}
+        self.servers: dict[str, _Host] = {}
+        self.open_requests: dict[str, _Held] = {}
+        self.customer_quotas: dict[str, _Use] = {}
         self.calls: dict[str, str] = {}  # name of a count -> customer
         self.asking: dict[str, str] = {}  # requests that wait for a total -> customer
         self.cells: dict[tuple[str, str], _Cell] = {}
-        self.latency = {c.name: c.aim_ms / 10 for c in settings.classes}  # usual latency per unit
+        self.latency = {c.name: c.objective_ms / 10 for c in settings.classes}  # usual latency per unit
         self.lefts: dict[str, deque[float]] = {}  # times left of the last tries, by class
         self.now = 0.0
         self.born: float | None = None
@@ -309,7 +309,7 @@
         if self.born is None:
             self.born, self.sweep_due = self.now, self.now + SWEEP_MS
             self.out.append(api.Timer("sweep", SWEEP_MS))
-            if self.s.must_ask:
+            if self.s.server_list_on_request:
                 self.out.append(api.Subscribe())
         if self.now > self.sweep_due + STALL * SWEEP_MS:
             # Danger: our own stall looks like a slow back end. What was out during it is no q sample.
@@ -331,18 +331,18 @@
             case api.StreamStarted():
                 self._stream_started(event)
             case api.Uploaded():
-                self._uploaded(self.held.get(event.request))
+                self._uploaded(self.open_requests.get(event.request))
             case api.Claimed():
                 self._claimed(event)
             case api.ClientLeft():
                 self.asking.pop(event.request, None)
-                self._finish(self.held.get(event.request))
+                self._finish(self.open_requests.get(event.request))
             case api.Retuned():
                 self._retune(event.settings)
             case api.TakenOver():
                 self._take_over(event.state)
             case api.PredecessorGone():
-                for use in self.uses.values():
+                for use in self.customer_quotas.values():
                     use.elsewhere = 0
             case api.TimerDue():
                 pass
@@ -356,14 +356,14 @@
             return
         if event.kind != "changes":
             named = {s.name for s in event.servers}
-            self.hosts = {n: h for n, h in self.hosts.items() if n in named}
+            self.servers = {n: h for n, h in self.servers.items() if n in named}
         for server in event.servers:
             if server.status == "removed":
-                self.hosts.pop(server.name, None)
-            elif server.name in self.hosts:
-                self.hosts[server.name].update(server)
+                self.servers.pop(server.name, None)
+            elif server.name in self.servers:
+                self.servers[server.name].update(server)
             else:
-                self.hosts[server.name] = _Host(server, self._rank(server.name))
+                self.servers[server.name] = _Host(server, self._rank(server.name))
         self._share_out()
 
     def _share_out(self) -> None:
@@ -373,7 +373,7 @@
         which keep connections and hear of it often. A gateway needs some servers: left with few, by chance or
         by a loss, it would fill them before it looked further. A small fleet holds all.
         """
-        ranks = sorted(h.rank for h in self.hosts.values() if h.up and not h.fails)
+        ranks = sorted(h.rank for h in self.servers.values() if h.up and not h.fails)
         enough = ranks[min(HELD, len(ranks)) - 1] + 1 if ranks else 0
         self.holders = min(self.s.fleet_size, max(HOLDERS, enough))
 
@@ -381,7 +381,7 @@
         """Our place in a server's own order of all gateways, on which they agree without a word."""
         order = list(range(self.s.fleet_size))
         random.Random(name).shuffle(order)
-        return order.index(self.s.me)
+        return order.index(self.s.gateway_index)
 
     def _ours(self, host: _Host) -> bool:
         """Whether we are one of the gateways that hold this server."""
@@ -394,7 +394,7 @@
         sends much has a larger part; the parts of all add up to what the server does within the aim.
         Danger: links beyond that carry requests that are late already, and take the others' places.
         """
-        host = self.hosts.get(name)
+        host = self.servers.get(name)
         if host is None:
             return 1
         if self.q_seen < FEW:  # nothing seen yet: an even part of what its size does, at the usual latency
@@ -409,10 +409,10 @@
         While it could, an answer that may soon be whole is better held than begun: what was passed on cannot
         be taken back.
         """
-        held = self.held.get(request)
+        held = self.open_requests.get(request)
         return (
             held is not None
-            and held.req.kept
+            and held.req.body_is_buffered
             and not held.answered
             and held.cls.effect == "safe"
             and len(held.attempts) < held.most
@@ -421,11 +421,11 @@
 
     def rotation(self) -> tuple[int, int]:
         """How many servers are listed, and how many of these get no ordinary work now."""
-        return len(self.hosts), sum(1 for h in self.hosts.values() if not h.up or h.fails)
+        return len(self.servers), sum(1 for h in self.servers.values() if not h.up or h.fails)
 
     def failing(self) -> dict[str, int]:
         """Listed servers that rest after failures or are tried again: how often in a row each has failed."""
-        return {h.name: h.fails for h in self.hosts.values() if h.up and h.fails}
+        return {h.name: h.fails for h in self.servers.values() if h.up and h.fails}
 
     # --- Retuning ------------------------------------------------------------------------------------------
 
@@ -433,13 +433,13 @@
         """Other classes, plans and bounds; what was learnt of customers, hosts and pressure stays."""
         classes = {c.name: c for c in settings.classes}
         same = {name for name, cls in classes.items() if self.classes.get(name) == cls}
-        waiting = {cls.name for use in self.uses.values() for _, cls, _, _ in use.asking}
-        known = {*classes, *waiting, *(held.cls.name for held in self.held.values())}
-        moved = (settings.me, settings.fleet_size) != (self.s.me, self.s.fleet_size)
+        waiting = {cls.name for use in self.customer_quotas.values() for _, cls, _, _ in use.asking}
+        known = {*classes, *waiting, *(held.cls.name for held in self.open_requests.values())}
+        moved = (settings.gateway_index, settings.fleet_size) != (self.s.gateway_index, self.s.fleet_size)
         self.s, self.classes = settings, classes
-        for host in self.hosts.values() if moved else ():
+        for host in self.servers.values() if moved else ():
             host.rank = self._rank(host.name)
-        self.aim = min(c.aim_ms for c in settings.classes)
+        self.aim = min(c.objective_ms for c in settings.classes)
         # One that is the same is the same object, by which a customer's use is known.
         self.plans = {
             p.name: self.plans[p.name] if self.plans.get(p.name) == p else p for p in settings.plans
@@ -454,12 +454,12 @@
     def hand_over(self) -> dict[str, object]:
         """All that the rules need of us, for the process that goes on; what it holds we no longer spend."""
         self.handed = True
-        for use in self.uses.values():
+        for use in self.customer_quotas.values():
             self._left(use)
         state = {
             "own": {name: getattr(self, name) for name in HANDED},
             "latency": dict(self.latency),
-            "hosts": {h.name: [getattr(h, name) for name in HANDED_HOST] for h in self.hosts.values()},
+            "hosts": {h.name: [getattr(h, name) for name in HANDED_HOST] for h in self.servers.values()},
             "uses": {
                 customer: [
                     use.plan.name,
@@ -469,10 +469,10 @@
                     use.open + use.elsewhere,
                     *(getattr(use, name) for name in HANDED_USE),
                 ]
-                for customer, use in self.uses.items()
+                for customer, use in self.customer_quotas.items()
             },
         }
-        for use in self.uses.values():
+        for use in self.customer_quotas.values():
             use.added = use.own  # what was not told yet is told by the next process
         return state
 
@@ -505,11 +505,11 @@
             setattr(self, name, value)
         self.latency.update(latency)
         for name, values in hosts.items():
-            host = self.hosts.get(name)
+            host = self.servers.get(name)
             if host is not None and values[0] >= host.born:  # else it has started since
                 for field, value in zip(HANDED_HOST, values, strict=True):
                     setattr(host, field, type(getattr(host, field))(value))
-        self.uses = uses
+        self.customer_quotas = uses
 
     def _handed_use(self, values: list) -> _Use:
         plan, window, name, base, out, *rest = values
@@ -526,17 +526,19 @@
 
     def _request(self, req: api.Request) -> None:
         cls, plan = req.cls or self.classes.get(req.class_name), self.plans.get(req.plan_name)
-        if req.id in self.held or req.id in self.asking:
+        if req.id in self.open_requests or req.id in self.asking:
             return
-        if cls is None or plan is None or req.time_left_ms <= 0 or not self.hosts:
-            self.out.append(api.Refuse(req.id, why="no host" if not self.hosts else "unservable"))
+        if cls is None or plan is None or req.time_left_ms <= 0 or not self.servers:
+            self.out.append(api.Refuse(req.id, reason="no host" if not self.servers else "unservable"))
             return
-        self.latency.setdefault(cls.name, cls.aim_ms / 10)
+        self.latency.setdefault(cls.name, cls.objective_ms / 10)
         end_at = self.now + req.time_left_ms
-        aim_at = end_at if cls.late_worth > 0 else min(self.now + cls.aim_ms - self._spent(req, cls), end_at)
+        aim_at = (
+            end_at if cls.late_worth > 0 else min(self.now + cls.objective_ms - self._spent(req, cls), end_at)
+        )
         if aim_at <= self.now:
             # Its aim has passed: whatever we did would be waste.
-            self.out.append(api.Refuse(req.id, why="too late"))
+            self.out.append(api.Refuse(req.id, reason="too late"))
             return
         use = self._use(req, plan)
         # Danger: a try with little time left would be held past its end; it is decided at once.
@@ -549,7 +551,7 @@
             use.asking.append((req, cls, aim_at, end_at))
             # Danger: what is reserved and refused stands in the total until it is taken off, and all read it:
             # for one whom the fleet mostly refuses, the asking alone would fill the quota.
-            self._sync(use, req.customer, req.units * (use.luck >= RESERVE or plan.shares), True)
+            self._sync(use, req.customer, req.units * (use.luck >= RESERVE or plan.uses_quota_shares), True)
         else:
             self._decide(req, cls, use, aim_at, end_at, False)
 
@@ -563,7 +565,7 @@
         recent = self.lefts.setdefault(cls.name, deque(maxlen=TRIES))
         recent.append(req.time_left_ms)
         usual = sorted(recent)[len(recent) * 7 // 10]
-        if self.s.marks_retry and not req.repeat:
+        if self.s.marks_retry and not req.is_retry:
             return 0.0  # a first try, and its client is in a hurry
         agree = sum(1 for left in recent if abs(left - usual) <= 0.01 * usual)
         if len(recent) < TRIES // 2 or 3 * agree < len(recent) or req.time_left_ms > 0.99 * usual:
@@ -590,7 +592,7 @@
         if host is None:
             self._refuse_new(req, use, "quota" if over else "no host")
             return
-        self.held[req.id] = held
+        self.open_requests[req.id] = held
         self.bank = min(self.bank + RETRY_SHARE, RETRY_BANK)
         use.ceiling -= req.units
         use.loading += req.units * held.loading
@@ -598,7 +600,7 @@
         if not over:
             self._spend(use, req.units)
         self._sync(use, req.customer)
-        if self.s.record and cls.effect == "keyed":
+        if self.s.uses_claim_record and cls.effect == "keyed":
             held.claim = "asked"
             left = held.aim_at - self.now
             wait = max(left - self._usual(held), left / 2)
@@ -612,7 +614,7 @@
 
         Danger: a key whose end nobody told may have run; a refusal would promise that it did not.
         """
-        held = self.held.get(event.request)
+        held = self.open_requests.get(event.request)
         if held is None or held.claim != "asked" or held.answered:
             return
         held.claim = event.result if event.result == "yours" else ""
@@ -627,7 +629,7 @@
             if event.result == "done"
             else api.Fail(held.req.id)
             if event.result == "held"
-            else api.Refuse(held.req.id, why="no record" if event.result == "silent" else "gave up")
+            else api.Refuse(held.req.id, reason="no record" if event.result == "silent" else "gave up")
         )
         self._finish(held)
 
@@ -655,12 +657,12 @@
             return  # danger: a few bad hosts cut f for all; they are the business of health
         q = 1.0
         if event.result in (api.OK, api.ERROR):
-            self.ok_q += (min(event.took_ms / held.cls.aim_ms, 1.0) - self.ok_q) / FEW
+            self.ok_q += (min(event.took_ms / held.cls.objective_ms, 1.0) - self.ok_q) / FEW
             self.lost -= self.lost / (4 * FEW)
             # Danger: foretold from two or three completions it is noise that cuts f for nothing.
-            foretold = sum(h.open for h in self.hosts.values() if not h.fails) / max(self.done_rate, 1e-9)
+            foretold = sum(h.open for h in self.servers.values() if not h.fails) / max(self.done_rate, 1e-9)
             trust = 0.5 * min(self.done_rate * (self.now - self.born) / (3 * FEW), 1.0)
-            q = min((event.took_ms + trust * (foretold - event.took_ms)) / held.cls.aim_ms, 1.0)
+            q = min((event.took_ms + trust * (foretold - event.took_ms)) / held.cls.objective_ms, 1.0)
         elif event.result == api.TIMED_OUT and self.ok_q < Q_MIN:
             # Danger: answers lost on their way, or stuck on single hosts, look like a jam. While the others
             # come fast, nothing waits. Hurts: the start of a jam is seen some answers later.
@@ -677,17 +679,17 @@
             w = min(W, self.q_n / FEW) if self.q_seen > FEW else self.q_n / self.q_seen
             self.q = (1 - w) * self.q + w * self.q_sum / self.q_n
             self.q_sum, self.q_n = 0.0, 0
-        elif not self.held:
+        elif not self.open_requests:
             # Danger: near fmin a gateway of two requests a second has one outcome in ten seconds; q would
             # hold on long after a jam, so it fades while nothing is out. Hurts: long jams get more than fmin.
-            self.q *= 1 - SWEEP_MS / max(c.aim_ms for c in self.s.classes)
+            self.q *= 1 - SWEEP_MS / max(c.objective_ms for c in self.s.classes)
         late = 0
         if self.q_seen < FEW:
             # Danger: outcomes show a jam an aim late, and fresh gateways would fill it until then. What is
             # out for longer than Qmax of its aim counts as full. Hurts: lost answers press a fresh gateway.
             late = sum(
-                a.works and self.now - a.sent > Q_MAX * h.cls.aim_ms
-                for h in self.held.values()
+                a.works and self.now - a.sent > Q_MAX * h.cls.objective_ms
+                for h in self.open_requests.values()
                 for a in h.attempts
             )
         self.f = ramp((FEW * self.q + late) / (FEW + late))
@@ -703,18 +705,20 @@
     # --- Quotas and ceiling -----------------------------------------------------------------------------
 
     def _use(self, req: api.Request, plan: api.Plan) -> _Use:
-        use = self.uses.get(req.customer)
-        width = max(1, min(req.width, self.s.fleet_size))
+        use = self.customer_quotas.get(req.customer)
+        width = max(1, min(req.gateway_count, self.s.fleet_size))
         if use is not None and use.plan is not plan and use.plan.name == plan.name:
             use.plan = plan  # the plan was retuned: what the customer has used stays used
         if use is None or use.plan is not plan:
             if use is not None:
                 self._settle(use)
-            use = self.uses[req.customer] = _Use(plan, width, self.now, self.now - (self.born or 0.0))
+            use = self.customer_quotas[req.customer] = _Use(
+                plan, width, self.now, self.now - (self.born or 0.0)
+            )
             use.ceiling_at = self.born or 0.0
         use.width, use.seen = max(use.width, width), self.now
-        if plan.shares:
-            use.name = account(plan.name, req.customer)
+        if plan.uses_quota_shares:
+            use.name = quota_account_name(plan.name, req.customer)
         elif plan.rate > 0:  # windows start at a phase of the customer's own: no herd of calls at their edges
             digest, length = hashlib.blake2s(req.customer.encode(), digest_size=8), self._window_ms(plan)
             clock = self.now / length + int.from_bytes(digest.digest()[:2], "big") / 65536
@@ -761,9 +765,9 @@
 
     def _unsure(self, use: _Use, units: float) -> bool:
         """Nothing was read, or the estimate says no or maybe and the last total does not."""
-        if use.plan.shares:
+        if use.plan.uses_quota_shares:
             return self.now >= use.share_rests and not self._share_has(use, units)
-        if not self.s.may_count or use.plan.rate <= 0 or not self._may_call():
+        if not self.s.counter_enabled or use.plan.rate <= 0 or not self._may_call():
             return False
         doubt = (max(use.others, 0.0) * (self.now - use.base_at)) ** 0.5  # the others' use may vary so much
         maybe = self._left(use) - doubt < units <= use.most
@@ -789,7 +793,7 @@
             return False
         if plan.rate <= 0:
             return True
-        if plan.shares:
+        if plan.uses_quota_shares:
             return self._share_has(use, units)
         if use.base is None and use.own == 0:
             return True  # one request costs nearly nothing, and its count call tells us more
@@ -823,7 +827,7 @@
 
     def _sync(self, use: _Use, customer: str, reserve: float = 0.0, asked: bool = False) -> None:
         """Tell the counter, in batches that shrink as the customer nears its limit."""
-        if use.plan.shares:
+        if use.plan.uses_quota_shares:
             if asked and not use.calling:
                 used = use.taken / max(self.now - use.call_at, SWEEP_MS) * SHARE_OF_MS
                 use.calling, use.call_at, use.taken = True, self.now, 0.0
@@ -833,7 +837,7 @@
                 self.out.append(api.Count(use.name, want, SHARE_MS, use.plan.name, reserve))
             return
         newer = use.own - use.added + reserve  # asked and told in one; a refusal is taken off again
-        if not self.s.may_count or use.plan.rate <= 0 or use.calling:
+        if not self.s.counter_enabled or use.plan.rate <= 0 or use.calling:
             return
         if not asked and (not newer or 0 < newer * use.width < self._left(use) or not self._may_call()):
             return
@@ -846,12 +850,12 @@
     def _count_reply(self, reply: api.CountReply) -> None:
         customer = self.calls.get(reply.name)
         ok = reply.result == api.OK
-        if customer in self.uses and self.uses[customer].plan.shares:
-            return self._granted(self.uses[customer], reply, ok)
+        if customer in self.customer_quotas and self.customer_quotas[customer].plan.uses_quota_shares:
+            return self._granted(self.customer_quotas[customer], reply, ok)
         self.heard += HEED * (ok - self.heard)
         if self.heard < 0.5:
             self._say("counter", "counter silent or crowded: calling less, quotas go by our estimates")
-        use = self.uses.get(customer) if customer is not None else None
+        use = self.customer_quotas.get(customer) if customer is not None else None
         if use is None or use.name != reply.name or not use.calling:
             return
         use.calling = False
@@ -950,7 +954,7 @@
         best, best_score, resting, dear = None, 0.0, [], self.s.handshake > 0
         tried = [a.host for a in held.attempts]
         risky = [a for a in held.attempts if a.ran] if held.cls.effect != "safe" else []
-        for host in self.hosts.values():
+        for host in self.servers.values():
             if not host.up or (risky and not self._repeats(held, risky, host)):
                 continue
             warmth = self._warmth(host) if host.cold_from_ms else 1.0
@@ -991,18 +995,18 @@
     def _judge(self, held: _Held, host: _Host, event: api.Outcome) -> None:
         """What an outcome says of its host."""
         usual = self._usual(held)
-        if "util" in event.report:
-            host.util, host.told_at = event.report["util"], self.now
+        if "util" in event.load_report:
+            host.util, host.told_at = event.load_report["util"], self.now
         if event.result == api.OK:
             if host.died:
                 # Danger: a host back from the dead is cold long before the list says so.
                 host.cold_from_ms, host.died = max(host.cold_from_ms, self.now), False
             host.strikes = host.fails = 0
             host.slow += GAIN * (min(event.took_ms / usual, 20.0) - host.slow)
-            units = max(event.true_units or held.req.units, 1e-6)
+            units = max(event.billed_units or held.req.units, 1e-6)
             self.latency[held.cls.name] += GAIN / 4 * (event.took_ms / units - self.latency[held.cls.name])
             self.done += 1
-        elif event.result == api.CONNECT_FAILED and held.loading and not event.unbegun:
+        elif event.result == api.CONNECT_FAILED and held.loading and not event.nothing_sent:
             self._strike(host)  # a long body has many chances to break
         elif event.result == api.CONNECT_FAILED:
             # Danger: a dial may also break on its way; it is death when the trial after a rest fails too.
@@ -1013,7 +1017,7 @@
             # that it holds and takes no new one, which is what tells.
             self._strike(host)
         elif event.result in (api.ERROR, api.TIMED_OUT, api.FULL):
-            host.slow += GAIN * (min(max(held.cls.aim_ms / usual, 2.0), 20.0) - host.slow)
+            host.slow += GAIN * (min(max(held.cls.objective_ms / usual, 2.0), 20.0) - host.slow)
             late = event.result == api.TIMED_OUT and self._unwell(host)
             self._strike(host, late or event.result == api.ERROR)
 
@@ -1037,7 +1041,7 @@
             return False
         if not self.s.second_copies and any(a.open for a in held.attempts):
             return False
-        return held.req.kept or not any(a.touched for a in held.attempts)  # else its body is gone
+        return held.req.body_is_buffered or not any(a.touched for a in held.attempts)  # else its body is gone
 
     def _repeats(self, held: _Held, risky: list[_Attempt], host: _Host) -> bool:
         """The rules on repeats, for one server: whether what may have run elsewhere may be sent to it."""
@@ -1070,7 +1074,7 @@
         early = max(timeout / 2, PATIENCE * self._usual(held))
         if (
             self.lost > LOST
-            and held.req.kept
+            and held.req.body_is_buffered
             and held.cls.effect != "unsafe"
             and self.bank >= 1
             and len(held.attempts) + 1 < held.most
@@ -1091,7 +1095,7 @@
     def _answer(self, held: _Held) -> None:
         """The final answer of a request that will not be served."""
         may_have_run = any(a.ran for a in held.attempts)  # then a refusal would promise too much
-        self.out.append(api.Fail(held.req.id) if may_have_run else api.Refuse(held.req.id, why="gave up"))
+        self.out.append(api.Fail(held.req.id) if may_have_run else api.Refuse(held.req.id, reason="gave up"))
         self._finish(held)
 
     def _finish(self, held: _Held | None) -> None:
@@ -1104,14 +1108,14 @@
         held.answered = True
         if not still:
             self._loaded(held)
-        if not still and self.held.pop(held.req.id, None) is not None:
+        if not still and self.open_requests.pop(held.req.id, None) is not None:
             held.use.open -= 1
             if held.claim and not any(a.ran for a in held.attempts):
                 self.out.append(api.Release(held.req.id))
 
     def _still_out(self, event: api.Outcome | api.StreamStarted) -> tuple[_Held, _Attempt] | None:
         """Whose event it is; None if that attempt is over or was never made."""
-        held = self.held.get(event.request)
+        held = self.open_requests.get(event.request)
         if held is None or not 0 <= event.attempt < len(held.attempts):
             return None
         attempt = held.attempts[event.attempt]
@@ -1155,18 +1159,18 @@
         attempt.open = False
         attempt.stop()
         attempt.ran = event.result not in api.NEVER_RAN
-        attempt.touched = not event.unbegun
+        attempt.touched = not event.nothing_sent
         if event.result in (api.OK, api.ERROR, api.FULL):  # its link is free for the next one
             attempt.host.linked += 1
             attempt.host.linked_until = self.now + LINK_SHARE * self.s.idle_ms
         elif event.result == api.CONNECT_FAILED:
             attempt.host.linked = 0
-        if event.result != api.MOOT and not (held.stream and event.result == api.OK):
+        if event.result != api.START_EXPIRED and not (held.stream and event.result == api.OK):
             self._learn(held, attempt, event)
         if attempt.touched:
             self._loaded(held)
-        if event.result == api.OK and event.true_units > 0 and held.use.plan.rate > 0:
-            self._spend(held.use, event.true_units - held.req.units)
+        if event.result == api.OK and event.billed_units > 0 and held.use.plan.rate > 0:
+            self._spend(held.use, event.billed_units - held.req.units)
             self._sync(held.use, held.req.customer)
         if event.final or event.result == api.OK or held.answered:
             self._finish(held)
@@ -1187,7 +1191,7 @@
         One that met nobody cost no server anything. Danger: with most of its list gone a gateway would spend
         all that it may on refused dials, and give up what the next server takes.
         """
-        price = result not in (api.CONNECT_FAILED, api.MOOT)
+        price = result not in (api.CONNECT_FAILED, api.START_EXPIRED)
         if self.bank < price or held.aim_at - self.now <= max(self._usual(held), 2 * self.s.tick_ms):
             return False
         host = self._pick(held)
@@ -1206,11 +1210,11 @@
         keep = memory / (memory + span)
         self.done_rate = keep * self.done_rate + (1 - keep) * self.done / span
         self._share_out()
-        held = [h for h in self.hosts.values() if h.up and not h.fails and self._ours(h)]
+        held = [h for h in self.servers.values() if h.up and not h.fails and self._ours(h)]
         self.size = max(sum(h.nominal for h in held), 1e-6)
-        slow = sorted(h.slow for h in self.hosts.values() if h.up)
+        slow = sorted(h.slow for h in self.servers.values() if h.up)
         self.mid = max(slow[len(slow) // 2], 1.0) if slow else 1.0
-        self.many_fail = 2 * sum(1 for h in self.hosts.values() if h.up and h.fails) > len(slow)
+        self.many_fail = 2 * sum(1 for h in self.servers.values() if h.up and h.fails) > len(slow)
         warm = sum(1 for h in held if self._warmth(h) >= 1)
         if warm:
             self.warm_rate = keep * self.warm_rate + (1 - keep) * self.warm_work / span / warm
@@ -1218,12 +1222,12 @@
         for cell in self.cells.values():
             cell.work *= keep
         self._update_f()
-        for use in [u for u in self.uses.values() if u.asking]:
+        for use in [u for u in self.customer_quotas.values() if u.asking]:
             if self.now - use.call_at > self.s.count_wait_ms + SWEEP_MS:  # danger: a reply that never comes
-                use.calling = use.plan.shares  # a share that comes late is ours all the same
+                use.calling = use.plan.uses_quota_shares  # a share that comes late is ours all the same
                 self._settle(use)
-        for customer in [c for c, u in self.uses.items() if self._stale(u)]:
-            self.calls.pop(self.uses.pop(customer).name, None)
+        for customer in [c for c, u in self.customer_quotas.items() if self._stale(u)]:
+            self.calls.pop(self.customer_quotas.pop(customer).name, None)
         self.sweep_due = self.now + SWEEP_MS
         self.out.append(api.Timer("sweep", SWEEP_MS))
 
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -40,7 +40,7 @@
     encode,
     one_apart,
 )
-from yewstage.raft.pace import Pace
+from yewstage.raft.rate_limiter import CopyRateLimiter
 
 FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"  # a candidate asks for pre-votes first
 EMPTY = Snapshot(0, 0, (), b"")
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Saved:
+class DurableState:
     """What a disk holds of a replica."""
 
     term: int = 0
@@ -106,13 +106,13 @@
 
 
 @dataclass(slots=True)
-class Peer:
+class Progress:
     """What the leader knows of another replica."""
 
     next: int
     match: int = 0
     matched_in: int = 0  # our round when that was heard: what we ask in a later one is read after it was said
-    forgot: int = 0  # how often it has lost what it had said to be durable
+    durability_losses: int = 0  # how often it has lost what it had said to be durable
     probing: bool = True  # where its log meets ours is not known: signs of life only
     inflight: deque[tuple[int, int]] = field(default_factory=deque)  # last index, bytes
     inflight_bytes: int = 0
@@ -137,15 +137,15 @@
 
     def __init__(
         self,
-        me: str,
+        own_id: str,
         settings: Settings,
-        saved: Saved,
+        saved: DurableState,
         rng: random.Random,
         now: float,
-        pace: Pace | None = None,
+        pace: CopyRateLimiter | None = None,
     ) -> None:
-        self.me, self.settings, self._rng = me, settings, rng
-        self._pace = pace or Pace()
+        self.own_id, self.settings, self._rng = own_id, settings, rng
+        self._pace = pace or CopyRateLimiter()
         self.term, self.vote = saved.term, saved.vote
         self.snapshot = saved.snapshot
         self.entries = [entry for entry in saved.entries if entry.index > saved.snapshot.index]
@@ -154,7 +154,7 @@
             if entry.kind == MEMBERS:
                 self.members_at.append((entry.index, decode_members(entry.data)))
         self.role, self.leader, self.leader_zone = FOLLOWER, "", ""
-        self.commit = self._emitted = saved.snapshot.index
+        self.commit_index = self._emitted = saved.snapshot.index
         self.out = Output()
         if saved.snapshot.index:
             self.out.install = saved.snapshot
@@ -167,12 +167,12 @@
         self._fresh_at = NEVER  # our own time as of which we know all that was committed
         self._part: tuple[tuple[int, int, int, int], bytearray] | None = None
         self.elections = 0
-        self.forgot = 0  # times that a peer of ours has lost what it had said to be durable
+        self.durability_losses = 0  # times that a peer of ours has lost what it had said to be durable
         # As a candidate or leader.
         self._granted: set[str] = set()
         self._asked_at = now
         self._real = False  # votes are asked for, not pre-votes
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, Progress] = {}
         self._round = 0
         self._rounds: deque[tuple[int, float]] = deque()  # when each was sent
         self.confirmed_at = NEVER
@@ -217,7 +217,7 @@
 
     def leading(self) -> bool:
         """Whether we lead and know all that was committed before us."""
-        return self.role == LEADER and self.commit >= self._own_term
+        return self.role == LEADER and self.commit_index >= self._own_term
 
     def age_ms(self, now: float) -> float:
         """For how long there may be committed writes that are not applied here: a bound, by our own clock.
@@ -232,7 +232,7 @@
     def next_at(self) -> float:
         """When `tick` is to be called at the latest."""
         if self.role != LEADER:
-            return self._stand_at if self.me in self.voters() else float("inf")
+            return self._stand_at if self.own_id in self.voters() else float("inf")
         at = min(self._beat_at + self.settings.heartbeat_ms, self.confirmed_at + self.settings.election_ms)
         return min(at, self._pace.free_at) if any(peer.waits for peer in self.peers.values()) else at
 
@@ -258,7 +258,7 @@
             elif self._pace.may(now):
                 self._go_on_copying(now)
         elif now >= self._stand_at:
-            if self.me in self.voters():
+            if self.own_id in self.voters():
                 self._ask(now, real=False)
             else:
                 self._stand_at = now + self._patience()
@@ -311,7 +311,7 @@
         zone that is lost whole took its leader along, and its others must not be in the way."""
         span = self.settings.election_ms
         zones = {m.zone for m in self.members if m.voter}
-        mine = self.member(self.me)
+        mine = self.member(self.own_id)
         shares = mine is not None and len(zones) > 1 and mine.zone == self.leader_zone
         return span * (1 + self._rng.random() + shares)
 
@@ -355,24 +355,24 @@
         term = self.term + 1
         if real:
             self.elections += 1
-            self.term, self.vote = term, self.me
+            self.term, self.vote = term, self.own_id
             self._write(hard=True)
         log = self.last, self.term_at(self.last)
         for voter in self.voters():
-            if voter == self.me:
+            if voter == self.own_id:
                 continue
             if real:
-                self._send(Vote(self.me, voter, term, *log, handed))
+                self._send(Vote(self.own_id, voter, term, *log, handed))
             else:
-                self._emit(PreVote(self.me, voter, term, *log))
+                self._emit(PreVote(self.own_id, voter, term, *log))
         self._count(now)
 
     def _count(self, now: float) -> None:
         """Whether enough have said yes; ourselves only once our own vote is durable."""
         voters = self.voters()
         granted = self._granted & set(voters)
-        if self.me in voters and (not self._real or self._done >= self._numbers):
-            granted.add(self.me)
+        if self.own_id in voters and (not self._real or self._done >= self._numbers):
+            granted.add(self.own_id)
         if len(granted) * 2 <= len(voters):
             return
         if self._real:
@@ -381,13 +381,13 @@
             self._ask(now, real=True)
 
     def _lead(self, now: float) -> None:
-        self.role, self.leader, self.leader_zone = LEADER, self.me, ""
-        self.peers = {m.id: self._new_peer(m) for m in self.members if m.id != self.me}
+        self.role, self.leader, self.leader_zone = LEADER, self.own_id, ""
+        self.peers = {m.id: self._new_peer(m) for m in self.members if m.id != self.own_id}
         self._rounds.clear()
         self._reads.clear()
         self._handing = None
         self.confirmed_at = self._asked_at  # who voted did so after that
-        self._proposed_bytes = sum(entry.size() for entry in self._from(self.commit + 1))
+        self._proposed_bytes = sum(entry.size() for entry in self._from(self.commit_index + 1))
         self._own_term = self.last + 1
         self._append(NOOP, b"")
         self._beat(now)
@@ -400,7 +400,7 @@
         granted = (
             m.term > self.term and self._current(m.last_index, m.last_term) and not self._hears_leader(now)
         )
-        self._send(PreVoteReply(self.me, m.src, m.term if granted else self.term, granted))
+        self._send(PreVoteReply(self.own_id, m.src, m.term if granted else self.term, granted))
 
     def _on_pre_vote_reply(self, m: PreVoteReply, now: float) -> None:
         if m.granted:
@@ -421,7 +421,7 @@
             self.vote = m.src
             self._write(hard=True)
             self._stand_at = now + self._patience()
-        self._send(VoteReply(self.me, m.src, self.term, granted))
+        self._send(VoteReply(self.own_id, m.src, self.term, granted))
 
     def _on_vote_reply(self, m: VoteReply, now: float) -> None:
         if m.granted and m.term == self.term and self.role == CANDIDATE and self._real:
@@ -429,7 +429,7 @@
             self._count(now)
 
     def _on_stand_now(self, m: StandNow, now: float) -> None:
-        if m.term == self.term and self.role == FOLLOWER and self.me in self.voters():
+        if m.term == self.term and self.role == FOLLOWER and self.own_id in self.voters():
             self._ask(now, real=True, handed=True)
 
     # --- Messages -----------------------------------------------------------------------------------------
@@ -440,7 +440,7 @@
             self.tick(
                 now
             )  # one that was paused leads no more; a follower hears what has come before it stands
-        if m.dst != self.me or m.src == self.me:
+        if m.dst != self.own_id or m.src == self.own_id:
             return
         if isinstance(m, PreVote):
             self._on_pre_vote(m, now)
@@ -450,7 +450,7 @@
             pass  # a replica that hears less than we do must not end what works
         elif m.term < self.term:
             if isinstance(m, Append | Install):  # a leader that does not know it is none any more
-                self._send(AppendReply(self.me, m.src, self.term, False, 0, 0, 0))
+                self._send(AppendReply(self.own_id, m.src, self.term, False, 0, 0, 0))
         else:
             if m.term > self.term:
                 self._follow(m.term, "", now)
@@ -503,12 +503,12 @@
 
     def _know_members(self) -> None:
         """As leader: follow exactly those who are members."""
-        others = [m for m in self.members if m.id != self.me]
+        others = [m for m in self.members if m.id != self.own_id]
         self.peers = {m.id: self.peers.get(m.id) or self._new_peer(m) for m in others}
 
-    def _new_peer(self, member: Member) -> Peer:
+    def _new_peer(self, member: Member) -> Progress:
         """What is there when a learner comes is copied at the pace; what comes later it gets like all."""
-        return Peer(self.last + 1, copy_to=0 if member.voter else self.last)
+        return Progress(self.last + 1, copy_to=0 if member.voter else self.last)
 
     def _cut(self, index: int) -> None:
         """Entries from an index on go: another leader has others there."""
@@ -521,12 +521,14 @@
 
     def _on_append(self, m: Append, now: float) -> None:
         prev, entries = m.prev_index, m.entries
-        if prev < self.commit:  # all up to our commit is as the leader has it
-            entries = entries[self.commit - prev :]
-            prev = min(self.commit, m.prev_index + len(m.entries))
+        if prev < self.commit_index:  # all up to our commit is as the leader has it
+            entries = entries[self.commit_index - prev :]
+            prev = min(self.commit_index, m.prev_index + len(m.entries))
         elif self.term_at(prev) != m.prev_term:
             self._send(
-                AppendReply(self.me, m.src, self.term, False, self._may_match(m), m.prev_index, m.round, now)
+                AppendReply(
+                    self.own_id, m.src, self.term, False, self._may_match(m), m.prev_index, m.round, now
+                )
             )
             return
         end = prev + len(entries)
@@ -538,15 +540,15 @@
                 break
         self._committed(min(m.commit, end))
         self._freshen(m, end)
-        self._send(AppendReply(self.me, m.src, self.term, True, end, m.prev_index, m.round, now))
+        self._send(AppendReply(self.own_id, m.src, self.term, True, end, m.prev_index, m.round, now))
 
     def _may_match(self, m: Append) -> int:
         """The highest index that may match, below one that does not: a whole term is passed over."""
         at = min(m.prev_index - 1, self.last)
         wrong = self.term_at(m.prev_index)
-        while at > self.commit and wrong is not None and self.term_at(at) == wrong:
+        while at > self.commit_index and wrong is not None and self.term_at(at) == wrong:
             at -= 1
-        return max(at, self.commit)
+        return max(at, self.commit_index)
 
     def _freshen(self, m: Append, end: int) -> None:
         """As of when we know all that was committed, by the echo of our own clock."""
@@ -554,9 +556,9 @@
             self._fresh_at = max(self._fresh_at, m.echo - m.lag)
 
     def _committed(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.commit = index
+        self.commit_index = index
         for entry in self._from(self._emitted + 1):
             if entry.index > index:
                 break
@@ -568,7 +570,7 @@
     # --- Leading ------------------------------------------------------------------------------------------
 
     def _alone(self) -> bool:
-        return self.voters() == [self.me]
+        return self.voters() == [self.own_id]
 
     def _beat(self, now: float) -> None:
         """A sign of life to all, which asks them to confirm that we lead."""
@@ -590,7 +592,7 @@
             if now - peer.part_at >= self.settings.election_ms / 2:  # the part or its answer was lost
                 self._part_to(name, now)
             elif beat:  # it has to hear that somebody leads
-                self._append_to(name, (), now, self.commit)
+                self._append_to(name, (), now, self.commit_index)
             return
         window = self.settings
         peer.waits = False
@@ -632,13 +634,13 @@
         known = self.leading()
         self._emit(
             Append(
-                self.me,
+                self.own_id,
                 name,
                 self.term,
                 prev,
                 self.term_at(prev),
                 entries,
-                self.commit,
+                self.commit_index,
                 self._round,
                 peer.clock if known else -1.0,
                 now - self.confirmed_at,
@@ -663,7 +665,7 @@
         elif m.prev_index <= peer.match and m.round > peer.matched_in:
             self._forgotten(m, peer, now)
 
-    def _forgotten(self, m: AppendReply, peer: Peer, now: float) -> None:
+    def _forgotten(self, m: AppendReply, peer: Progress, now: float) -> None:
         """A replica refuses what it had said to be durable, by an answer to a question that we asked after it
         had said so: its disk forgets. It counts for what it has now, and is sent the rest again.
 
@@ -671,12 +673,12 @@
         protocol can keep that promise for a disk that lies. It is told, so that the disk is replaced.
         """
         peer.match, peer.matched_in = min(peer.match, m.match), self._round
-        peer.forgot += 1
-        self.forgot += 1
+        peer.durability_losses += 1
+        self.durability_losses += 1
         peer.reset(peer.match)
         self._tell(m.src, now, beat=True)
 
-    def _acknowledged(self, name: str, peer: Peer, match: int, now: float) -> None:
+    def _acknowledged(self, name: str, peer: Progress, match: int, now: float) -> None:
         if match > self.last:
             return  # not by what we have sent
         if match > peer.match:
@@ -693,7 +695,7 @@
             self._tell(name, now)
         self._hand_over(name, now)
 
-    def _heard_from(self, peer: Peer, number: int, now: float) -> None:
+    def _heard_from(self, peer: Progress, number: int, now: float) -> None:
         peer.heard_at = now
         if number > peer.round:
             peer.round = number
@@ -701,7 +703,7 @@
 
     def _quorum(self, values: dict[str, int], own: int) -> int:
         """The highest value that a majority of the voters has reached."""
-        reached = sorted((own if v == self.me else values[v] for v in self.voters()), reverse=True)
+        reached = sorted((own if v == self.own_id else values[v] for v in self.voters()), reverse=True)
         return reached[len(reached) // 2] if reached else 0
 
     def _confirm(self) -> None:
@@ -710,7 +712,7 @@
         while self._rounds and self._rounds[0][0] <= number:
             self.confirmed_at = max(self.confirmed_at, self._rounds.popleft()[1])
         while self._reads and 0 < self._reads[0][1] <= number:
-            self.out.reads.append((self._reads.popleft()[0], self.commit))
+            self.out.reads.append((self._reads.popleft()[0], self.commit_index))
 
     def _may_commit(self) -> None:
         """Commit what a majority has on its disks.
@@ -719,9 +721,9 @@
         could still be replaced.
         """
         index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._stable)
-        if index > self.commit and self.term_at(index) == self.term:
+        if index > self.commit_index and self.term_at(index) == self.term:
             self._committed(index)
-            if self.me not in self.voters() and self.members_at[-1][0] <= self.commit:
+            if self.own_id not in self.voters() and self.members_at[-1][0] <= self.commit_index:
                 self.role = FOLLOWER  # we were taken out, and that is committed: others go on
                 self.out.lost_reads += [ticket for ticket, _ in self._reads]
                 self._reads.clear()
@@ -747,10 +749,10 @@
         self._must_lead(now)
         self._reads.append((ticket, 0))
 
-    def change(self, now: float, members: Members) -> int:
+    def change_members(self, now: float, members: Members) -> int:
         """Begin to change one member; the index of the new list. One change at a time."""
         self._must_lead(now)
-        if self.members_at[-1][0] > self.commit:
+        if self.members_at[-1][0] > self.commit_index:
             raise BusyError("another change of members is under way")
         if not one_apart(self.members, members):
             raise BusyError("one member is changed at a time")
@@ -762,7 +764,7 @@
         self._may_commit()
         return entry.index
 
-    def hand_to(self, now: float, name: str) -> None:
+    def transfer_leadership(self, now: float, name: str) -> None:
         """Hand leadership to a voter, before a planned stop: nothing new is taken until that is done or its
         time has passed."""
         self._must_lead(now)
@@ -779,7 +781,7 @@
             and name in self.peers
             and self.peers[name].match == self.last
         ):
-            self._send(StandNow(self.me, name, self.term))
+            self._send(StandNow(self.own_id, name, self.term))
 
     def _must_lead(self, now: float) -> None:
         self.tick(now)  # who was paused finds out first
@@ -815,7 +817,7 @@
         peer.part_at = now
         self._emit(
             Install(
-                self.me,
+                self.own_id,
                 name,
                 self.term,
                 snapshot.index,
@@ -830,8 +832,10 @@
         )
 
     def _on_install(self, m: Install, now: float) -> None:
-        if m.index <= self.commit:
-            self._send(AppendReply(self.me, m.src, self.term, True, self.commit, m.index, m.round, now))
+        if m.index <= self.commit_index:
+            self._send(
+                AppendReply(self.own_id, m.src, self.term, True, self.commit_index, m.index, m.round, now)
+            )
             return
         key = m.index, m.snap_term, m.size, m.check
         if self._part is None or self._part[0] != key:
@@ -840,14 +844,14 @@
         if m.offset == len(have):
             have += m.data
         if len(have) < m.size:
-            self._send(InstallReply(self.me, m.src, self.term, m.index, len(have), m.round))
+            self._send(InstallReply(self.own_id, m.src, self.term, m.index, len(have), m.round))
             return
         data, self._part = bytes(have), None
         if zlib.crc32(data) != m.check:
-            self._send(InstallReply(self.me, m.src, self.term, m.index, 0, m.round))
+            self._send(InstallReply(self.own_id, m.src, self.term, m.index, 0, m.round))
             return
         self._restore(Snapshot(m.index, m.snap_term, m.members, data, m.check))
-        self._send(AppendReply(self.me, m.src, self.term, True, m.index, m.index, m.round, now))
+        self._send(AppendReply(self.own_id, m.src, self.term, True, m.index, m.index, m.round, now))
 
     def _restore(self, snapshot: Snapshot) -> None:
         """Take a leader's snapshot in place of all that we have: it was committed, and is ahead of us."""
@@ -859,7 +863,7 @@
             write[1] = max(write[1], snapshot.index) if fits else snapshot.index
         self.snapshot, self.entries = snapshot, behind
         self.members_at = [(snapshot.index, snapshot.members), *newer]
-        self.commit = self._emitted = snapshot.index
+        self.commit_index = self._emitted = snapshot.index
         self.out.install, self.out.committed = snapshot, []
         self._write(entries=tuple(behind), snapshot=snapshot, reset=True)
 
@@ -878,9 +882,9 @@
             self._part_to(m.src, now)
 
 
-def first_state(members: Members, data: bytes) -> Saved:
+def first_state(members: Members, data: bytes) -> DurableState:
     """What every disk of a new group begins with. All begin with the same: they agree on their members."""
-    return Saved(1, "", Snapshot(1, 1, members, data, zlib.crc32(data)))
+    return DurableState(1, "", Snapshot(1, 1, members, data, zlib.crc32(data)))
 
 
 def parse(data: bytes) -> AnyMessage:
--- a/yewstage/raft/disk.py
+++ b/yewstage/raft/disk.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from yewstage.raft.core import Saved, Write
+from yewstage.raft.core import DurableState, Write
 from yewstage.raft.messages import Entry, Snapshot
 
 FORMAT = 1
@@ -66,7 +66,7 @@
 
     # --- Loading ------------------------------------------------------------------------------------------
 
-    def load(self) -> Saved:
+    def load(self) -> DurableState:
         """What the folder holds; ready to write from here on. DiskError where it is damaged."""
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -76,8 +76,8 @@
         except OSError as error:
             raise DiskError(f"{self._folder}: {error}") from None
 
-    def _load(self) -> Saved:
-        saved, entries = Saved(), {}
+    def _load(self) -> DurableState:
+        saved, entries = DurableState(), {}
         path = self._folder / "snapshot"
         if path.exists():
             bodies, whole = self._bodies(path, path.read_bytes())
@@ -115,7 +115,9 @@
     def _path(self, number: int) -> Path:
         return self._folder / f"log-{number:08}"
 
-    def _read_segment(self, number: int, newest: bool, saved: Saved, entries: dict[int, Entry]) -> None:
+    def _read_segment(
+        self, number: int, newest: bool, saved: DurableState, entries: dict[int, Entry]
+    ) -> None:
         path = self._path(number)
         data = path.read_bytes()
         bodies, whole = self._bodies(path, data)
--- a/yewstage/raft/pace.py
+++ b/yewstage/raft/rate_limiter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Pace:
+class CopyRateLimiter:
     """Bytes a second, shared by all groups of a process. Pure: the caller's clock, ms.
 
     In any time T no more than `bytes_per_s` x T bytes leave, and one part besides. What is on its way to
--- a/yewstage/registry/__main__.py
+++ b/yewstage/registry/__main__.py
@@ -12,11 +12,11 @@
 
 import uvloop
 
-from yewstage.log import FORMATS, Event, at, set_up
+from yewstage.log import FORMATS, Event, address_event, configure_logging
 from yewstage.net.config import ConfigError
 from yewstage.net.ops import Ops
+from yewstage.registry.backend import SingleNodeBackend
 from yewstage.registry.config import Config, read, service
-from yewstage.registry.ledger import Alone
 from yewstage.registry.log import Log, LogError
 from yewstage.registry.server import Registry
 from yewstage.registry.store import Store
@@ -50,13 +50,13 @@
                 bytes=files.cut,
             )
         )
-    ledger = Alone(store, files, config.snapshot_entries, loop)
+    ledger = SingleNodeBackend(store, files, config.snapshot_entries, loop)
     registry = Registry(config, ledger, loop, random.Random())
-    ops = Ops(loop, registry.ready, registry.figures)
+    ops = Ops(loop, registry.ready, registry.metrics)
     over = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, over.set)
-    log.info(at("ops", "operators' address", await ops.start(config.ops)))
+    log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     address = await registry.start()
     log.info(
         Event(
@@ -67,7 +67,7 @@
             entries=files.entries,
         )
     )
-    log.info(at("listening", "listening on", address))
+    log.info(address_event("listening", "listening on", address))
     await over.wait()
     ops.stop()
     await ledger.finished()
@@ -88,7 +88,7 @@
     except (ConfigError, LogError) as error:
         print(error, file=sys.stderr)
         return 2
-    set_up("registry", options.log_format or config.log, {"service": "registry"})
+    configure_logging("registry", options.log_format or config.log, {"service": "registry"})
     try:
         uvloop.run(serve(config, files))
     except LogError as error:
--- a/yewstage/registry/ledger.py
+++ b/yewstage/registry/backend.py
@@ -16,19 +16,21 @@
 log = logging.getLogger(__name__)
 
 
-class ElsewhereError(Exception):
+class MisdirectedError(Exception):
     """Another process takes writes. `at` is the address where it is called; empty: none is known."""
 
-    def __init__(self, at: str) -> None:
-        super().__init__(f"not the leader; it is {at}" if at else "no leader is known")
-        self.at = at
+    def __init__(self, leader_address: str) -> None:
+        super().__init__(
+            f"not the leader; it is {leader_address}" if leader_address else "no leader is known"
+        )
+        self.leader_address = leader_address
 
 
-class LaterError(Exception):
+class OutcomeUnknownError(Exception):
     """It is not known to have come about; the call may be repeated."""
 
 
-class Ledger(Protocol):
+class StoreBackend(Protocol):
     """What the service needs of whatever keeps its store."""
 
     store: Store  # what has come about, here
@@ -39,7 +41,7 @@
     def now(self) -> float:
         """The store's time, ms: never set back."""
 
-    def live(self) -> Store | None:
+    def leader_store(self) -> Store | None:
         """The store with the deadlines in force; None where another process decides."""
 
     def leader(self) -> str:
@@ -56,7 +58,7 @@
         """Nothing more is written."""
 
 
-class Alone:
+class SingleNodeBackend:
     """One process, one folder: each write is durable there before it is seen."""
 
     def __init__(
@@ -78,7 +80,7 @@
     def now(self) -> float:
         return self._loop.time() * 1000
 
-    def live(self) -> Store:
+    def leader_store(self) -> Store:
         return self.store
 
     def leader(self) -> str:
--- a/yewstage/registry/client.py
+++ b/yewstage/registry/client.py
@@ -16,8 +16,8 @@
 from yewstage.log import Event
 from yewstage.net.config import Address, ConfigError, address
 from yewstage.net.discovery import Listing, parse_listing
-from yewstage.net.http1 import LONGEST_LIST, Dial, Reply, ReplyProtocol
-from yewstage.net.stats import Use
+from yewstage.net.http1 import LONGEST_LIST, ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.stats import DescriptorUse
 
 log = logging.getLogger(__name__)
 
@@ -27,12 +27,12 @@
 WAIT_MS = 20_000
 
 
-class SilentError(Exception):
+class NoAnswerError(Exception):
     """No answer that makes sense; the call may have been done all the same."""
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class ServiceReply:
     """An answer."""
 
     status: int
@@ -41,16 +41,20 @@
     age_ms: float = float("inf")  # bound on how old it was when it was given; not told: nothing is known
 
 
-class Client:
+class ServiceClient:
     """Calls to the service, one at a time, over one connection; each failure moves on to the next address.
 
     Where the service is replicated a write may be told who leads: it is asked there, once.
     """
 
     def __init__(
-        self, addresses: Sequence[Address], rng: random.Random | None = None, use: Use | None = None
+        self, addresses: Sequence[Address], rng: random.Random | None = None, use: DescriptorUse | None = None
     ) -> None:
-        self._addresses, self._rng, self._use = tuple(addresses), rng or random.Random(), use or Use()
+        self._addresses, self._rng, self._use = (
+            tuple(addresses),
+            rng or random.Random(),
+            use or DescriptorUse(),
+        )
         self._at = self._rng.randrange(len(self._addresses))
         self._leader: Address | None = None  # where writes go, as one of them told us
         self._line: _Line | None = None
@@ -59,7 +63,7 @@
 
     async def call(
         self, method: str, path: str, body: dict[str, object] | None = None, wait_s: float = 0.0
-    ) -> Told:
+    ) -> ServiceReply:
         """One call; SilentError where nothing sensible comes back. It is not repeated here."""
         async with self._turn:
             try:
@@ -71,16 +75,16 @@
             except asyncio.CancelledError:
                 self._leave()  # who asked waits no longer: its answer would be taken for the next one's
                 raise
-            except (SilentError, ValueError, ConfigError) as error:
+            except (NoAnswerError, ValueError, ConfigError) as error:
                 self._leave()
-                raise SilentError(str(error)) from None
+                raise NoAnswerError(str(error)) from None
             if told.status in (421, 503):
                 self._leave()  # another one may know better
             else:
                 self._failures = 0
             return told
 
-    def rest_s(self) -> float:
+    def backoff_s(self) -> float:
         """Full jitter: how long to rest after failures, so that not all who failed come back at one
         moment."""
         span = min(BACKOFF_S * 2 ** min(max(self._failures - 1, 0), 20), BACKOFF_MAX_S)
@@ -93,7 +97,7 @@
     def close(self) -> None:
         """End the connection."""
         if self._line is not None:
-            self._line.drop()
+            self._line.abort()
             self._line = None
 
     def _leave(self) -> None:
@@ -116,30 +120,32 @@
             async with asyncio.timeout(within_s):
                 return await self._line.exchange(request)
         except TimeoutError:
-            raise SilentError("no answer in time") from None
+            raise NoAnswerError("no answer in time") from None
 
 
-async def ask_once(at: Address, path: str, within_s: float) -> dict[str, object]:
+async def get_once(at: Address, path: str, within_s: float) -> dict[str, object]:
     """What one address answers to a question; nothing where no good answer comes in time."""
-    client = Client([at])
+    client = ServiceClient([at])
     try:
         async with asyncio.timeout(within_s):
             told = await client.call("GET", path)
         return told.body if told.status == 200 else {}
-    except (SilentError, TimeoutError):
+    except (NoAnswerError, TimeoutError):
         return {}
     finally:
         client.close()
 
 
-def _told(reply: Reply) -> Told:
+def _told(reply: Reply) -> ServiceReply:
     """An answer's JSON; ValueError where it is none."""
     body = json.loads(reply.body or b"{}")
     if not isinstance(body, dict):
         raise ValueError("an answer that is no object")
     retry = _number(reply, b"retry-after", 0.0)
     age = _number(reply, b"x-age-ms", float("inf"))
-    return Told(reply.status, body, retry if 0 <= retry < 3600 else 0.0, age if age >= 0 else float("inf"))
+    return ServiceReply(
+        reply.status, body, retry if 0 <= retry < 3600 else 0.0, age if age >= 0 else float("inf")
+    )
 
 
 def _number(reply: Reply, header: bytes, default: float) -> float:
@@ -149,20 +155,20 @@
         return default
 
 
-async def _dial(target: Address, use: Use) -> _Line:
+async def _dial(target: Address, use: DescriptorUse) -> _Line:
     loop = asyncio.get_running_loop()
     up: asyncio.Future[_Line] = loop.create_future()
 
     def ended(line: ReplyProtocol | None, cause: str) -> None:
         if up.done():
             if line is not None:
-                line.drop()
+                line.abort()
         elif line is None:
-            up.set_exception(SilentError(cause))
+            up.set_exception(NoAnswerError(cause))
         else:
             up.set_result(line)
 
-    dial = Dial(loop, _Line, target, DIAL_S, use, ended)
+    dial = ConnectAttempt(loop, _Line, target, DIAL_S, use, ended)
     try:
         return await up
     finally:
@@ -188,26 +194,26 @@
         waiting, self._waiting = self._waiting, None
         if waiting is None or not reusable:
             self.over = True
-            self.drop()
+            self.abort()
         if waiting is not None and not waiting.done():
             waiting.set_result(reply)
 
     def lost(self) -> None:
         self.over = True
         if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(SilentError(self.ended_by))
+            self._waiting.set_exception(NoAnswerError(self.close_cause))
 
 
-class Watch:
+class ListWatch:
     """The list as last told, kept through whatever happens to the service, and how old it is."""
 
-    def __init__(self, client: Client, now_s: Callable[[], float]) -> None:
+    def __init__(self, client: ServiceClient, now_s: Callable[[], float]) -> None:
         self._client, self._now_s = client, now_s
         self._revision: int | None = None
         self._heard_at: float | None = None
         self.servers: dict[str, api.Server] = {}
         self.addresses: dict[str, Address] = {}
-        self.doubt = "nothing heard yet"  # why the list is not what the service says now; empty: it is
+        self.stale_reason = "nothing heard yet"  # why the list is not what the service says now; empty: it is
         self.changed = asyncio.Event()
 
     def age_s(self) -> float:
@@ -228,22 +234,24 @@
         try:
             told = await self._client.call("GET", f"/v1/endpoints{query}", None, wait_ms / 1000 * behind)
             if told.status != 200:
-                return self._doubt(f"answered {told.status}", max(told.retry_after_s, self._client.rest_s()))
+                return self._doubt(
+                    f"answered {told.status}", max(told.retry_after_s, self._client.backoff_s())
+                )
             return self._take(parse_listing(told.body))
-        except (SilentError, ValueError) as error:
-            self._revision = self._revision if isinstance(error, SilentError) else None
-            return self._doubt(str(error), self._client.rest_s())
+        except (NoAnswerError, ValueError) as error:
+            self._revision = self._revision if isinstance(error, NoAnswerError) else None
+            return self._doubt(str(error), self._client.backoff_s())
 
     def _take(self, listing: Listing) -> float:
-        if listing.whole and self.servers and not listing.servers:
+        if listing.is_full and self.servers and not listing.servers:
             # Danger: a service that lost its files knows nobody. To believe it would end all service.
             self._revision = None
             return self._doubt(
                 f"an empty list after {len(self.servers)} servers", self._client.between(0.5, 1.0)
             )
-        if not listing.whole and (self._revision is None or listing.generation < self._revision):
+        if not listing.is_full and (self._revision is None or listing.generation < self._revision):
             raise ValueError("changes to a list that was never told")
-        if listing.whole:
+        if listing.is_full:
             self.servers, self.addresses = {}, {}
         for server in listing.servers:
             if server.status == "removed":
@@ -252,18 +260,18 @@
             else:
                 self.servers[server.name] = server
         self.addresses.update(listing.addresses)
-        self._revision, self._heard_at, self.doubt = listing.generation, self._now_s(), ""
+        self._revision, self._heard_at, self.stale_reason = listing.generation, self._now_s(), ""
         self.changed.set()
         return 0.0
 
     def _doubt(self, why: str, rest_s: float) -> float:
-        if why != self.doubt:
+        if why != self.stale_reason:
             log.warning(Event("list_kept", "the list is kept, {why}", why=why))
-        self.doubt = why
+        self.stale_reason = why
         return rest_s
 
 
-class Duty:
+class LeaseHolder:
     """A duty that one process at a time holds, by a lease.
 
     Its time counts from when the renewal was sent, by a clock that may run fast or slow by `drift`: so it is
@@ -272,7 +280,13 @@
     """
 
     def __init__(
-        self, client: Client, name: str, holder: str, ttl_ms: float, drift: float, now_s: Callable[[], float]
+        self,
+        client: ServiceClient,
+        name: str,
+        holder: str,
+        ttl_ms: float,
+        drift: float,
+        now_s: Callable[[], float],
     ) -> None:
         self._client, self.name, self._holder = client, name, holder
         self._ttl_ms, self._drift, self._now_s = ttl_ms, drift, now_s
@@ -280,7 +294,7 @@
         self.token = 0
         self.grants = 0
 
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Whether we may act at this moment."""
         return self._now_s() < self._until
 
@@ -292,16 +306,16 @@
         """Hold it whenever it can be had, until cancelled; then leave it to the next."""
         try:
             while True:
-                await asyncio.sleep(await self.hold())
+                await asyncio.sleep(await self.acquire_or_renew())
         finally:
-            if self.held():
+            if self.is_held():
                 await self.release()
 
-    async def hold(self) -> float:
+    async def acquire_or_renew(self) -> float:
         """Renew, or try to get it; how long to rest before the next time."""
         sent_at = self._now_s()
         try:
-            if self.held():
+            if self.is_held():
                 told = await self._client.call(
                     "POST", f"/v1/leases/{self.name}/renew", {"holder": self._holder, "token": self.token}
                 )
@@ -309,8 +323,8 @@
                 told = await self._client.call(
                     "PUT", f"/v1/leases/{self.name}", {"holder": self._holder, "ttlMs": self._ttl_ms}
                 )
-        except SilentError:
-            return self._client.rest_s()
+        except NoAnswerError:
+            return self._client.backoff_s()
         token = told.body.get("token")
         if told.status != 200 or not isinstance(token, int):
             if told.status == 409:
@@ -329,7 +343,7 @@
             await self._client.call(
                 "DELETE", f"/v1/leases/{self.name}", {"holder": self._holder, "token": self.token}
             )
-        except SilentError as error:
+        except NoAnswerError as error:
             log.warning(
                 Event("duty_kept", "{duty} could not be given up: {error}", duty=self.name, error=str(error))
             )
--- a/yewstage/registry/config.py
+++ b/yewstage/registry/config.py
@@ -76,15 +76,15 @@
         listen=fields.address("listen"),
         ops=fields.address("ops"),
         folder=Path(fields.text("folder")),
-        watches=fields.whole("watches", 5000, 1),
-        connections=fields.whole("connections", 6000, 1),
+        watches=fields.integer("watches", 5000, 1),
+        connections=fields.integer("connections", 6000, 1),
         least_ttl_ms=fields.number("least_ttl_ms", 500.0, 1.0),
         most_ttl_ms=fields.number("most_ttl_ms", 60000.0, 1.0),
         settle_ms=fields.number("settle_ms", 10000.0, 0.0),
-        snapshot_entries=fields.whole("snapshot_entries", 10000, 1),
+        snapshot_entries=fields.integer("snapshot_entries", 10000, 1),
         most_age_ms=fields.number("most_age_ms", 10000.0, 1.0),
         rules=Rules(
-            history=fields.whole("history", 10000, 1),
+            history=fields.integer("history", 10000, 1),
             most_gone=fields.number("most_gone", 0.5, 0.0, 1.0),
             most_unwell=fields.number("most_unwell", 0.5, 0.0, 1.0),
             drift=fields.number("drift", 0.01, 0.0, 0.5),
@@ -112,8 +112,8 @@
         ops=fields.address("ops"),
         rate_per_s=fields.number("rate_per_s", 5.0, 0.001),
         timeout_ms=fields.number("timeout_ms", 1000.0, 1.0),
-        fails=fields.whole("fails", 3, 1),
-        passes=fields.whole("passes", 2, 1),
+        fails=fields.integer("fails", 3, 1),
+        passes=fields.integer("passes", 2, 1),
         ttl_ms=fields.number("ttl_ms", 5000.0, 100.0),
         drift=fields.number("drift", 0.01, 0.0, 0.5),
         log=fields.choice("log", FORMATS),
@@ -163,7 +163,7 @@
             raise ConfigError(f"{name}: must be a number from {least:g} to {most:g}")
         return float(value)
 
-    def whole(self, name: str, default: int | None, least: int, most: int = 2**53) -> int:
+    def integer(self, name: str, default: int | None, least: int, most: int = 2**53) -> int:
         """A whole number within bounds."""
         value = self._take(name, default)
         if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
