--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -11,11 +11,11 @@
 from dataclasses import asdict
 
 from yewstage.log import Event
-from yewstage.metrics import Figures, Metric, count, counts, gauge, gauges
+from yewstage.metrics import Metric, MetricsPage, count, counts, gauge, gauges
 from yewstage.net.config import ConfigError
-from yewstage.net.serve import Answer, Call, Caller, Listener, Manners
+from yewstage.net.http_server import ConnectionLimits, HttpConnection, HttpRequest, HttpResponse, HttpServer
+from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError, StoreBackend
 from yewstage.registry.config import NAME, Config, Fields
-from yewstage.registry.ledger import ElsewhereError, LaterError, Ledger
 from yewstage.registry.log import FullError
 from yewstage.registry.store import GONE, READY, Entry, Plan, Record, RefusedError, Store
 
@@ -30,51 +30,55 @@
 
 PASSED = "passed"  # in a query: another process passes the call on, it is not passed on again
 
-Handler = Callable[[Call, Caller, str], Answer | None]
-PassOn = Callable[[int | None, int, Caller], bool]  # behind which revision, ms to wait; whether it was taken
+Handler = Callable[[HttpRequest, HttpConnection, str], HttpResponse | None]
+PassOn = Callable[
+    [int | None, int, HttpConnection], bool
+]  # behind which revision, ms to wait; whether it was taken
 
 
-def said(status: int, body: dict[str, object], headers: bytes = b"") -> Answer:
+def json_response(status: int, body: dict[str, object], headers: bytes = b"") -> HttpResponse:
     """An answer of one line of JSON."""
     line = json.dumps(body, separators=(",", ":")).encode() + b"\n"
-    return Answer(status, line, b"application/json", headers)
+    return HttpResponse(status, line, b"application/json", headers)
 
 
-def failed(status: int, why: str, field: str = "") -> Answer:
+def error_response(status: int, why: str, field: str = "") -> HttpResponse:
     """What was wrong, and with which field."""
-    return said(status, {"error": why, **({"field": field} if field else {})})
+    return json_response(status, {"error": why, **({"field": field} if field else {})})
 
 
-def malformed(error: ConfigError) -> Answer:
+def malformed(error: ConfigError) -> HttpResponse:
     """A call whose field is wrong."""
     field, _, why = str(error).partition(": ")
-    return failed(400, why, field)
+    return error_response(400, why, field)
 
 
-def misdirected(error: ElsewhereError) -> Answer:
+def misdirected(error: MisdirectedError) -> HttpResponse:
     """Who does it instead."""
-    return said(421, {"error": str(error), "leader": error.at})
+    return json_response(421, {"error": str(error), "leader": error.leader_address})
 
 
 class Registry:
     """Calls in, answers out."""
 
     def __init__(
-        self, config: Config, ledger: Ledger, loop: asyncio.AbstractEventLoop, rng: random.Random
+        self, config: Config, ledger: StoreBackend, loop: asyncio.AbstractEventLoop, rng: random.Random
     ) -> None:
         self.config, self.ledger, self._loop, self._rng = config, ledger, loop, rng
         ledger.changed = self._changed
-        self.pass_on: PassOn | None = None  # to whom calls for the list go that cannot be answered here
-        manners = Manners(config.connections, CALL_S, READ_S, IDLE_S, failed)
-        self.listener = Listener(loop, self.handle, manners)
-        self._watches: dict[Caller, tuple[int, asyncio.TimerHandle]] = {}  # who waits behind which revision
+        self.forward_list: PassOn | None = None  # to whom calls for the list go that cannot be answered here
+        manners = ConnectionLimits(config.connections, CALL_S, READ_S, IDLE_S, error_response)
+        self.listener = HttpServer(loop, self.handle, manners)
+        self._watches: dict[
+            HttpConnection, tuple[int, asyncio.TimerHandle]
+        ] = {}  # who waits behind which revision
         self._encoded: dict[int | None, bytes] = {}  # since a revision, or the whole list; as of now
         self._tasks: set[asyncio.Task] = set()
         known = bool(ledger.store.records)
         self._settled_at = loop.time() + (0.0 if known else config.settle_ms / 1000)
         self._heard = known  # of a server, in this life or before
         self._told_at = -TOLD_S
-        self._figures = Figures(self.collect)
+        self._figures = MetricsPage(self.collect)
         self.writes, self.refused, self.failed, self.renewals, self.expired = 0, 0, 0, 0, 0
         self.turned_away = self.turned_away_early = self.turned_away_old = self.changes_told = 0
 
@@ -102,7 +106,7 @@
         """What has come about, as it is known here."""
         return self.ledger.store
 
-    def handle(self, call: Call, caller: Caller) -> Answer | None:
+    def handle(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
         """One call; None if it is answered later."""
         kind, _, name = call.path.removeprefix("/v1/").partition("/")
         name, _, verb = name.partition("/")
@@ -118,10 +122,10 @@
         }
         methods = routes.get((kind, bool(name), verb)) if call.path.startswith("/v1/") else None
         if methods is None:
-            return failed(404, "no such path")
+            return error_response(404, "no such path")
         if call.method not in methods:
-            answer = failed(405, f"not {call.method}")
-            return Answer(405, answer.body, answer.kind, b"Allow: %b\r\n" % ", ".join(methods).encode())
+            answer = error_response(405, f"not {call.method}")
+            return HttpResponse(405, answer.body, answer.kind, b"Allow: %b\r\n" % ", ".join(methods).encode())
         try:
             if name and not NAME.fullmatch(name):
                 raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underlines")
@@ -130,13 +134,17 @@
             return malformed(error)
         except RefusedError as error:
             self.refused += 1
-            return failed(error.status, error.why, error.field)
+            return error_response(error.status, error.why, error.field)
 
     # --- Lists and watches --------------------------------------------------------------------------------
 
-    def _list(self, call: Call, caller: Caller, name: str) -> Answer | None:
+    def _list(self, call: HttpRequest, caller: HttpConnection, name: str) -> HttpResponse | None:
         after, wait_ms = _whole(call, "after", None), min(_whole(call, "wait_ms", 0), LONGEST_WAIT_MS)
-        if self.pass_on is not None and PASSED not in call.query and self.pass_on(after, wait_ms, caller):
+        if (
+            self.forward_list is not None
+            and PASSED not in call.query
+            and self.forward_list(after, wait_ms, caller)
+        ):
             return None
         if not self.ready():
             self.turned_away_early += 1
@@ -148,7 +156,9 @@
         if after is None:
             return self._listing(None)
         changes = self.store.changes(after)
-        ahead = after > self.store.revision and self.ledger.live() is None  # another replica has told more
+        ahead = (
+            after > self.store.revision and self.ledger.leader_store() is None
+        )  # another replica has told more
         if ahead and not wait_ms:
             return self.later("not as far as that yet")
         if not ahead and (changes or changes is None or not wait_ms):
@@ -158,16 +168,16 @@
             return self.later("too many watches")
         timer = self._loop.call_later(wait_ms / 1000, self._waited, caller)
         self._watches[caller] = (after, timer)
-        caller.gone = lambda: self._unwatch(caller)
+        caller.on_disconnect = lambda: self._unwatch(caller)
         return None
 
-    def later(self, why: str) -> Answer:
+    def later(self, why: str) -> HttpResponse:
         """Come back, and not all at one moment."""
         wait = b"Retry-After: %.2f\r\n" % self._rng.uniform(*RETRY_S)
-        answer = failed(503, why)
-        return Answer(503, answer.body, answer.kind, wait)
+        answer = error_response(503, why)
+        return HttpResponse(503, answer.body, answer.kind, wait)
 
-    def _listing(self, after: int | None) -> Answer:
+    def _listing(self, after: int | None) -> HttpResponse:
         """The whole list, or what has changed: encoded once, however many ask for it."""
         body = self._encoded.get(after)
         if body is None:
@@ -182,9 +192,9 @@
             if len(self._encoded) >= KEPT_ENCODINGS:
                 self._encoded.pop(next(iter(self._encoded)))
             self._encoded[after] = body
-        return Answer(200, body, b"application/json", b"X-Age-Ms: %d\r\n" % self.ledger.age_ms())
+        return HttpResponse(200, body, b"application/json", b"X-Age-Ms: %d\r\n" % self.ledger.age_ms())
 
-    def _waited(self, caller: Caller) -> None:
+    def _waited(self, caller: HttpConnection) -> None:
         """Nothing has changed in its time, or nothing was heard of what has."""
         after, _ = self._watches.pop(caller)
         if self.ledger.age_ms() > self.config.most_age_ms or after > self.store.revision:
@@ -193,7 +203,7 @@
         else:
             caller.answer(self._listing(after))
 
-    def _unwatch(self, caller: Caller) -> None:
+    def _unwatch(self, caller: HttpConnection) -> None:
         _, timer = self._watches.pop(caller, (0, None))
         if timer is not None:
             timer.cancel()
@@ -214,20 +224,22 @@
 
     # --- Writes -------------------------------------------------------------------------------------------
 
-    def _write(self, caller: Caller, plan: Plan, answer: Callable[[], dict[str, object]]) -> None:
+    def _write(self, caller: HttpConnection, plan: Plan, answer: Callable[[], dict[str, object]]) -> None:
         """Answer a write once it is durable."""
         self._spawn(self._written(caller, plan, answer))
 
-    async def _written(self, caller: Caller, plan: Plan, answer: Callable[[], dict[str, object]]) -> None:
+    async def _written(
+        self, caller: HttpConnection, plan: Plan, answer: Callable[[], dict[str, object]]
+    ) -> None:
         try:
             self.writes += await self.ledger.write(plan)
-            caller.answer(said(200, answer()))
+            caller.answer(json_response(200, answer()))
         except RefusedError as error:
             self.refused += 1
-            caller.answer(failed(error.status, error.why, error.field))
-        except ElsewhereError as error:
+            caller.answer(error_response(error.status, error.why, error.field))
+        except MisdirectedError as error:
             caller.answer(self._elsewhere(error))
-        except LaterError as error:
+        except OutcomeUnknownError as error:
             caller.answer(self.later(str(error)))
         except FullError as error:
             log.error(Event("not_durable", "a write could not be made durable: {error}", error=str(error)))
@@ -235,11 +247,11 @@
             caller.answer(self.later(f"writes are refused: {error}"))
         except Exception:
             log.exception(Event("write_failed", "a write failed"))
-            caller.answer(failed(500, "the service failed"))
+            caller.answer(error_response(500, "the service failed"))
 
-    def _elsewhere(self, error: ElsewhereError) -> Answer:
+    def _elsewhere(self, error: MisdirectedError) -> HttpResponse:
         """Writes go to the leader: told where that is; come back later while there is none."""
-        if not error.at:
+        if not error.leader_address:
             return self.later(str(error))
         return misdirected(error)
 
@@ -247,7 +259,7 @@
         """Let servers go whose time is up, as long as it is not most of them."""
         while True:
             await asyncio.sleep(EXPIRE_S)
-            store = self.ledger.live()
+            store = self.ledger.leader_store()
             if store is None:
                 continue
             late = store.overdue(self.ledger.now())
@@ -268,7 +280,7 @@
                         self.writes += 1
                         self.expired += 1
                         log.info(Event("expired", "{server} has not renewed in time", server=name))
-                except (FullError, ElsewhereError, LaterError) as error:
+                except (FullError, MisdirectedError, OutcomeUnknownError) as error:
                     log.error(
                         Event(
                             "not_expired",
@@ -286,7 +298,7 @@
 
     # --- Servers ------------------------------------------------------------------------------------------
 
-    def _register(self, call: Call, caller: Caller, name: str) -> None:
+    def _register(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
         config = self.config
         host, port = fields.address("hostPort")
@@ -295,7 +307,7 @@
             address=f"{host}:{port}",
             zone=fields.optional("zone"),
             kind=fields.optional("machineType"),
-            cell=fields.whole("cell", 0, 0),
+            cell=fields.integer("cell", 0, 0),
             weight=fields.number("weight", 1.0, 1e-6, 1e6),
             started_at_ms=fields.number("startedAtMs", 0.0, 0.0, 1e14),
             ttl_ms=fields.number("ttlMs", None, config.least_ttl_ms, config.most_ttl_ms),
@@ -311,7 +323,7 @@
 
         self._change(caller, name, fence, plan)
 
-    def _change(self, caller: Caller, name: str, fence: tuple[str, int] | None, plan: Plan) -> None:
+    def _change(self, caller: HttpConnection, name: str, fence: tuple[str, int] | None, plan: Plan) -> None:
         """A write of one server's record, by the holder of a duty where a fence says so; answered with what
         the
         record was then, whatever came of it since."""
@@ -326,9 +338,9 @@
 
         self._write(caller, fenced, lambda: told)
 
-    def _renew(self, call: Call, caller: Caller, name: str) -> None:
+    def _renew(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
-        registered = fields.whole("registered", 0, 0) or None
+        registered = fields.integer("registered", 0, 0) or None
         fields.done()
         told: dict[str, object] = {}
 
@@ -339,14 +351,14 @@
 
         self._write(caller, plan, lambda: told)
 
-    def _drain(self, call: Call, caller: Caller, name: str) -> None:
+    def _drain(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
         draining = fields.flag("draining") if fields.has("draining") else True
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
         self._change(caller, name, fence, lambda store, now: store.plan_drain(name, draining, expect))
 
-    def _verdict(self, call: Call, caller: Caller, name: str) -> None:
+    def _verdict(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
         well, fence = fields.flag("well"), _fence(fields)
         fields.done()
@@ -354,7 +366,7 @@
             raise ConfigError("lease: a verdict is written by the holder of a duty")
         self._change(caller, name, fence, lambda store, now: store.plan_verdict(name, well))
 
-    def _deregister(self, call: Call, caller: Caller, name: str) -> None:
+    def _deregister(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
@@ -362,11 +374,11 @@
 
     # --- Leases -------------------------------------------------------------------------------------------
 
-    def _leases(self, call: Call, caller: Caller, name: str) -> Answer:
-        now, store = self.ledger.now(), self.ledger.live()
+    def _leases(self, call: HttpRequest, caller: HttpConnection, name: str) -> HttpResponse:
+        now, store = self.ledger.now(), self.ledger.leader_store()
         if store is None:
-            return self._elsewhere(ElsewhereError(self.ledger.leader()))
-        return said(
+            return self._elsewhere(MisdirectedError(self.ledger.leader()))
+        return json_response(
             200,
             {
                 "leases": [
@@ -382,7 +394,7 @@
             },
         )
 
-    def _acquire(self, call: Call, caller: Caller, name: str) -> None:
+    def _acquire(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
         holder = fields.name("holder")
         ttl_ms = fields.number("ttlMs", None, self.config.least_ttl_ms, self.config.most_ttl_ms)
@@ -400,9 +412,9 @@
 
         self._write(caller, plan, lambda: told)
 
-    def _renew_lease(self, call: Call, caller: Caller, name: str) -> None:
+    def _renew_lease(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
-        holder, token = fields.name("holder"), fields.whole("token", None, 1)
+        holder, token = fields.name("holder"), fields.integer("token", None, 1)
         fields.done()
         told: dict[str, object] = {}
 
@@ -413,15 +425,15 @@
 
         self._write(caller, plan, lambda: told)
 
-    def _release(self, call: Call, caller: Caller, name: str) -> None:
+    def _release(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
         fields = _fields(call)
-        holder, token = fields.name("holder"), fields.whole("token", None, 1)
+        holder, token = fields.name("holder"), fields.integer("token", None, 1)
         fields.done()
         self._write(caller, lambda store, now: store.plan_release(name, holder, token), lambda: {})
 
     # --- Figures ------------------------------------------------------------------------------------------
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """What operators read."""
         return self._figures.text()
 
@@ -429,7 +441,7 @@
         """The figures, to be told alone or beside others."""
         records = self.store.records.values()
         out = sum(record.lifecycle() != READY for record in records)
-        now, live = self.ledger.now(), self.ledger.live()
+        now, live = self.ledger.now(), self.ledger.leader_store()
         held = sum(live.holder(name, now) is not None for name in live.leases) if live is not None else 0
         return [
             gauge("registry_revision", "of the list", self.store.revision),
@@ -503,7 +515,7 @@
     }
 
 
-def _fields(call: Call) -> Fields:
+def _fields(call: HttpRequest) -> Fields:
     """The fields of a call's body."""
     try:
         raw = json.loads(call.body or b"{}")
@@ -515,17 +527,17 @@
 
 
 def _expect(fields: Fields) -> int | None:
-    return fields.whole("expect", None, 0) if fields.has("expect") else None
+    return fields.integer("expect", None, 0) if fields.has("expect") else None
 
 
 def _fence(fields: Fields) -> tuple[str, int] | None:
     """The duty that a write is made for, and the token that it was granted with."""
     if not fields.has("lease") and not fields.has("token"):
         return None
-    return fields.name("lease"), fields.whole("token", None, 1)
+    return fields.name("lease"), fields.integer("token", None, 1)
 
 
-def _whole(call: Call, name: str, default: int | None) -> int | None:
+def _whole(call: HttpRequest, name: str, default: int | None) -> int | None:
     text = call.query.get(name)
     if text is None:
         return default
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class TableEntry:
     """An entry as it is read: what its origin held at some moment no longer than `age_ms` ago."""
 
     key: str
@@ -184,7 +184,7 @@
 
     # --- Reading ------------------------------------------------------------------------------------------
 
-    def read(self, table: str, now: float) -> Iterator[Told]:
+    def read(self, table: str, now: float) -> Iterator[TableEntry]:
         """All entries of a table that are new enough."""
         bound = self.tables[table].bound_ms
         for name, origin in self.origins.items():
@@ -193,7 +193,7 @@
                 continue
             for change in origin.entries.values():
                 if change.table == table and change.value is not None:
-                    yield Told(change.key, name, change.value, age)
+                    yield TableEntry(change.key, name, change.value, age)
 
     def age_ms(self, name: str, now: float) -> float:
         """For how long an origin may have changed something that is not known here; a bound."""
@@ -369,7 +369,7 @@
 
 
 Message = Question | Answer
-__all__ = ["Answer", "Question", "Settings", "Table", "Tables", "Told", "encode", "parse"]
+__all__ = ["Answer", "Question", "Settings", "Table", "Tables", "TableEntry", "encode", "parse"]
 _message = msgspec.msgpack.Decoder(Message)
 
 
--- a/yewstage/wire.py
+++ b/yewstage/wire.py
@@ -16,7 +16,7 @@
     "ConnectError": api.CONNECT_FAILED,
     "ResetByPeer": api.RESET,
     "Canceled": api.CANCELLED,
-    "Ignored": api.MOOT,
+    "Ignored": api.START_EXPIRED,
 }
 LIST_KINDS = {"Partial": "changes", "Complete": "full", "Persisted": "kept", "Error": "failed"}
 REPORTS = {"load_share": "util", "concurrent": "inflight", "depth": "queue"}  # by the interface's names
@@ -82,7 +82,7 @@
     return table[text]
 
 
-def report(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """A load report: name:value pairs set apart by commas."""
     values = {}
     if text != "-":
@@ -94,7 +94,7 @@
     return values
 
 
-def settings(parts: list[str]) -> api.Settings:
+def parse_settings(parts: list[str]) -> api.Settings:
     """The path=value pairs of an instance's first message; unknown keys are skipped."""
     pairs: dict[str, str] = {}
     for part in parts:
@@ -115,7 +115,7 @@
     classes = tuple(
         api.RequestClass(
             name=pairs.get(f"grades.{i}.name", ""),
-            aim_ms=num(f"grades.{i}.objective_ms"),
+            objective_ms=num(f"grades.{i}.objective_ms"),
             deadline_ms=num(f"grades.{i}.deadline_ms"),
             worth=num(f"grades.{i}.worth", 1.0),
             late_worth=num(f"grades.{i}.late_worth"),
@@ -142,7 +142,7 @@
     return api.Settings(
         classes=classes,
         plans=plans,
-        me=int(num("me")),
+        gateway_index=int(num("me")),
         fleet_size=int(num("fleet_size", 1)),
         try_limit=int(num("bounds.try_limit", 1)),
         second_copies=yes("bounds.second_copies"),
@@ -150,8 +150,8 @@
         retry_after=yes("bounds.retry_after"),
         max_retry_after_ms=num("bounds.max_retry_after_ms"),
         marks_retry=yes("clients.marks_retry"),
-        must_ask=pairs.get("membership_mode", "pushed") == "on_request",
-        may_count=yes("family_info.may_count"),
+        server_list_on_request=pairs.get("membership_mode", "pushed") == "on_request",
+        counter_enabled=yes("family_info.may_count"),
         count_wait_ms=num("family_info.count_wait_ms", 50.0),
         tick_ms=num("tick_ms", 1.0),
         cold_from=num("rules.cold_from", 1.0),
@@ -163,7 +163,7 @@
     )
 
 
-def server(parts: list[str]) -> api.Server:
+def parse_server(parts: list[str]) -> api.Server:
     """One entry of a list of servers."""
     if len(parts) != 8 or parts[0] != "M":
         raise WireError("a list entry needs M and 7 values")
@@ -173,7 +173,7 @@
 
 
 def _open(f: list[str]) -> Open:
-    return Open(integer(f[0]), settings(f[1:]))
+    return Open(integer(f[0]), parse_settings(f[1:]))
 
 
 def _request(f: list[str]) -> api.Request:
@@ -193,7 +193,14 @@
 def _outcome(f: list[str]) -> api.Outcome:
     number(f[6])  # the customer's use, in which the module takes no interest
     return api.Outcome(
-        f[0], integer(f[1]), f[2], one_of(RESULTS, f[3]), number(f[4]), flag(f[5]), number(f[7]), report(f[8])
+        f[0],
+        integer(f[1]),
+        f[2],
+        one_of(RESULTS, f[3]),
+        number(f[4]),
+        flag(f[5]),
+        number(f[7]),
+        parse_load_report(f[8]),
     )
 
 
@@ -207,7 +214,7 @@
 
 
 def _probe(f: list[str]) -> Ignored:
-    number(f[0]), one_of(RESULTS, f[2]), report(f[3])
+    number(f[0]), one_of(RESULTS, f[2]), parse_load_report(f[3])
     return Ignored()
 
 
@@ -250,9 +257,9 @@
         case api.Cancel():
             return f"UNDO_SEND {instance} {act.request} {act.attempt}"
         case api.Timer():
-            return f"AFTER {instance} {act.in_ms:.3f} {act.name}"
+            return f"AFTER {instance} {act.delay_ms:.3f} {act.name}"
         case api.Count():
-            return f"ADD {instance} {act.name} {act.amount:g} {act.keep_ms:.3f}"
+            return f"ADD {instance} {act.name} {act.amount:g} {act.ttl_ms:.3f}"
         case api.Subscribe():
             return f"OBSERVE {instance} 1"
         case api.Log():
--- a/yewstage/wirehost.py
+++ b/yewstage/wirehost.py
@@ -70,7 +70,7 @@
             entry = self.read()
             if entry is None:
                 raise wire.WireError("input ended inside a list")
-            servers.append(wire.server(entry))
+            servers.append(wire.parse_server(entry))
         self.catalogs[number] = tuple(servers)
 
     def server_list(self, parts: list[str]) -> api.ServerList:
