--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -96,9 +96,8 @@
             Node(m, Disk(replace(first, entries=[])), None, i * 3.6e6) for i, m in enumerate(members)
         ]
         self.network: list[AnyMessage] = []
-        self.cut_links: set[tuple[int, int]] = (
-            set()
-        )  # machines, by direction: what one sends the other does not get
+        # Machines, by direction: what one sends the other does not get.
+        self.cut_links: set[tuple[int, int]] = set()
         self.time = 0.0  # true time, ms, which no replica knows
         self.serial = 0
         self.written: dict[tuple[int, int], str] = {}  # node, ticket: the write's name
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -387,7 +387,7 @@
     # --- Clients ------------------------------------------------------------------------------------------
 
     def request(self, client: Client, words: dict[str, object]) -> None:
-        """A request has come; `words` as `Order` has them."""
+        """A request has come; `words` as `ClientRequest` has them."""
         self._work(COST_REQUEST, self._take, client, words, self.clock.now)
 
     def _take(self, client: Client, words: dict[str, object], came_at: float) -> None:
--- a/tests/test_holding_groups.py
+++ b/tests/test_holding_groups.py
@@ -257,9 +257,8 @@
         client = machines.client()
         key = next(f"k{i}" for i in range(99) if group_of(f"k{i}", KEYED) == "keys-1")
         assert await claim(client, key, "g1/r1") == "yours"
-        await (
-            machines.wait_until_replicated()
-        )  # nobody writes to this group any more: nothing hides what is missing
+        # Nobody writes to this group any more: nothing hides what is missing.
+        await machines.wait_until_replicated()
         leader = await machines.leader("keys-1")
         liar = next(m for m in machines.all if m is not leader)
         await liar.kill()
--- a/yewstage/holding/replicated_backend.py
+++ b/yewstage/holding/replicated_backend.py
@@ -92,7 +92,7 @@
         return bool(made)
 
     async def confirm(self) -> None:
-        """Return once it is sure that we led after this was called; ElsewhereError, LaterError."""
+        """Return once it is sure that we led after this was called; MisdirectedError, OutcomeUnknownError."""
         await self._settled(lambda: self.group.confirm(self.now()))
 
     async def _settled(self, begin: Callable[[], int]) -> None:
--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -241,7 +241,8 @@
     request: str
     server: str
     timeout_ms: float
-    start_deadline_ms: float = math.inf  # what is not begun by then must not begin any more: it ends as MOOT
+    # What is not begun by then must not begin any more: it ends as START_EXPIRED.
+    start_deadline_ms: float = math.inf
 
 
 @dataclass(slots=True, frozen=True)
--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -99,9 +99,8 @@
 
     letters: list[tuple[str, str, Datagram]] = field(default_factory=list)
     changes: list[MemberRow] = field(default_factory=list)
-    carried: list[tuple[MemberRow, bytes]] = field(
-        default_factory=list
-    )  # what came for others, with its sender
+    # What came for others, with its sender.
+    carried: list[tuple[MemberRow, bytes]] = field(default_factory=list)
 
 
 class Swim:
@@ -110,7 +109,9 @@
     def __init__(
         self, own_row: MemberRow, settings: Settings, seeds: Iterable[str], rng: random.Random, now: float
     ) -> None:
-        """`me`: incarnation 1 or more; its life has to be another one for each start. `seeds`: addresses."""
+        """`own_row`: incarnation 1 or more; its life has to be another one for each start.
+        `seeds`: addresses.
+        """
         self.own_row, self.settings, self.seeds, self._rng = own_row, settings, tuple(seeds), rng
         self.peers: dict[str, PeerState] = {}
         self.health = 0  # 0 is well, WORST is worst
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -133,7 +133,7 @@
 
 
 def order(message: _Message, names: ClassAndPlanNames) -> ClientRequest:
-    """A request for `/api/` as an `Order`; BadRequestErrorError where it breaks the protocol."""
+    """A request for `/api/` as a `ClientRequest`; BadRequestErrorError where it breaks the protocol."""
     headers = message.headers
     if message.twice:
         raise BadRequestError("a header came twice")
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -345,7 +345,7 @@
     # --- Clients ------------------------------------------------------------------------------------------
 
     def request(self, client: Client, order: ClientRequest) -> str:
-        """Take a request; its id tells `left` which one is meant."""
+        """Take a request; its id tells `client_disconnected` which one is meant."""
         self._serial += 1
         rid = f"r{self._serial}"
         # The client's time runs from when it sent the request, not from when we came to read it.
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -98,8 +98,8 @@
     """Keeps one watch going and hands on each answer.
 
     Guards a service that serves the whole fleet, most of which may start or be turned away at one moment:
-    what is known is not asked for again, and all come back at times of their own, spread over what `Patience`
-    allows.
+    what is known is not asked for again, and all come back at times of their own, spread over what
+    `WatchTimeouts` allows.
     """
 
     def __init__(
--- a/yewstage/net/http_server.py
+++ b/yewstage/net/http_server.py
@@ -73,9 +73,8 @@
     call_s: float  # how long a call may take to come in, the first one from when the connection was opened
     read_s: float  # how long a caller may leave its answer unread
     idle_s: float = 0.0  # how long a connection is kept between calls; 0: one call to a connection
-    fail: Callable[[int, str], HttpResponse] = lambda status, why: HttpResponse(
-        status
-    )  # how what is no call is answered
+    # How what is no call is answered.
+    fail: Callable[[int, str], HttpResponse] = lambda status, why: HttpResponse(status)
 
 
 class HttpServer:
--- a/yewstage/registry/backend.py
+++ b/yewstage/registry/backend.py
@@ -17,7 +17,7 @@
 
 
 class MisdirectedError(Exception):
-    """Another process takes writes. `at` is the address where it is called; empty: none is known."""
+    """Another process takes writes. `leader_address` is where it is called; empty: none is known."""
 
     def __init__(self, leader_address: str) -> None:
         super().__init__(
@@ -52,7 +52,7 @@
 
     async def write(self, plan: Plan) -> bool:
         """Bring a write about: True once it is durable, False where the plan makes no entry and all that it
-        was made on holds. RefusedError, FullError, ElsewhereError, LaterError."""
+        was made on holds. RefusedError, FullError, MisdirectedError, OutcomeUnknownError."""
 
     def close(self) -> None:
         """Nothing more is written."""
--- a/yewstage/registry/client.py
+++ b/yewstage/registry/client.py
@@ -64,7 +64,7 @@
     async def call(
         self, method: str, path: str, body: dict[str, object] | None = None, wait_s: float = 0.0
     ) -> ServiceReply:
-        """One call; SilentError where nothing sensible comes back. It is not repeated here."""
+        """One call; NoAnswerError where nothing sensible comes back. It is not repeated here."""
         async with self._turn:
             try:
                 told = _told(await self._exchange(method, path, body, CALL_S + wait_s))
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -156,9 +156,8 @@
         if after is None:
             return self._listing(None)
         changes = self.store.changes(after)
-        ahead = (
-            after > self.store.revision and self.ledger.leader_store() is None
-        )  # another replica has told more
+        # Another replica has told more.
+        ahead = after > self.store.revision and self.ledger.leader_store() is None
         if ahead and not wait_ms:
             return self.later("not as far as that yet")
         if not ahead and (changes or changes is None or not wait_ms):
