--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -168,7 +168,7 @@
 
     def __init__(self) -> None:
         self.got: list[HttpResponse] = []
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def answer(self, answer: HttpResponse) -> None:
         self.got.append(answer)
@@ -180,7 +180,7 @@
         watch = HttpRequest("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
         stubs = [Stub() for _ in range(50)]
         assert all(service.registry.handle(watch, stub) is None for stub in stubs)
-        stubs[0].gone()
+        stubs[0].on_disconnect()
         assert len(service.registry._watches) == 49
         await service.register("s-2")
         assert not stubs[0].got and not service.registry._watches
@@ -542,7 +542,7 @@
             raise NoAnswerError("silence")
         return answer
 
-    def rest_s(self) -> float:
+    def backoff_s(self) -> float:
         return 0.25
 
     def between(self, least: float, most: float) -> float:
