--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -20,11 +20,11 @@
 
 from plumwall.emulator.process import kill, raise_descriptors, spawn_module
 from plumwall.faults.machines import HOST, Machines, hindered
-from yewstage.holding.kinds import LIST, group_of
-from yewstage.registry.client import Client, Told
+from yewstage.holding.group_names import LIST_GROUP, group_of
+from yewstage.registry.client import ServiceClient, ServiceReply
 
 
-async def until_done(client: Client, method: str, path: str, body: dict[str, object]) -> Told:
+async def until_done(client: ServiceClient, method: str, path: str, body: dict[str, object]) -> ServiceReply:
     """One write, asked again while no leader says yes: that time counts, too."""
     while (told := await client.call(method, path, body)).status == 503:
         await asyncio.sleep(0.02)
@@ -32,18 +32,22 @@
     return told
 
 
-async def writes(clients: list[Client], seconds: float, first: int = 0) -> tuple[float, list[float]]:
+async def writes(clients: list[ServiceClient], seconds: float, first: int = 0) -> tuple[float, list[float]]:
     """Writes a second, and what each took, ms; lives are numbered behind `first`, for no life goes back."""
     took: list[float] = []
     until = time.perf_counter() + seconds
 
-    async def one(client: Client, writer: int) -> None:
+    async def one(client: ServiceClient, writer: int) -> None:
         number = first
         while time.perf_counter() < until:
             number += 1
             began = time.perf_counter()
-            await until_done(client, "PUT", f"/v1/endpoints/w{writer}", {
-                "hostPort": f"{HOST}:1", "ttlMs": 60000, "startedAtMs": number})
+            await until_done(
+                client,
+                "PUT",
+                f"/v1/endpoints/w{writer}",
+                {"hostPort": f"{HOST}:1", "ttlMs": 60000, "startedAtMs": number},
+            )
             took.append((time.perf_counter() - began) * 1000)
 
     began = time.perf_counter()
@@ -60,24 +64,31 @@
 async def alone(folder: Path, options: argparse.Namespace) -> None:
     """The list service as one process."""
     config = folder / "registry.json"
-    config.write_text(json.dumps({"listen": f"{HOST}:0", "ops": f"{HOST}:0", "folder": str(folder / "alone"),
-                                  "settle_ms": 0}))
-    process = await spawn_module(*hindered("yewstage.registry", options.sync_ms), "--config", str(config),
-                                 stderr=asyncio.subprocess.PIPE)
+    config.write_text(
+        json.dumps(
+            {"listen": f"{HOST}:0", "ops": f"{HOST}:0", "folder": str(folder / "alone"), "settle_ms": 0}
+        )
+    )
+    process = await spawn_module(
+        *hindered("yewstage.registry", options.sync_ms),
+        "--config",
+        str(config),
+        stderr=asyncio.subprocess.PIPE,
+    )
     while "listening on" not in (line := (await process.stderr.readline()).decode()):
         assert line, "it ended at its start"
-    clients = [Client([(HOST, int(line.rsplit(":", 1)[1]))]) for _ in range(options.writers)]
+    clients = [ServiceClient([(HOST, int(line.rsplit(":", 1)[1]))]) for _ in range(options.writers)]
     say("one process", *await writes(clients, options.seconds))
     kill(process)
     await process.wait()
 
 
-async def claims(clients: list[Client], keyed: int, seconds: float) -> tuple[float, list[float]]:
+async def claims(clients: list[ServiceClient], keyed: int, seconds: float) -> tuple[float, list[float]]:
     """Claims of new keys a second, each writer in one group, and what each took, ms."""
     took: list[float] = []
     until = time.perf_counter() + seconds
 
-    async def one(client: Client, writer: int) -> None:
+    async def one(client: ServiceClient, writer: int) -> None:
         number, mine = 0, f"keys-{1 + writer % keyed}"
         while time.perf_counter() < until:
             number += 1
@@ -98,19 +109,21 @@
     """Keys over so many groups, on nine machines."""
     async with Machines(folder, options.machines, sync_ms=options.sync_ms) as machines:
         await machines.init(machines.all, keyed)
-        await machines.whole()
+        await machines.wait_until_replicated()
         clients = [machines.client() for _ in range(options.writers)]
-        say(f"keys in {keyed} groups, {options.machines} machines",
-            *await claims(clients, keyed, options.seconds))
+        say(
+            f"keys in {keyed} groups, {options.machines} machines",
+            *await claims(clients, keyed, options.seconds),
+        )
 
 
 async def many(folder: Path, options: argparse.Namespace) -> None:
     """So many writes to one group, and what the disks hold meanwhile."""
     async with Machines(folder, 3) as machines:
         await machines.init(machines.all)
-        await machines.whole()
+        await machines.wait_until_replicated()
         leader = await machines.leader()
-        clients = [Client([(HOST, leader.listen)]) for _ in range(options.writers)]
+        clients = [ServiceClient([(HOST, leader.listen)]) for _ in range(options.writers)]
         most = [0]
 
         async def look() -> None:
@@ -124,40 +137,42 @@
             done += len((await writes(clients, 5.0, done))[1])
         took_s = time.perf_counter() - began
         looking.cancel()
-        status = await machines.whole()
-        print(f"{done:,} writes of {options.writers} servers' records in {took_s:.0f} s, index "
-              f"{status[LIST]['commit']:,}: at the most {most[0]:,} bytes on a disk")
+        status = await machines.wait_until_replicated()
+        print(
+            f"{done:,} writes of {options.writers} servers' records in {took_s:.0f} s, index "
+            f"{status[LIST_GROUP]['commit']:,}: at the most {most[0]:,} bytes on a disk"
+        )
 
 
 async def copied(folder: Path, options: argparse.Namespace) -> None:
     """Three replicas."""
     async with Machines(folder, 3, sync_ms=options.sync_ms) as machines:
         await machines.init(machines.all)
-        await machines.whole()
+        await machines.wait_until_replicated()
         leader = await machines.leader()
-        clients = [Client([(HOST, leader.listen)]) for _ in range(options.writers)]
+        clients = [ServiceClient([(HOST, leader.listen)]) for _ in range(options.writers)]
         say("three replicas", *await writes(clients, options.seconds))
-        here = (await machines.status(leader))["groups"][LIST]
+        here = (await machines.status(leader))["groups"][LIST_GROUP]
         print(f"{'bytes on disk of the leader':28} {here['diskBytes']:,} after index {here['commit']:,}")
         if options.watches:
             await watched(machines, clients[0], options.watches)
 
 
-async def watched(machines: Machines, writer: Client, count: int) -> None:
+async def watched(machines: Machines, writer: ServiceClient, count: int) -> None:
     """How long until the last of many watches, spread over all replicas, is told of a write."""
     told = await writer.call("PUT", "/v1/endpoints/watched", {"hostPort": f"{HOST}:1", "ttlMs": 60000})
     path = f"/v1/endpoints?after={told.body['revision']}&wait_ms=60000"
-    clients = [Client([(HOST, machines.all[i % 3].listen)]) for i in range(count)]
+    clients = [ServiceClient([(HOST, machines.all[i % 3].listen)]) for i in range(count)]
     at: list[float] = []
 
-    async def one(client: Client) -> None:
+    async def one(client: ServiceClient) -> None:
         told = await client.call("GET", path, None, 60.0)
         assert told.status == 200 and told.body["instances"], told
         at.append(time.perf_counter())
 
     tasks: list[asyncio.Task] = []
     for first in range(0, count, 300):  # not all dials at once
-        tasks += [asyncio.create_task(one(client)) for client in clients[first:first + 300]]
+        tasks += [asyncio.create_task(one(client)) for client in clients[first : first + 300]]
         while sum([await _held(machine.ops) for machine in machines.all]) < len(tasks):
             await asyncio.sleep(0.05)
             for task in tasks:
@@ -168,8 +183,10 @@
     answered = time.perf_counter()
     await asyncio.gather(*tasks)
     write, last, half = ((t - began) * 1000 for t in (answered, max(at), float(np.median(at))))
-    print(f"{count} watches over three: the write took {write:.1f} ms, the last was told {last:.0f} ms after "
-          f"it began, half {half:.0f} ms")
+    print(
+        f"{count} watches over three: the write took {write:.1f} ms, the last was told {last:.0f} ms after "
+        f"it began, half {half:.0f} ms"
+    )
 
 
 async def _held(ops: int) -> float:
--- a/plumwall/cli/limits.py
+++ b/plumwall/cli/limits.py
@@ -7,7 +7,7 @@
 from plumwall.cli.console import as_json, fields
 from plumwall.cli.servers import ask, at_option
 from yewstage.net.config import Address
-from yewstage.policy import account
+from yewstage.policy import quota_account_name
 
 
 @click.command()
@@ -17,9 +17,7 @@
 @click.option("--gateways", type=click.IntRange(1), default=1, show_default=True, help="How many there are.")
 @click.option("--floor", type=click.FloatRange(0), default=0.0, show_default=True, help="Of a bounded plan.")
 @as_json
-def limits(
-    customer: str, plan: str, at: list[Address], gateways: int, floor: float, json_: bool
-) -> None:
+def limits(customer: str, plan: str, at: list[Address], gateways: int, floor: float, json_: bool) -> None:
     """Show what gateways were granted of a CUSTOMER's quota, by the holding that grants it.
 
     In `strict` (no floor) no more is ever spent than the quota gives; in `bounded` at most
@@ -29,7 +27,7 @@
     Example:
       plumwall limits 00000000000000aa --plan basic --at 127.0.0.1:8501,127.0.0.1:8502
     """
-    name = account(plan, customer)
+    name = quota_account_name(plan, customer)
     told = ask(at, "POST", f"/v1/shares/{name}/show", {}, quiet=json_)["account"]
     shares = told["granted"] if told else []
     fields(
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Mapping
 
 from plumwall import records as r
-from plumwall.emulator.clients import LOOK_S, between_luck
+from plumwall.emulator.clients import HEALTH_POLL_S, interpolate
 from plumwall.emulator.identity import request_id
 from plumwall.emulator.tally import Tally
 from plumwall.simulate.clock import Clock, Timer
 from plumwall.simulate.gateway import SimGateway
 from plumwall.simulate.hosts import HOP_MS
-from plumwall.world.drawn import Change, Drawn, FirstTry, between
+from plumwall.world.generator import FaultEvent, FirstTry, GeneratedWorld, draw_between
 
 
 class Pending:
@@ -19,8 +19,9 @@
 
     __slots__ = ("front", "first", "number", "id", "gateway", "due", "timer", "over", "late")
 
-    def __init__(self, front: Front, first: FirstTry, number: int, rid: str, gateway: str, due: float
-                 ) -> None:
+    def __init__(
+        self, front: Front, first: FirstTry, number: int, rid: str, gateway: str, due: float
+    ) -> None:
         self.front, self.first, self.number, self.id = front, first, number, rid
         self.gateway, self.due = gateway, due
         self.over = self.late = False
@@ -38,8 +39,14 @@
 class Front:
     """Sends each try when it is due to one of its customer's gateways, and retries as clients do."""
 
-    def __init__(self, drawn: Drawn, clock: Clock, write: Callable[[r.Record], None],
-                 gateways: Mapping[str, SimGateway], overdue_ms: float) -> None:
+    def __init__(
+        self,
+        drawn: GeneratedWorld,
+        clock: Clock,
+        write: Callable[[r.Record], None],
+        gateways: Mapping[str, SimGateway],
+        overdue_ms: float,
+    ) -> None:
         self.drawn, self._clock, self._write = drawn, clock, write
         self._gateways, self._overdue_ms = gateways, overdue_ms
         self._names = [g.name for g in drawn.gateways]
@@ -47,7 +54,9 @@
         self.tally = Tally(
             [c.name for c in drawn.scenario.classes], [drawn.plans[c.plan].name for c in drawn.customers]
         )
-        self._notice_ms = between(drawn.dice.stream("notice"), drawn.scenario.clients.notice_s) * 1000
+        self._notice_ms = (
+            draw_between(drawn.random_streams.stream("notice"), drawn.scenario.clients.notice_s) * 1000
+        )
         self.left = len(drawn.tries)  # tries that are on their way or to come
 
     def begin(self) -> None:
@@ -62,7 +71,7 @@
         if following is not None:
             self._clock.at(following.due_ms, self._next, tries, following)
 
-    def change(self, change: Change) -> None:
+    def change(self, change: FaultEvent) -> None:
         """The front finds out late that a gateway is gone, and by its word that it is back."""
         if change.kind in ("gateway_kill", "gateway_restart"):
             self._clock.after(self._notice_ms, self._look, change.target)
@@ -70,7 +79,7 @@
     def _look(self, name: str) -> None:
         self._up[name] = self._gateways[name].up
         if not self._up[name]:
-            self._clock.after(LOOK_S * 1000, self._look, name)
+            self._clock.after(HEALTH_POLL_S * 1000, self._look, name)
 
     # --- Sending ------------------------------------------------------------------------------------------
 
@@ -80,8 +89,7 @@
         if not self._up[names[gateway]]:  # another of its set, the next one round
             ring = [(gateway + step) % len(names) for step in range(1, len(names))]
             ring = [
-                g for g in ring
-                if (g - customer.first) % len(names) < customer.width and self._up[names[g]]
+                g for g in ring if (g - customer.first) % len(names) < customer.width and self._up[names[g]]
             ]
             gateway = ring[0] if ring else gateway
         rid = request_id(first.index, number, gateway, self.drawn.seed)
@@ -103,9 +111,14 @@
         target.request(
             pending,
             {
-                "rid": rid, "left_ms": float(f"{left:.0f}"), "cls": cls.name,
-                "plan": self.drawn.plans[customer.plan].name, "customer": customer.id,
-                "units": float(first.guess), "width": customer.width, "first": customer.first,
+                "rid": rid,
+                "left_ms": float(f"{left:.0f}"),
+                "cls": cls.name,
+                "plan": self.drawn.plans[customer.plan].name,
+                "customer": customer.id,
+                "units": float(first.guess),
+                "width": customer.width,
+                "first": customer.first,
                 "repeat": number > 0,
             },
         )
@@ -146,7 +159,7 @@
         if pending.number >= clients.retries or not (refused or cls.effect != "unsafe"):
             return
         luck = first.backoff_luck[pending.number]
-        backoff = between_luck(clients.backoff_ms, luck) * 2**pending.number
+        backoff = interpolate(clients.backoff_ms, luck) * 2**pending.number
         wait = max(backoff, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
         at = self._clock.now + wait
         if at < first.due_ms + cls.deadline_ms:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from conftest import LOOP, Driver, Rig, instance, message, of, on_loop, read_message, reply
 
 from yewstage import interface as api
-from yewstage.net.hosts import Attempt, Hosts
+from yewstage.net.attempts import Attempt, AttemptRunner
 from yewstage.net.http1 import Reply
 
 BIG = bytes(range(256)) * 4096 * 3  # 3 MB, more than all buffers on the way hold
@@ -26,7 +26,7 @@
 
 
 def in_chunks(data: bytes, size: int = 50_000, last: bytes = b"0\r\n\r\n") -> bytes:
-    parts = [data[i:i + size] for i in range(0, len(data), size)]
+    parts = [data[i : i + size] for i in range(0, len(data), size)]
     return b"".join(b"%x;ext=1\r\n%b\r\n" % (len(p), p) for p in parts) + last
 
 
@@ -90,17 +90,19 @@
                 else:
                     data = message("put", body=BIG)
                 for i in range(0, len(data), piece):
-                    writer.write(data[i:i + piece])
+                    writer.write(data[i : i + piece])
                     await writer.drain()
                 answer = await read_message(reader, writer)
                 assert answer.body.decode() == f"{len(BIG)} {digest(BIG)}"
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures["gateway_relayed_total"] == 2 and figures["gateway_open_requests"] == 0
+
     on_loop(scenario)
 
 
 def test_a_long_body_waits_for_a_host_that_reads_slowly(tmp_path: Path) -> None:
     """What has not been read yet stays with the client: the gateway holds a few buffers of it."""
+
     async def scenario() -> None:
         go = asyncio.Event()
 
@@ -120,6 +122,7 @@
             assert left > len(many) / 2
             go.set()
             assert (await read_message(reader, writer)).body.decode() == digest(many)
+
     on_loop(scenario)
 
 
@@ -151,9 +154,10 @@
                 assert head.startswith(b"HTTP/1.1 200") and b"close" not in head
                 assert await body_of(head, reader) == BIG
             assert rig.connections == (2 if how == "close" else 1)
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 2
             assert figures["gateway_open_requests"] == 0
+
     on_loop(scenario)
 
 
@@ -177,6 +181,7 @@
             assert left > len(BIG) * 4
             writer.transport.resume_reading()
             assert await body_of(await reader.readuntil(b"\r\n\r\n"), reader) == BIG * 8
+
     on_loop(scenario)
 
 
@@ -187,6 +192,7 @@
 
 def test_many_long_bodies_at_once_take_a_few_buffers_each(tmp_path: Path) -> None:
     """25 answers and 25 requests of 6 MB each, none of them read further: 300 MB if they were kept."""
+
     async def scenario() -> None:
         begun: list[asyncio.StreamWriter] = []
 
@@ -216,6 +222,7 @@
             assert resident_mb(rig.process.pid) - before < 50
             for _, writer in clients:
                 writer.transport.abort()
+
     on_loop(scenario)
 
 
@@ -234,7 +241,8 @@
             with pytest.raises((asyncio.IncompleteReadError, ValueError)):
                 await body_of(head, reader)
             assert rig.connections == 1  # what has begun is not tried again
-            assert (await rig.figures())['gateway_faulted_total{priority="read"}'] == 1
+            assert (await rig.metrics())['gateway_faulted_total{priority="read"}'] == 1
+
     on_loop(scenario)
 
 
@@ -256,6 +264,7 @@
             assert await reader.readexactly(7) == b"first\r\n"
             end.set()
             assert await body_of(head, reader) == b" last"
+
     on_loop(scenario)
 
 
@@ -268,13 +277,16 @@
 
         async with Scripted(tmp_path, fails) as rig:
             assert await rig.status(message("pay", key=False)) == 503
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("answer", "status"), [
-    (reply(b"", 503, b"X-Not-Run: 1\r\n"), 503), (b"", 503), (reply(b"", 500), 502)])
+@pytest.mark.parametrize(
+    ("answer", "status"), [(reply(b"", 503, b"X-Not-Run: 1\r\n"), 503), (b"", 503), (reply(b"", 500), 502)]
+)
 def test_a_body_that_is_gone_is_not_sent_again(tmp_path: Path, answer: bytes, status: int) -> None:
     """The host answers, or breaks, in the middle of it; the client gets its answer, once, and may send on."""
+
     async def scenario() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -291,6 +303,7 @@
             await writer.drain()
             assert await reader.read() == b""
             assert rig.connections == 1
+
     on_loop(scenario)
 
 
@@ -311,6 +324,7 @@
                 await asyncio.sleep(0.01)
             writer.transport.abort()
             await gone.wait()
+
     on_loop(scenario)
 
 
@@ -326,6 +340,7 @@
             writer.write(data[-size:])
             answer = await read_message(reader, writer)
             assert answer.body.decode() == f"{size} {digest(b'x' * size)}"
+
     on_loop(scenario)
 
 
@@ -346,6 +361,7 @@
                     assert await reader.read() == b""  # and nothing behind the answer
                 writer.transport.abort()
             assert b"503" in lines
+
     on_loop(scenario)
 
 
@@ -356,11 +372,12 @@
             offer = "Connection: Upgrade\r\nUpgrade: h2c\r\n"
             for size in (0, 5, 200_000):
                 data = message("put", body=b"y" * size, more=offer) + message()
-                for half in (data[:len(data) // 2], data[len(data) // 2:]):
+                for half in (data[: len(data) // 2], data[len(data) // 2 :]):
                     writer.write(half)
                     await writer.drain()
                 assert (await read_message(reader, writer)).body.decode() == f"{size} {digest(b'y' * size)}"
                 assert (await read_message(reader, writer)).body.decode() == f"0 {digest(b'')}"
+
     on_loop(scenario)
 
 
@@ -370,6 +387,7 @@
             data = message("put", drop="Content-Length", more=CHUNKED)
             data += in_chunks(b"abc", last=b"0\r\nX-Class: pay\r\nX-Request-Id: other\r\n\r\n")
             assert await rig.status(data) == 200
+
     on_loop(scenario)
 
 
@@ -381,30 +399,33 @@
             slow.write(data[:100_000])  # and no more
             reader, writer = await rig.connect()
             for i in range(0, len(data), 20_000):
-                writer.write(data[i:i + 20_000])
+                writer.write(data[i : i + 20_000])
                 await asyncio.sleep(0.25)
             assert int((await read_message(reader, writer)).line.split()[1]) == 200
             assert (await slow_reader.readline()).split()[1] == b"408"
+
     on_loop(scenario)
 
 
 def test_the_module_sends_a_body_that_is_not_kept_once() -> None:
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     out = d.give(api.Request("r", "read", "open", "c", 4000, 1, 3, 0, False, False))
     (send,) = of(out, api.Send)
     assert not of(d.give(api.Outcome("r", 0, send.server, api.CONNECT_FAILED, 5, False)), api.Send)
     assert any(isinstance(a, api.Refuse) and a.request == "r" for _, a in d.log)
 
 
-@pytest.mark.parametrize("result", [api.CONNECT_FAILED, api.MOOT])
+@pytest.mark.parametrize("result", [api.CONNECT_FAILED, api.START_EXPIRED])
 def test_the_module_sends_a_long_body_elsewhere_while_none_of_it_has_left(result: str) -> None:
     d = Driver()
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
     first = of([act for _, act in d.log], api.Send)[0]
-    (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, unbegun=True)), api.Send)
-    assert second.server != first.server and d.gateway.held["u"].loading
+    (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send)
+    assert second.server != first.server and d.gateway.open_requests["u"].loading
     (refused,) = of(d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse)
-    assert refused.request == "u" and not d.gateway.held and d.gateway.uses["c"].loading == 0
+    assert (
+        refused.request == "u" and not d.gateway.open_requests and d.gateway.customer_quotas["c"].loading == 0
+    )
 
 
 def test_a_long_body_whose_dial_failed_reaches_a_second_server_whole(tmp_path: Path) -> None:
@@ -417,44 +438,45 @@
                 rid = b"body-%d" % n
                 assert await rig.status(message("put", body=body, rid=rid)) == 200
             assert [seen.body for seen in here.seen] == [body] * 8 and not gone.seen
-            assert (await rig.figures())['gateway_dials_total{result="failed"}'] >= 1
+            assert (await rig.metrics())['gateway_dials_total{result="failed"}'] >= 1
+
     on_loop(scenario)
 
 
 def test_what_is_on_its_way_stays_out_of_the_ceilings_store() -> None:
     """The store is asked for them once they are whole: until then our part must not fill up behind them."""
-    d = Driver(may_count=False)
+    d = Driver(counter_enabled=False)
     d.sweep(100)  # 10 s: full, 20 units
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
         assert of(d.give(upload), api.Send)
-    d.gateway.uses["c"].left = 1e6  # the quota is not what is looked at
+    d.gateway.customer_quotas["c"].left = 1e6  # the quota is not what is looked at
     d.sweep(100)
-    assert d.gateway.uses["c"].loading == 10
-    d.gateway._ceiling_has(d.gateway.uses["c"], 0)
-    assert d.gateway.uses["c"].ceiling == 10  # with the 10 on their way, the store's 20
+    assert d.gateway.customer_quotas["c"].loading == 10
+    d.gateway._ceiling_has(d.gateway.customer_quotas["c"], 0)
+    assert d.gateway.customer_quotas["c"].ceiling == 10  # with the 10 on their way, the store's 20
     d.give(api.Uploaded("u0"))
-    assert d.gateway.uses["c"].loading == 9
+    assert d.gateway.customer_quotas["c"].loading == 9
 
 
 def test_a_started_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     assert host.open == 1
     d.give(api.StreamStarted(rid, 0))
     assert host.open == 0
     assert not of(d.end(rid, api.RESET), api.Send)  # nor is it tried again
-    assert host.open == 0 and not d.gateway.held
+    assert host.open == 0 and not d.gateway.open_requests
 
 
 def test_a_body_on_its_way_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
-    host = d.gateway.hosts["h0"]
+    host = d.gateway.servers["h0"]
     assert host.open == 0
     d.give(api.Uploaded("u"), 3000)
-    assert host.open == 1 and d.gateway.held["u"].attempts[0].sent == d.now
+    assert host.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
     d.give(api.Outcome("u", 0, "h0", api.OK, 20, True))
     assert host.open == 0
 
@@ -466,7 +488,7 @@
     assert (d.gateway.done, d.gateway.q_n) == (1, 1)
     d.give(api.Outcome(rid, 0, "h0", api.OK, 40, True), 9000)
     assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # once
-    assert not d.gateway.held
+    assert not d.gateway.open_requests
 
 
 def test_the_time_that_a_host_needed_ends_with_its_answers_head(tmp_path: Path) -> None:
@@ -481,7 +503,7 @@
 
         server = await asyncio.start_server(drips, LOOP, 0)
         owner = Owner()
-        hosts = Hosts(asyncio.get_running_loop(), 8, 250, 15000, owner)
+        hosts = AttemptRunner(asyncio.get_running_loop(), 8, 250, 15000, owner)
         hosts.pool.update({"s": server.sockets[0].getsockname()}, set())
         attempt = Attempt("r", 0, "s", b"GET / HTTP/1.1\r\n\r\n", time.monotonic())
         hosts.send(attempt, 60)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,7 +18,16 @@
 CLASSES = {c.name: c for c in (SAFE, SHORT, UNSAFE)}
 CAP = api.Plan("cap", parallel=6)
 PLANS = (PLAN, CAPPED, OPEN, CAP)
-RESULTS = [api.OK, api.ERROR, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED, api.RESET, api.CANCELLED, api.MOOT]
+RESULTS = [
+    api.OK,
+    api.ERROR,
+    api.FULL,
+    api.TIMED_OUT,
+    api.CONNECT_FAILED,
+    api.RESET,
+    api.CANCELLED,
+    api.START_EXPIRED,
+]
 
 
 @dataclasses.dataclass
@@ -61,8 +70,13 @@
 
     def settings(self, **changes: object) -> api.Settings:
         changes.setdefault("classes", tuple(CLASSES.values()))
-        return settings(plans=PLANS, second_copies=self.copies, cancel=self.cancel, record=self.record,
-                        **changes)
+        return settings(
+            plans=PLANS,
+            second_copies=self.copies,
+            cancel=self.cancel,
+            uses_claim_record=self.record,
+            **changes,
+        )
 
     # What the module is told, and what it does
 
@@ -80,7 +94,7 @@
                 risky = [out for out in asked.attempts if out.ran]
                 assert not risky or asked.cls != "pay", "what may not be repeated was"
                 if risky and asked.cls == "put":
-                    assert 0 <= act.start_ms <= SHORT.window_ms - (self.now - risky[0].sent)
+                    assert 0 <= act.start_deadline_ms <= SHORT.window_ms - (self.now - risky[0].sent)
                 asked.attempts.append(Out(act.server, self.now))
             case api.Refuse():
                 asked = self.end(act.request)
@@ -99,8 +113,9 @@
         return asked
 
     def out(self) -> list[tuple[str, int]]:
-        return [(rid, n) for rid, asked in self.asked.items()
-                for n, out in enumerate(asked.attempts) if out.open]
+        return [
+            (rid, n) for rid, asked in self.asked.items() for n, out in enumerate(asked.attempts) if out.open
+        ]
 
     # Events, in any order
 
@@ -113,14 +128,32 @@
         self.now += 100
         self.give(api.TimerDue("sweep"))
 
-    @rule(cls=st.sampled_from(sorted(CLASSES)), plan=st.sampled_from(PLANS), customer=st.sampled_from("ab"),
-          left=st.sampled_from([4.0, 400.0, 4000.0]), units=st.sampled_from([1.0, 3.0]), kept=st.booleans())
+    @rule(
+        cls=st.sampled_from(sorted(CLASSES)),
+        plan=st.sampled_from(PLANS),
+        customer=st.sampled_from("ab"),
+        left=st.sampled_from([4.0, 400.0, 4000.0]),
+        units=st.sampled_from([1.0, 3.0]),
+        kept=st.booleans(),
+    )
     def request(self, cls: str, plan: api.Plan, customer: str, left: float, units: float, kept: bool) -> None:
         self.serial += 1
         rid = f"r{self.serial}"
         self.asked[rid] = Asked(cls, kept)
-        self.give(api.Request(rid, cls, plan.name, customer + plan.name, left, units, 2, 0, kept=kept,
-                              cls=CLASSES[cls]))
+        self.give(
+            api.Request(
+                rid,
+                cls,
+                plan.name,
+                customer + plan.name,
+                left,
+                units,
+                2,
+                0,
+                body_is_buffered=kept,
+                cls=CLASSES[cls],
+            )
+        )
 
     @precondition(lambda self: any(asked.state != "left" for asked in self.asked.values()))
     @rule(data=st.data())
@@ -140,8 +173,18 @@
         out.open, out.ran = False, result not in api.NEVER_RAN
         if asked.owed() and result == api.OK or asked.state == "streaming":
             asked.state = "answered"
-        self.give(api.Outcome(rid, n, out.server, result, self.now - out.sent, not asked.owed(),
-                              true_units=2.0 if result == api.OK else 0.0, unbegun=unbegun))
+        self.give(
+            api.Outcome(
+                rid,
+                n,
+                out.server,
+                result,
+                self.now - out.sent,
+                not asked.owed(),
+                billed_units=2.0 if result == api.OK else 0.0,
+                nothing_sent=unbegun,
+            )
+        )
 
     @precondition(lambda self: self.out())
     @rule(data=st.data())
@@ -159,8 +202,10 @@
             self.give(api.Uploaded(rid))
 
     @precondition(lambda self: self.counts)
-    @rule(result=st.sampled_from([api.OK, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED]),
-          total=st.sampled_from([0.0, 5.0, 500.0]))
+    @rule(
+        result=st.sampled_from([api.OK, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED]),
+        total=st.sampled_from([0.0, 5.0, 500.0]),
+    )
     def counted(self, result: str, total: float) -> None:
         self.give(api.CountReply(self.counts.pop(0), result, total))
 
@@ -187,7 +232,7 @@
 
     @rule(size=st.sampled_from([2, 3, 40]), tries=st.sampled_from([1, 4]), aim=st.sampled_from([300.0, 1e3]))
     def sighup(self, size: int, tries: int, aim: float) -> None:
-        classes = (dataclasses.replace(SAFE, aim_ms=aim), SHORT, UNSAFE)
+        classes = (dataclasses.replace(SAFE, objective_ms=aim), SHORT, UNSAFE)
         self.give(api.Retuned(self.settings(fleet_size=size, try_limit=tries, classes=classes)))
 
     @precondition(lambda self: not self.handed)
@@ -201,10 +246,12 @@
     def nothing_leaks(self) -> None:
         gateway = self.gateway
         out = {rid for rid, _ in self.out()}
-        assert all(rid in out or rid in self.claims for rid in gateway.held), "held though it is over"
-        for host in gateway.hosts.values():
+        assert all(rid in out or rid in self.claims for rid in gateway.open_requests), (
+            "held though it is over"
+        )
+        for host in gateway.servers.values():
             assert host.open >= 0
-        for use in gateway.uses.values():
+        for use in gateway.customer_quotas.values():
             assert use.open >= 0 and use.loading >= -1e-9
 
     def teardown(self) -> None:
@@ -221,14 +268,15 @@
             self.give(api.TimerDue("sweep"))
         assert not self.out(), "begun though time was up"
         owed = [rid for rid, asked in self.asked.items() if asked.owed()]
-        assert not owed and not self.gateway.held and not self.gateway.asking
-        for use in self.gateway.uses.values():
+        assert not owed and not self.gateway.open_requests and not self.gateway.asking
+        for use in self.gateway.customer_quotas.values():
             assert use.open == 0 and not use.asking and abs(use.loading) < 1e-9
-        assert all(host.open == 0 for host in self.gateway.hosts.values())
+        assert all(host.open == 0 for host in self.gateway.servers.values())
 
 
-@pytest.mark.parametrize("how", [{}, {"copies": True}, {"cancel": False}, {"copies": True, "cancel": False},
-                                 {"record": True}])
+@pytest.mark.parametrize(
+    "how", [{}, {"copies": True}, {"cancel": False}, {"copies": True, "cancel": False}, {"record": True}]
+)
 def test_no_order_of_events_loses_repeats_or_leaks_a_request(how: dict) -> None:
     case = type("Crossing", (Crossings,), how).TestCase
     case.settings = hypothesis_settings(max_examples=120, stateful_step_count=40, deadline=None)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -26,7 +26,7 @@
 def test_figures_count_what_clients_saw(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, behave) as rig:
-            figures = await rig.figures()
+            figures = await rig.metrics()
             for kind in ("fulfilled", "throttled", "faulted"):
                 for name in ("read", "put", "pay"):
                     assert figures[f'gateway_{kind}_total{{priority="{name}"}}'] == 0
@@ -38,7 +38,7 @@
             reader, writer = await rig.connect()
             writer.write(message("put"))
             await rig.hosts[0].until(lambda fake: any("idempotency-key" in s.headers for s in fake.seen))
-            figures = await rig.figures()
+            figures = await rig.metrics()
             assert figures['gateway_fulfilled_total{priority="read"}'] == 3 + small.count(200)
             assert figures['gateway_throttled_total{priority="read"}'] == small.count(503) > 0
             assert figures['gateway_refusals_total{reason="quota"}'] == small.count(503)
@@ -47,17 +47,23 @@
             assert figures["gateway_relayed_total"] == len(rig.hosts[0].seen)
             assert figures["gateway_open_requests"] == 1
             writer.close()
-            while (await rig.figures())["gateway_open_requests"]:
+            while (await rig.metrics())["gateway_open_requests"]:
                 await asyncio.sleep(0.01)
+
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("call", "status"), [
-    (b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", 200), (b"GET /ops/stats?x=1 HTTP/1.1\r\n\r\n", 200),
-    (b"GET /ops/nothing HTTP/1.1\r\n\r\n", 404),
-    (b"POST /ops/stats HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405), (b"nonsense\r\n\r\n", 400),
-    (b"GET /ops/stats HTTP/1.1\r\nX: " + b"x" * 20000, 400),
-])
+@pytest.mark.parametrize(
+    ("call", "status"),
+    [
+        (b"GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n", 200),
+        (b"GET /ops/stats?x=1 HTTP/1.1\r\n\r\n", 200),
+        (b"GET /ops/nothing HTTP/1.1\r\n\r\n", 404),
+        (b"POST /ops/stats HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405),
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /ops/stats HTTP/1.1\r\nX: " + b"x" * 20000, 400),
+    ],
+)
 def test_a_call_has_one_answer_and_ends(tmp_path: Path, call: bytes, status: int) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, behave) as rig:
@@ -67,6 +73,7 @@
             with contextlib.suppress(ConnectionResetError):
                 assert await reader.read() == b""
             writer.close()
+
     on_loop(scenario)
 
 
@@ -84,6 +91,7 @@
         for _, other in [*stalled, (reader, writer)]:
             other.close()
         ops.stop()
+
     on_loop(scenario, 4)  # less than CALL_S, so the place came from giving way
 
 
--- a/yewstage/log.py
+++ b/yewstage/log.py
@@ -27,14 +27,14 @@
         return self.text.format_map(self.fields)
 
 
-class Several(list):
+class JoinedList(list):
     """A field of several things; in a text they stand with the template's separator between them."""
 
     def __format__(self, separator: str) -> str:
         return separator.join(map(str, self)) or "none"
 
 
-def at(name: str, text: str, address: tuple[str, int]) -> Event:
+def address_event(name: str, text: str, address: tuple[str, int]) -> Event:
     """That something can be reached at an address."""
     return Event(name, text + " {host}:{port}", host=address[0], port=address[1])
 
@@ -58,7 +58,7 @@
         return self._lines <= self._most
 
 
-def set_up(name: str, style: str, who: Mapping[str, str], lines_per_s: int | None = None) -> None:
+def configure_logging(name: str, style: str, who: Mapping[str, str], lines_per_s: int | None = None) -> None:
     """Log to standard error; `who` are the fields that every JSON line carries, `name` is for texts."""
     handler = logging.StreamHandler(sys.stderr)
     if style == JSON:
@@ -76,11 +76,18 @@
     class Lines(JsonFormatter):
         """Time, level, who, event, its fields, and the text that people would read."""
 
-        def add_fields(self, log_data: dict[str, object], record: logging.LogRecord,
-                       message_dict: dict[str, object]) -> None:
+        def add_fields(
+            self, log_data: dict[str, object], record: logging.LogRecord, message_dict: dict[str, object]
+        ) -> None:
             event = record.msg if isinstance(record.msg, Event) else Event("log", "")
-            log_data |= {"time": _utc(record.created), "level": record.levelname.lower(), **who,
-                         "event": event.name, **event.fields, "message": record.message}
+            log_data |= {
+                "time": _utc(record.created),
+                "level": record.levelname.lower(),
+                **who,
+                "event": event.name,
+                **event.fields,
+                "message": record.message,
+            }
             if record.exc_info:
                 log_data["exception"] = self.formatException(record.exc_info)
 
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -18,8 +18,8 @@
 
 from yewstage import interface as api
 from yewstage.log import Event
-from yewstage.net.core import Core, Order
-from yewstage.net.http1 import LONGEST_BODY, Upload, narrow
+from yewstage.net.core import ClientRequest, Core
+from yewstage.net.http1 import LONGEST_BODY, Upload, limit_socket_buffer
 from yewstage.net.pool import Source
 
 log = logging.getLogger(__name__)
@@ -44,13 +44,33 @@
 ACCEPT_PAUSE_S = 0.05
 TELL_S = 5.0  # spacing of the log's word that there is no room
 
-REASONS = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 408: b"Request Timeout",
-           413: b"Content Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-           503: b"Service Unavailable", 504: b"Gateway Timeout"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    408: b"Request Timeout",
+    413: b"Content Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 LINES = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
-WANTED = frozenset((b"x-request-id", b"x-class", b"plan", b"x-deadline", b"quota-info", b"x-retry",
-                    b"idempotency-key", b"content-length", b"content-type", b"expect",
-                    b"transfer-encoding"))
+WANTED = frozenset(
+    (
+        b"x-request-id",
+        b"x-class",
+        b"plan",
+        b"x-deadline",
+        b"quota-info",
+        b"x-retry",
+        b"idempotency-key",
+        b"content-length",
+        b"content-type",
+        b"expect",
+        b"transfer-encoding",
+    )
+)
 WORD = re.compile(rb"[!-~]{1,128}")
 ABSOLUTE = re.compile(rb"(?i)^http://[^/?#]*(?=/)")  # a target may name its host, which is us
 CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
@@ -66,8 +86,24 @@
 class _Message:
     """One request as parsed."""
 
-    __slots__ = ("url", "headers", "body", "size", "method", "keep_alive", "twice", "head", "order", "length",
-                 "upload", "headed_at", "held_s", "whole", "expects", "version")
+    __slots__ = (
+        "url",
+        "headers",
+        "body",
+        "size",
+        "method",
+        "keep_alive",
+        "twice",
+        "head",
+        "order",
+        "length",
+        "upload",
+        "headed_at",
+        "held_s",
+        "whole",
+        "expects",
+        "version",
+    )
 
     def __init__(self) -> None:
         self.url = b""
@@ -80,7 +116,7 @@
         self.head = 0  # bytes of its headers
         self.twice = False  # a header that we go by came twice
         self.length: int | None = 0  # of its body; None: it comes in chunks
-        self.order: Order | None = None  # what is asked; None: whether we are ready
+        self.order: ClientRequest | None = None  # what is asked; None: whether we are ready
         self.upload: Upload | None = None  # the body, where it is too long to keep
         self.headed_at = 0.0  # when its head was whole; 0: it is not
         self.held_s = 0.0  # how long we have kept its client from sending
@@ -88,7 +124,7 @@
         self.expects = False  # its client waits for our word before it sends the body
 
 
-class Names:
+class ClassAndPlanNames:
     """The classes and plans that a request may name, as they stand in its headers."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -96,14 +132,14 @@
         self.plans = {p.name.encode(): p.name for p in settings.plans}
 
 
-def order(message: _Message, names: Names) -> Order:
-    """A request for `/api/` as an `Order`; BadRequestErrorError where it breaks the protocol."""
+def order(message: _Message, names: ClassAndPlanNames) -> ClientRequest:
+    """A request for `/api/` as a `ClientRequest`; BadRequestErrorError where it breaks the protocol."""
     headers = message.headers
     if message.twice:
         raise BadRequestError("a header came twice")
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
-    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2 ** 33:
+    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2**33:
         raise BadRequestError("customer")
     cls = names.classes.get(headers.get(b"x-class", b""))
     plan = names.plans.get(headers.get(b"plan", b""))
@@ -114,10 +150,20 @@
         raise BadRequestError("X-Deadline")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
     units, width, first = _quota_info(headers.get(b"quota-info", b""))
-    return Order(headers.get(b"x-request-id", b"").decode("latin-1"), cls, plan,
-                 customer.decode().lower(), time_left_ms, units, width, first,
-                 headers.get(b"x-retry") == b"1", _head(message, cls), b"",
-                 key=headers.get(b"idempotency-key", b""))
+    return ClientRequest(
+        headers.get(b"x-request-id", b"").decode("latin-1"),
+        cls,
+        plan,
+        customer.decode().lower(),
+        time_left_ms,
+        units,
+        width,
+        first,
+        headers.get(b"x-retry") == b"1",
+        _head(message, cls),
+        b"",
+        key=headers.get(b"idempotency-key", b""),
+    )
 
 
 def _framing(message: _Message) -> bytes:
@@ -163,7 +209,7 @@
 class ClientConnection(asyncio.Protocol):
     """One connection of a client: requests are taken one at a time, in order."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: ClientListener) -> None:
         self._server, self._core = server, server.core
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
@@ -178,8 +224,8 @@
         self._pumping = False
         self._crowded = self._slowed = False  # what must not be read yet: requests behind others, a body
         self._choked = self._draining = False  # by the budget; its answer is whole and not all read yet
-        self._held_in = server.core.budget.account("requests")
-        self._held_out = server.core.budget.account("answers")
+        self._held_in = server.core.budget.open_account("requests")
+        self._held_out = server.core.budget.open_account("answers")
         self._kept = 0  # of the request that is owed its answer
         self._paused_at: float | None = None  # since when we do not read
         self._blocked_at: float | None = None  # since when the client does not read its answers
@@ -221,7 +267,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
-            self._parse_on(data[upgrade.args[0]:])
+            self._parse_on(data[upgrade.args[0] :])
         except httptools.HttpParserError:
             self._spoil(400)
         if self._head > LONGEST_HEAD:
@@ -234,8 +280,11 @@
             return
         message = self._message
         if message is not None:  # its body is yet to come
-            framing = (b"Transfer-Encoding: chunked" if message.length is None
-                       else b"Content-Length: %d" % message.length)
+            framing = (
+                b"Transfer-Encoding: chunked"
+                if message.length is None
+                else b"Content-Length: %d" % message.length
+            )
             self._resuming = True
             self._parser.feed_data(b"POST / HTTP/1.1\r\n%b\r\n\r\n" % framing)
             self._resuming = False
@@ -263,7 +312,7 @@
 
     def _hold_source(self) -> None:
         if self._source is not None:
-            self._source.hold(self._blocked_at is not None or self._choked)
+            self._source.pause(self._blocked_at is not None or self._choked)
 
     def _evict(self) -> None:
         """Others need the room that this connection holds and does nothing with."""
@@ -283,7 +332,7 @@
         else:
             self._leave()
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the client has left while we do not read, where its end is not told."""
         if self._paused_at is None or self.transport.is_closing():
             return self.transport.is_closing()
@@ -307,7 +356,7 @@
         """Nothing is owed any more."""
         rid, self._open = self._open, None
         if rid is not None:
-            self._core.left(rid)
+            self._core.client_disconnected(rid)
 
     # httptools
 
@@ -381,8 +430,13 @@
     def _invite(self) -> None:
         """Ask for a body that waits for our word, once all before it is answered."""
         message = self._message
-        if (message is not None and message.expects and message.upload is None and not self._busy
-                and not self._queue):
+        if (
+            message is not None
+            and message.expects
+            and message.upload is None
+            and not self._busy
+            and not self._queue
+        ):
             message.expects = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
@@ -391,9 +445,11 @@
         if not self._core.budget.admits_long():
             self._reject(self._refused(message))
             return
-        message.upload = Upload(message.length, self._slow, self._core.budget.account("uploads"), self._evict)
+        message.upload = Upload(
+            message.length, self._slow, self._core.budget.open_account("uploads"), self._evict
+        )
         message.expects = message.headers.get(b"expect", b"").lower() == b"100-continue" and not message.size
-        narrow(self.transport, socket.SO_RCVBUF)
+        limit_socket_buffer(self.transport, socket.SO_RCVBUF)
         if message.body:
             self._core.stats.passed_up += message.size
             message.upload.feed(b"".join(message.body))
@@ -539,8 +595,9 @@
         if self._taken is not None and self._taken.upload is not None:
             self._taken.upload.detach()
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """The one answer to the request that is open."""
         self._answered()
         if self.transport.is_closing():
@@ -574,7 +631,7 @@
         if content_type:
             parts.append(b"Content-Type: %b\r\n" % content_type)
         parts.append(b"\r\n" if self._stays else b"Connection: close\r\n\r\n")
-        narrow(self.transport, socket.SO_SNDBUF)
+        limit_socket_buffer(self.transport, socket.SO_SNDBUF)
         self._held_out.begin(self._choke, self._evict)
         self._write(b"".join(parts))
         self._hold_source()
@@ -649,8 +706,11 @@
             if not self._busy and now - self.since > IDLE_S:
                 self.transport.abort()
         elif message is not None:
-            if self._paused_at is None and now > self._due(message) and (
-                    not self._busy or message is self._taken):
+            if (
+                self._paused_at is None
+                and now > self._due(message)
+                and (not self._busy or message is self._taken)
+            ):
                 self._late(message)
         elif not self._busy and now - self.since > (IDLE_S if self.served else HEAD_S) and not self.unread():
             self.transport.abort()  # what it has not read by now it will not read
@@ -697,12 +757,12 @@
             self.transport.close()
 
 
-class Server:
+class ClientListener:
     """Accepts clients while there is room for them."""
 
     def __init__(self, core: Core, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
         self.core, self.loop = core, loop
-        self.names = Names(core.settings)
+        self.names = ClassAndPlanNames(core.settings)
         self.connections: set[ClientConnection] = set()
         self.use = core.stats.descriptors.uses["clients"]
         self.longest_upload = core.longest_upload
@@ -712,9 +772,9 @@
         self._pending: set[asyncio.Task] = set()
         self._told_at = -TELL_S
 
-    def retune(self, names: Names) -> None:
+    def retune(self, names: ClassAndPlanNames) -> None:
         """Take the classes and plans of new settings; a dropped class is still taken for a while."""
-        late = Names(api.Settings(()))
+        late = ClassAndPlanNames(api.Settings(()))
         late.classes = {**self.names.classes, **names.classes}
         late.plans = names.plans
         self.names = late
@@ -725,7 +785,7 @@
         self._sockets, self.longest_upload = sockets, longest_upload
         self._resume()
 
-    def _drop(self, late: Names, names: Names) -> None:
+    def _drop(self, late: ClassAndPlanNames, names: ClassAndPlanNames) -> None:
         if self.names is late:  # else they were changed again
             self.names = names
 
@@ -809,14 +869,20 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                log.warning(Event("accept_failed", "accept failed: {error}",
-                                  error=str(errno.errorcode.get(error.errno, error))))
+                log.warning(
+                    Event(
+                        "accept_failed",
+                        "accept failed: {error}",
+                        error=str(errno.errorcode.get(error.errno, error)),
+                    )
+                )
                 self._pause()
                 self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
             accepted.setblocking(False)
             task = self.loop.create_task(
-                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted))
+                self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
+            )
             self._pending.add(task)
             task.add_done_callback(self._accepted)
         self._pause()
@@ -829,8 +895,11 @@
         bring no request, or half of one: connections that nobody uses would hold all the places.
         """
         now = self.now()
-        spare = min((c for c in self.connections if c.spare(now)), key=lambda c: (not c.served, c.heard_at),
-                    default=None)
+        spare = min(
+            (c for c in self.connections if c.spare(now)),
+            key=lambda c: (not c.served, c.heard_at),
+            default=None,
+        )
         if spare is not None:
             spare.transport.abort()
         else:
@@ -842,15 +911,26 @@
             return
         self._told_at = self.now()
         states = Counter(connection.state() for connection in self.connections)
-        log.warning(Event("clients_full", "no room for more clients: {text}", **states,
-                          text=", ".join(f"{n} {state}" for state, n in states.items())))
+        log.warning(
+            Event(
+                "clients_full",
+                "no room for more clients: {text}",
+                **states,
+                text=", ".join(f"{n} {state}" for state, n in states.items()),
+            )
+        )
 
     def _accepted(self, task: asyncio.Task) -> None:
         # Until here the connection counted twice, which may have paused the listener with room left.
         self._pending.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.warning(Event("client_gone", "a client was gone before it was taken: {error}",
-                              error=str(task.exception())))
+            log.warning(
+                Event(
+                    "client_gone",
+                    "a client was gone before it was taken: {error}",
+                    error=str(task.exception()),
+                )
+            )
         self._resume()
 
     def _sweep(self) -> None:
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -15,27 +15,27 @@
 
 from yewstage import interface as api
 from yewstage import wire
-from yewstage.log import Event, Several
-from yewstage.net.budget import Budget
+from yewstage.log import Event, JoinedList
+from yewstage.net.attempts import Attempt, AttemptRunner
+from yewstage.net.budget import MemoryBudget
 from yewstage.net.config import Config
 from yewstage.net.counter import Counter
 from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing
-from yewstage.net.hosts import Attempt, Hosts
 from yewstage.net.http1 import Reply, Upload
 from yewstage.net.pool import Source
-from yewstage.net.stats import REFUSED, Stats, Use
+from yewstage.net.stats import REFUSED, DescriptorUse, Stats
 from yewstage.policy import Gateway
 
 if TYPE_CHECKING:
-    from yewstage.net.keyed import Held, Record
-    from yewstage.net.lanes import Lanes
+    from yewstage.net.claim_record import ClaimRecord, KeyClaim
+    from yewstage.net.holding_client import HoldingClient
     from yewstage.net.shares import Shares
 
 log = logging.getLogger(__name__)
 
 UPSTREAM_SHARE = 0.3  # of the descriptors
 BODY_SHARE = 0.2  # of the memory that a fresh process has left: a byte that is held costs three to four
-LEAST_ROOM = 2 * 2 ** 20
+LEAST_ROOM = 2 * 2**20
 TRANSIT_MS = 4.0  # what a request may have spent on its way to us and its answer may on its way back
 GUARD_MS = 8.0  # the guard answers this long before the client's time is up
 MODULE_MS = 20.0  # the module is told of an end this much earlier, so that it comes first
@@ -58,11 +58,12 @@
 class Client(Protocol):
     """Who is owed an answer."""
 
-    def gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether it has left, though its connection has not told yet."""
 
-    def answer(self, status: int, body: bytes = b"", content_type: bytes = b"",
-               retry_after_ms: float = 0.0) -> None:
+    def answer(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
         """Pass the one final answer on."""
 
     def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
@@ -79,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Order:
+class ClientRequest:
     """A valid request of a client: what the module is told, and what goes on to a host."""
 
     client_id: str  # X-Request-Id, by which the log names it
@@ -89,7 +90,7 @@
     time_left_ms: float
     units: float
     width: int
-    first: int
+    first_gateway: int
     repeat: bool
     head: bytes  # request line and headers for the host, but for X-Deadline
     body: bytes
@@ -100,11 +101,23 @@
 class _Open:
     """A request until it is answered and its last attempt is over."""
 
-    __slots__ = ("id", "client", "order", "taken_at", "end_at", "guard", "attempts", "out", "taken",
-                 "streaming", "most")
-
-    def __init__(self, rid: str, client: Client, order: Order, taken_at: float, end_at: float,
-                 most: int) -> None:
+    __slots__ = (
+        "id",
+        "client",
+        "order",
+        "taken_at",
+        "end_at",
+        "guard",
+        "attempts",
+        "out",
+        "taken",
+        "streaming",
+        "most",
+    )
+
+    def __init__(
+        self, rid: str, client: Client, order: ClientRequest, taken_at: float, end_at: float, most: int
+    ) -> None:
         self.most = most  # attempts, as the settings had it when the request came
         self.id, self.order, self.taken_at, self.end_at = rid, order, taken_at, end_at
         self.client: Client | None = client  # None: answered, or gone
@@ -126,27 +139,44 @@
         self.stats = Stats(c.name for c in config.settings.classes)
         self._most = int(UPSTREAM_SHARE * config.sockets)
         own = self.stats.process.memory_bytes()[1]
-        self._room = max(int(BODY_SHARE * (config.memory_mb * 2 ** 20 - own)), LEAST_ROOM)
-        self.budget = Budget(self._room, loop.time)
+        self._room = max(int(BODY_SHARE * (config.memory_mb * 2**20 - own)), LEAST_ROOM)
+        self.budget = MemoryBudget(self._room, loop.time)
         self.longest_upload = config.longest_upload
         uses = self.stats.descriptors.uses
-        self._hosts = Hosts(loop, self._most, config.dial_ms, config.idle_ms, self, uses["servers"],
-                            bound=self._gateway.links, clock_ms=self._clock.now_ms,
-                            rng=random.Random(config.seed), budget=self.budget)
-        self._pool = self._hosts.pool
-        self._discovery = Discovery(loop, config.discovery, self._listed,
-                                    config.known.generation if config.known.servers else None,
-                                    config.settings.fleet_size, random.Random(config.seed),
-                                    uses["discovery"], ASKED if config.settings.must_ask else PUSHED)
-        self._counter = (Counter(loop, config.counter, config.settings.count_wait_ms, self._post,
-                                 uses["counter"])
-                         if config.counter is not None else None)
+        self._attempt_runner = AttemptRunner(
+            loop,
+            self._most,
+            config.dial_ms,
+            config.idle_ms,
+            self,
+            uses["servers"],
+            bound=self._gateway.links,
+            clock_ms=self._clock.now_ms,
+            rng=random.Random(config.seed),
+            budget=self.budget,
+        )
+        self._pool = self._attempt_runner.pool
+        self._discovery = Discovery(
+            loop,
+            config.discovery,
+            self._listed,
+            config.fallback_listing.generation if config.fallback_listing.servers else None,
+            config.settings.fleet_size,
+            random.Random(config.seed),
+            uses["discovery"],
+            ASKED if config.settings.server_list_on_request else PUSHED,
+        )
+        self._counter = (
+            Counter(loop, config.counter, config.settings.count_wait_ms, self._post, uses["counter"])
+            if config.counter is not None
+            else None
+        )
         self._config = config
         self._record = self._recorded() if config.holding else None
         self._shares: Shares | None = None  # made when the first one is asked for
-        self._known = config.known
+        self._known = config.fallback_listing
         self._requests: dict[str, _Open] = {}
-        self._claims: dict[str, Held] = {}  # by request, where there is a record
+        self._claims: dict[str, KeyClaim] = {}  # by request, where there is a record
         self._owed = 0  # requests that are owed their answer
         self._serial = 0
         self._events: deque[api.Event] = deque()
@@ -159,16 +189,16 @@
         self.draining = self._over = False  # SIGTERM has come; all is answered, nothing is begun any more
         self.shared = False  # with another process: each has half of the descriptors
 
-    def _recorded(self) -> Record:
-        from yewstage.net.keyed import Record  # what it needs is paid only where there is one
+    def _recorded(self) -> ClaimRecord:
+        from yewstage.net.claim_record import ClaimRecord  # what it needs is paid only where there is one
 
-        return Record(self._loop, self._lanes("record"), self._config.name)
+        return ClaimRecord(self._loop, self._lanes("record"), self._config.name)
 
-    def _lanes(self, use: str) -> Lanes:
-        from yewstage.net.lanes import Lanes
+    def _lanes(self, use: str) -> HoldingClient:
+        from yewstage.net.holding_client import HoldingClient
 
-        held = self.stats.descriptors.uses[use] = Use(self.stats.descriptors)
-        return Lanes(self._config.holding, random.Random(self._config.seed), held)
+        held = self.stats.descriptors.uses[use] = DescriptorUse(self.stats.descriptors)
+        return HoldingClient(self._config.holding, random.Random(self._config.seed), held)
 
     def _share(self, act: api.Count) -> None:
         """Units of a customer's quota that this gateway alone may spend."""
@@ -197,18 +227,18 @@
 
     def reconfigure(self, config: Config) -> None:
         """Go on by the new settings, and with discovery and the counter where they are now."""
-        self.settings = dataclasses.replace(config.settings, record=self._record is not None)
+        self.settings = dataclasses.replace(config.settings, uses_claim_record=self._record is not None)
         self.stats.know(c.name for c in config.settings.classes)
         self._pool.tune(config.dial_ms, config.idle_ms)
         self._most = int(UPSTREAM_SHARE * config.sockets)
         self.longest_upload = config.longest_upload
-        self.share(self.shared)
+        self.share_descriptors(self.shared)
         self._post(api.Retuned(self.settings))
         self._discovery.move(config.discovery)
         if self._counter is not None and config.counter is not None:
             self._counter.move(config.counter, config.settings.count_wait_ms)
 
-    def share(self, shared: bool) -> None:
+    def share_descriptors(self, shared: bool) -> None:
         """Go on with half of the descriptors and of the room for bodies, or with all of them."""
         self.shared = shared
         self._pool.limit(self._most // (2 if shared else 1))
@@ -222,9 +252,9 @@
         """Go on from what the process before us left, if it left anything."""
         self._post(api.TakenOver(state))
 
-    def alone(self) -> None:
+    def predecessor_exited(self) -> None:
         """The process before us is gone."""
-        self.share(False)
+        self.share_descriptors(False)
         self._post(api.PredecessorGone())
 
     def stop(self) -> None:
@@ -247,12 +277,17 @@
         """Servers that this gateway finds failing: how often in a row each has."""
         return self._gateway.failing()
 
-    def figures(self) -> str:
+    def metrics(self) -> str:
         """What operators read."""
-        return self.stats.text(self._owed, *self._gateway.rotation(), self._pool.figures(),
-                               self._body_figures(), self._ramp_figures(),
-                               *(part.figures() for part in (self._record, self._shares) if part is not None),
-                               self.more_figures())
+        return self.stats.text(
+            self._owed,
+            *self._gateway.rotation(),
+            self._pool.metrics(),
+            self._body_figures(),
+            self._ramp_figures(),
+            *(part.metrics() for part in (self._record, self._shares) if part is not None),
+            self.more_figures(),
+        )
 
     def _ramp_figures(self) -> dict[str, float]:
         """How pressed the back end looks, and what part of new work is let in by that."""
@@ -260,13 +295,20 @@
 
     def _body_figures(self) -> dict[str, float]:
         budget = self.budget
-        return {**{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
-                "held_bytes_peak": budget.peak, "held_bytes_limit": budget.most,
-                "streams_open": budget.streams(), "streams_stopped_total": budget.stops,
-                "bodies_refused_total": budget.refused,
-                'passed_bytes_total{way="up"}': self.stats.passed_up,
-                'passed_bytes_total{way="down"}': self.stats.passed_down,
-                **{f'streams_short_total{{cause="{cause}"}}': n for cause, n in self.stats.short.items()}}
+        return {
+            **{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
+            "held_bytes_peak": budget.peak,
+            "held_bytes_limit": budget.most,
+            "streams_open": budget.streams(),
+            "streams_stopped_total": budget.stops,
+            "bodies_refused_total": budget.refused,
+            'passed_bytes_total{way="up"}': self.stats.passed_up,
+            'passed_bytes_total{way="down"}': self.stats.passed_down,
+            **{
+                f'streams_short_total{{cause="{cause}"}}': n
+                for cause, n in self.stats.truncated_by_cause.items()
+            },
+        }
 
     def farewell(self) -> str:
         """What this life came to, for the log."""
@@ -302,8 +344,8 @@
 
     # --- Clients ------------------------------------------------------------------------------------------
 
-    def request(self, client: Client, order: Order) -> str:
-        """Take a request; its id tells `left` which one is meant."""
+    def request(self, client: Client, order: ClientRequest) -> str:
+        """Take a request; its id tells `client_disconnected` which one is meant."""
         self._serial += 1
         rid = f"r{self._serial}"
         # The client's time runs from when it sent the request, not from when we came to read it.
@@ -317,9 +359,21 @@
             return rid
         if order.upload is None:
             self._take(request, left_ms)
-        self._post(api.Request(rid, order.cls.name, order.plan_name, order.customer, left_ms - MODULE_MS,
-                               order.units, order.width, order.first, order.repeat, order.upload is None,
-                               order.cls))
+        self._post(
+            api.Request(
+                rid,
+                order.cls.name,
+                order.plan_name,
+                order.customer,
+                left_ms - MODULE_MS,
+                order.units,
+                order.width,
+                order.first_gateway,
+                order.repeat,
+                order.upload is None,
+                order.cls,
+            )
+        )
         return rid
 
     def _take(self, request: _Open, left_ms: float) -> None:
@@ -329,25 +383,33 @@
         request.end_at = time.monotonic() + (left_ms - GUARD_MS) / 1000
         request.guard = self._loop.call_later(max(left_ms - GUARD_MS, 0.0) / 1000, self._guard, request)
 
-    def left(self, rid: str) -> None:
+    def client_disconnected(self, rid: str) -> None:
         """The client is gone."""
         request = self._requests.get(rid)
         if request is not None and request.client is not None:
             if request.streaming is not None or request.order.upload is not None:
                 self.stats.cut_short("client")
-            bound = [a for a in request.attempts if a is not None
-                     and (a is request.streaming or a.upload is not None)]
+            bound = [
+                a
+                for a in request.attempts
+                if a is not None and (a is request.streaming or a.upload is not None)
+            ]
             self._close(request)
             _tell_story(request, 0, "client left")
             self._post(api.ClientLeft(rid))
             for attempt in bound:  # nothing of it can go on without its client
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
             self._forget_claim(rid)
 
     def _guard(self, request: _Open) -> None:
         # Guards the first rule: whatever the module or a socket does, the client gets its answer in time.
-        log.warning(Event("guarded", "a request ran to its deadline unanswered: failed by the guard",
-                          request=request.order.client_id))
+        log.warning(
+            Event(
+                "guarded",
+                "a request ran to its deadline unanswered: failed by the guard",
+                request=request.order.client_id,
+            )
+        )
         self._give_up(request)
 
     def _give_up(self, request: _Open) -> None:
@@ -356,8 +418,14 @@
             self._post(api.ClientLeft(request.id))
             self._forget_claim(request.id)
 
-    def _answer(self, request: _Open | None, status: int, reply: Reply | None = None,
-                retry_after_ms: float = 0.0, why: str = "") -> None:
+    def _answer(
+        self,
+        request: _Open | None,
+        status: int,
+        reply: Reply | None = None,
+        retry_after_ms: float = 0.0,
+        why: str = "",
+    ) -> None:
         """The one final answer; a second one is dropped."""
         if request is None or request.client is None or request.streaming is not None:
             return
@@ -381,7 +449,7 @@
             # What waits for its link has not begun, so no server need be asked to let go of it: settings that
             # forbid that say nothing of this.
             if attempt is not None and attempt.waiting:
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
         self._forget(request)
 
     def _forget(self, request: _Open) -> None:
@@ -392,19 +460,30 @@
 
     def _listed(self, listing: Listing) -> None:
         self._heard = True
-        self._apply(listing, "full" if listing.whole else "changes")
+        self._apply(listing, "full" if listing.is_full else "changes")
 
     def _apply(self, listing: Listing, kind: str) -> None:
         gone = {s.name for s in listing.servers if s.status == "removed"}
         if kind != "changes":  # a whole list replaces the old one
             gone |= self._pool.names() - {s.name for s in listing.servers}
-        self._pool.update(listing.addresses, gone, {s.name: s.up_since_ms for s in listing.servers},
-                          {s.name for s in listing.servers if s.status == "draining"})
+        self._pool.update(
+            listing.addresses,
+            gone,
+            {s.name: s.up_since_ms for s in listing.servers},
+            {s.name for s in listing.servers if s.status == "draining"},
+        )
         if listing.servers or kind != "changes":
             states = ", ".join(f"{s.name} {s.status}" for s in listing.servers)
-            log.info(Event("list", "list {generation}, {kind}: {states}; {dialled} hosts can be dialled",
-                           generation=listing.generation, kind=kind, states=states,
-                           dialled=len(self._pool.names())))
+            log.info(
+                Event(
+                    "list",
+                    "list {generation}, {kind}: {states}; {dialled} hosts can be dialled",
+                    generation=listing.generation,
+                    kind=kind,
+                    states=states,
+                    dialled=len(self._pool.names()),
+                )
+            )
             self._post(api.ServerList(kind, listing.servers))
 
     def _send(self, act: api.Send) -> None:
@@ -414,22 +493,38 @@
         if request is None or request.client is None or left_s <= 0 or number >= request.most:
             if request is not None:
                 request.attempts.append(None)
-            self._post(api.Outcome(act.request, number, act.server, api.MOOT, 0.0,
-                                   request is None or request.client is None))
+            self._post(
+                api.Outcome(
+                    act.request,
+                    number,
+                    act.server,
+                    api.START_EXPIRED,
+                    0.0,
+                    request is None or request.client is None,
+                )
+            )
             return
         order = request.order
         left_s = min(left_s, order.time_left_ms / 1000)  # of a long body, whose time does not run yet
         wait_s = min(act.timeout_ms / 1000, left_s) if act.timeout_ms else left_s
-        attempt = Attempt(act.request, number, act.server, order.head, time.monotonic(), order.upload,
-                          order.cls.name, order.body)
+        attempt = Attempt(
+            act.request,
+            number,
+            act.server,
+            order.head,
+            time.monotonic(),
+            order.upload,
+            order.cls.name,
+            order.body,
+        )
         request.attempts.append(attempt)
         request.out += 1
-        self._hosts.send(attempt, max(wait_s, 0.0), act.start_ms / 1000)
+        self._attempt_runner.send(attempt, max(wait_s, 0.0), act.start_deadline_ms / 1000)
 
     def wanted(self, attempt: Attempt) -> bool:
         """Whether its client is still there, as it is about to begin."""
         client = self._requests[attempt.request].client
-        return client is not None and not client.gone()
+        return client is not None and not client.has_disconnected()
 
     def sent(self, attempt: Attempt) -> None:
         """An attempt's last byte was written."""
@@ -468,15 +563,26 @@
         if result == api.OK:
             units = _number(reply.headers.get(b"billed-units"))
             if attempt.request in self._claims:
-                self._record.done(self._claims[attempt.request], reply)
+                self._record.complete(self._claims[attempt.request], reply)
         if attempt is request.streaming:
             self._finish_stream(request, result)
         elif result == api.OK:
             self._answer(request, 200, reply)
         final = request.client is None
         self._forget(request)
-        self._post(api.Outcome(attempt.request, attempt.number, attempt.server, result, took, final,
-                               true_units=units, report=report, unbegun=not attempt.touched))
+        self._post(
+            api.Outcome(
+                attempt.request,
+                attempt.number,
+                attempt.server,
+                result,
+                took,
+                final,
+                billed_units=units,
+                load_report=report,
+                nothing_sent=not attempt.touched,
+            )
+        )
         self._forget_claim(attempt.request)
 
     def _took_ms(self, attempt: Attempt, answered: bool = True) -> float:
@@ -509,8 +615,14 @@
             return
         order = request.order
         self._claims[request.id] = self._record.claim(
-            order.customer, order.cls.name, order.key, request.id, act.window_ms, act.wait_ms,
-            lambda result: self._claimed(request.id, result))
+            order.customer,
+            order.cls.name,
+            order.key,
+            request.id,
+            act.window_ms,
+            act.wait_ms,
+            lambda result: self._claimed(request.id, result),
+        )
 
     def _claimed(self, rid: str, result: str) -> None:
         self._post(api.Claimed(rid, result))
@@ -531,7 +643,7 @@
         if request is not None and act.attempt < len(request.attempts):
             attempt = request.attempts[act.attempt]
             if attempt is not None:
-                self._hosts.cancel(attempt)
+                self._attempt_runner.cancel(attempt)
 
     # --- The module ---------------------------------------------------------------------------------------
 
@@ -552,8 +664,14 @@
             actions = self._gateway.handle(self._clock.now_ms(), event)
         except Exception:
             # Guards all other requests against one that the module breaks on.
-            log.exception(Event("module_failed", "the module failed on {on}", on=type(event).__name__,
-                                request=getattr(event, "request", getattr(event, "id", ""))))
+            log.exception(
+                Event(
+                    "module_failed",
+                    "the module failed on {on}",
+                    on=type(event).__name__,
+                    request=getattr(event, "request", getattr(event, "id", "")),
+                )
+            )
             if isinstance(event, api.Request):
                 self._answer(self._requests.get(event.id), 500, why="module")
             return
@@ -561,16 +679,23 @@
             try:
                 self._act(act)
             except Exception:
-                log.exception(Event("action_failed", "an action failed: {action}", action=type(act).__name__,
-                                    request=getattr(act, "request", "")))
+                log.exception(
+                    Event(
+                        "action_failed",
+                        "an action failed: {action}",
+                        action=type(act).__name__,
+                        request=getattr(act, "request", ""),
+                    )
+                )
 
     def _act(self, act: api.Action) -> None:
         match act:
             case api.Send():
                 self._send(act)
             case api.Refuse():
-                self._answer(self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms,
-                             why=act.why)
+                self._answer(
+                    self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms, why=act.reason
+                )
             case api.Fail():
                 self._answer(self._requests.get(act.request), 502, why="failed")
             case api.Claim():
@@ -582,7 +707,7 @@
             case api.Cancel():
                 self._cancel(act)
             case api.Timer():
-                self._loop.call_later(max(act.in_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
+                self._loop.call_later(max(act.delay_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
             case api.Count() if act.plan:
                 self._share(act)
             case api.Count():
@@ -599,19 +724,29 @@
 def _tell_story(request: _Open, status: int, why: str) -> None:
     """A badly ended request in one line: what it was, why it ended so, and each attempt on the way."""
     order, took_ms = request.order, (time.monotonic() - request.taken_at) * 1000
-    log.info(Event("request",
-                   "{request} {class} {plan} of {customer} ({units:g} units, {left_ms:.0f} ms left): "
-                   "{status} {why} after {took_ms:.0f} ms; attempts: {attempts:; }",
-                   request=order.client_id, **{"class": order.cls.name}, plan=order.plan_name,
-                   customer=order.customer, units=order.units, left_ms=round(order.time_left_ms, 3),
-                   status=status, why=why, took_ms=round(took_ms, 3),
-                   attempts=Several("not sent" if a is None else a for a in request.attempts)))
+    log.info(
+        Event(
+            "request",
+            "{request} {class} {plan} of {customer} ({units:g} units, {left_ms:.0f} ms left): "
+            "{status} {why} after {took_ms:.0f} ms; attempts: {attempts:; }",
+            request=order.client_id,
+            **{"class": order.cls.name},
+            plan=order.plan_name,
+            customer=order.customer,
+            units=order.units,
+            left_ms=round(order.time_left_ms, 3),
+            status=status,
+            why=why,
+            took_ms=round(took_ms, 3),
+            attempts=JoinedList("not sent" if a is None else a for a in request.attempts),
+        )
+    )
 
 
 def _report(text: bytes) -> dict[str, float]:
     """A server's load report; nothing where it makes no sense."""
     try:
-        return wire.report(text.decode("ascii").replace(" ", "").replace("=", ":") or "-")
+        return wire.parse_load_report(text.decode("ascii").replace(" ", "").replace("=", ":") or "-")
     except ValueError:
         return {}
 
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class TableEntry:
     """An entry as it is read: what its origin held at some moment no longer than `age_ms` ago."""
 
     key: str
@@ -125,8 +125,9 @@
 class Tables:
     """One member's copy."""
 
-    def __init__(self, me: str, life: int, tables: Iterable[Table], settings: Settings, rng: random.Random,
-                 now: float) -> None:
+    def __init__(
+        self, me: str, life: int, tables: Iterable[Table], settings: Settings, rng: random.Random, now: float
+    ) -> None:
         self.me, self.settings, self._rng = me, settings, rng
         self.tables = {table.name: table for table in tables}
         self.own = Origin(life)
@@ -183,7 +184,7 @@
 
     # --- Reading ------------------------------------------------------------------------------------------
 
-    def read(self, table: str, now: float) -> Iterator[Told]:
+    def read(self, table: str, now: float) -> Iterator[TableEntry]:
         """All entries of a table that are new enough."""
         bound = self.tables[table].bound_ms
         for name, origin in self.origins.items():
@@ -192,7 +193,7 @@
                 continue
             for change in origin.entries.values():
                 if change.table == table and change.value is not None:
-                    yield Told(change.key, name, change.value, age)
+                    yield TableEntry(change.key, name, change.value, age)
 
     def age_ms(self, name: str, now: float) -> float:
         """For how long an origin may have changed something that is not known here; a bound."""
@@ -346,7 +347,7 @@
     after, whole = part.after, part.whole
     while left:
         piece = list(_fitting(left, 64))
-        left = left[len(piece):]
+        left = left[len(piece) :]
         last = not left
         version, age_ms = (part.version, part.age_ms) if last else (piece[-1].version, -1)
         yield Part(part.mark, after, version, age_ms, tuple(piece), whole, part.floor)
@@ -368,7 +369,7 @@
 
 
 Message = Question | Answer
-__all__ = ["Answer", "Question", "Settings", "Table", "Tables", "Told", "encode", "parse"]
+__all__ = ["Answer", "Question", "Settings", "Table", "Tables", "TableEntry", "encode", "parse"]
 _message = msgspec.msgpack.Decoder(Message)
 
 
