--- a/benchmarks/registry.py
+++ b/benchmarks/registry.py
@@ -76,7 +76,7 @@
         heard.clear()
         changed, started = record(n, weight=2.0 + n), time.perf_counter()
         used = time.thread_time()
-        await registry.ledger.write(lambda store, now, changed=changed: store.plan_register(changed))
+        await registry.backend.write(lambda store, now, changed=changed: store.plan_register(changed))
         cpu.append(time.thread_time() - used)
         assert len(heard) == count
         last.append(heard[-1] - started)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The list service as it is called: lists, watches, writes, leases, and those who live with its failures."""
+"""The list service over HTTP: lists, watches, writes and leases, and how its clients handle its failures."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from yewstage.registry.__main__ import load
 from yewstage.registry.backend import SingleNodeBackend
 from yewstage.registry.client import LeaseHolder, ListWatch, NoAnswerError, ServiceClient, ServiceReply
-from yewstage.registry.log import FullError, Log
-from yewstage.registry.server import READ_S, RETRY_S, Registry
+from yewstage.registry.log import Log, WriteFailedError
+from yewstage.registry.server import READ_TIMEOUT_S, RETRY_AFTER_RANGE_S, Registry
 
 SERVER = {
     "hostPort": "127.0.0.1:8081",
@@ -37,12 +37,12 @@
 }
 
 
-def raw(state: Path, **changes: object) -> dict[str, object]:
+def config_fields(state: Path, **changes: object) -> dict[str, object]:
     return {"listen": f"{LOOP}:0", "ops": f"{LOOP}:0", "folder": str(state), "settle_ms": 0, **changes}
 
 
 class Service:
-    """The service in this process, on a clock that a test can move on."""
+    """The service in this process, on a clock that a test can advance."""
 
     def __init__(self, folder: Path, **changes: object) -> None:
         self.folder, self.changes = folder, changes
@@ -54,13 +54,15 @@
         return self
 
     async def start(self, wall_ms: float = 1000.0) -> None:
-        config = config_module.service(raw(self.folder, listen=f"{LOOP}:{self.port}", **self.changes))
+        config = config_module.service(
+            config_fields(self.folder, listen=f"{LOOP}:{self.port}", **self.changes)
+        )
         loop = asyncio.get_running_loop()
         self.files = Log(config.folder)
         store = load(config, self.files, loop.time() * 1000, wall_ms)
-        ledger = SingleNodeBackend(store, self.files, config.snapshot_entries, loop)
-        ledger.now = lambda: loop.time() * 1000 + self.ahead_ms
-        self.registry = Registry(config, ledger, loop, random.Random(1))
+        backend = SingleNodeBackend(store, self.files, config.snapshot_entries, loop)
+        backend.now = lambda: loop.time() * 1000 + self.ahead_ms
+        self.registry = Registry(config, backend, loop, random.Random(1))
         self.store = store
         _, self.port = await self.registry.start()
         self.client = ServiceClient([(LOOP, self.port)], random.Random(1))
@@ -75,9 +77,9 @@
 
     async def register(self, *names: str, **changes: object) -> ServiceReply:
         for name in names:
-            told = await self.call("PUT", f"endpoints/{name}", {**SERVER, **changes})
-            assert told.status == 200
-        return told
+            response = await self.call("PUT", f"endpoints/{name}", {**SERVER, **changes})
+            assert response.status == 200
+        return response
 
     async def ids(self) -> list[str]:
         return sorted(i["instanceId"] for i in (await self.call("GET", "endpoints")).body["instances"])
@@ -97,13 +99,13 @@
 # --- Lists and watches ------------------------------------------------------------------------------------
 
 
-def test_gateways_are_told_what_discoverys_protocol_has(tmp_path: Path) -> None:
+def test_gateway_follows_the_list_by_the_discovery_protocol(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
-        told: asyncio.Queue[Listing] = asyncio.Queue()
+        listings: asyncio.Queue[Listing] = asyncio.Queue()
         await service.register("s-1")
-        watch = Discovery(asyncio.get_running_loop(), (LOOP, service.port), told.put_nowait)
+        watch = Discovery(asyncio.get_running_loop(), (LOOP, service.port), listings.put_nowait)
         watch.start()
-        first = await told.get()
+        first = await listings.get()
         assert first.is_full and first.addresses == {"s-1": (LOOP, 8081)}
         assert (first.servers[0].zone, first.servers[0].cell, first.servers[0].nominal_capacity) == (
             "a",
@@ -111,106 +113,109 @@
             2.0,
         )
         await service.register("s-2", hostPort="127.0.0.1:8082")
-        second = await told.get()
+        second = await listings.get()
         assert not second.is_full and [s.name for s in second.servers] == ["s-2"]
         await service.call("POST", "endpoints/s-1/drain")
-        assert [(s.name, s.status) for s in (await told.get()).servers] == [("s-1", "draining")]
+        assert [(s.name, s.status) for s in (await listings.get()).servers] == [("s-1", "draining")]
         await service.call("DELETE", "endpoints/s-2")
-        assert [(s.name, s.status) for s in (await told.get()).servers] == [("s-2", "removed")]
+        assert [(s.name, s.status) for s in (await listings.get()).servers] == [("s-2", "removed")]
         watch.stop()
 
     with_service(scenario, tmp_path)
 
 
-def test_a_gateways_watch_survives_a_service_that_comes_back_without_its_files(tmp_path: Path) -> None:
+def test_gateway_keeps_its_list_when_the_service_restarts_without_files(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
-        told: asyncio.Queue[Listing] = asyncio.Queue()
+        listings: asyncio.Queue[Listing] = asyncio.Queue()
         await service.register("s-1", "s-2")
-        watch = Discovery(asyncio.get_running_loop(), (LOOP, service.port), told.put_nowait)
+        watch = Discovery(asyncio.get_running_loop(), (LOOP, service.port), listings.put_nowait)
         watch.start()
-        assert {s.name for s in (await told.get()).servers} == {"s-1", "s-2"}
+        assert {s.name for s in (await listings.get()).servers} == {"s-1", "s-2"}
         await service.stop()
         service.folder = tmp_path / "new"
         await service.start(wall_ms=2e6)
-        while not service.registry.turned_away_early:
+        while not service.registry.rejected_not_ready:
             await asyncio.sleep(0.01)
-        assert told.empty()  # it knows nobody, and says nothing
+        assert listings.empty()  # a service that knows no server sends no list
         await service.register("s-1")
-        listing = await told.get()
+        listing = await listings.get()
         assert listing.is_full and [s.name for s in listing.servers] == ["s-1"]
         watch.stop()
 
     with_service(scenario, tmp_path / "old")
 
 
-def test_a_watch_waits_its_time_and_is_told_that_nothing_changed(tmp_path: Path) -> None:
+def test_watch_without_changes_ends_with_an_empty_answer(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
-        told = await service.call("GET", f"endpoints?after={revision}&wait_ms=20")
-        assert told.body == {"generation": revision, "reset": False, "instances": []}
+        response = await service.call("GET", f"endpoints?after={revision}&wait_ms=20")
+        assert response.body == {"generation": revision, "reset": False, "instances": []}
         assert not service.registry._watches
 
     with_service(scenario, tmp_path)
 
 
 @pytest.mark.parametrize("after", [0, 3, 10**15])
-def test_a_revision_that_is_not_known_gets_the_whole_list_at_once(tmp_path: Path, after: int) -> None:
+def test_unknown_revision_gets_the_whole_list_at_once(tmp_path: Path, after: int) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
-        told = await service.call("GET", f"endpoints?after={after}&wait_ms=20000")
-        assert told.body["reset"] and len(told.body["instances"]) == 3
+        response = await service.call("GET", f"endpoints?after={after}&wait_ms=20000")
+        assert response.body["reset"] and len(response.body["instances"]) == 3
 
     with_service(scenario, tmp_path, history=1)
 
 
-class Stub:
-    """A caller that notes its answer."""
+class RecordingConnection:
+    """Stands in for a connection and records the answers."""
 
     def __init__(self) -> None:
         self.got: list[HttpResponse] = []
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def answer(self, answer: HttpResponse) -> None:
         self.got.append(answer)
 
 
-def test_all_watchers_are_told_by_one_encoding_and_those_who_leave_take_nothing_along(tmp_path: Path) -> None:
+def test_watchers_share_one_encoding_and_closed_watches_are_removed(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
         watch = HttpRequest("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
-        stubs = [Stub() for _ in range(50)]
-        assert all(service.registry.handle(watch, stub) is None for stub in stubs)
-        stubs[0].gone()
+        connections = [RecordingConnection() for _ in range(50)]
+        assert all(service.registry.handle(watch, connection) is None for connection in connections)
+        connections[0].on_disconnect()
         assert len(service.registry._watches) == 49
         await service.register("s-2")
-        assert not stubs[0].got and not service.registry._watches
-        bodies = {id(stub.got[0].body) for stub in stubs[1:]}
-        assert len(bodies) == 1 and json.loads(stubs[1].got[0].body)["generation"] == revision + 1
+        assert not connections[0].got and not service.registry._watches
+        bodies = {id(connection.got[0].body) for connection in connections[1:]}
+        assert len(bodies) == 1 and json.loads(connections[1].got[0].body)["generation"] == revision + 1
 
     with_service(scenario, tmp_path)
 
 
-def test_past_the_bound_watchers_that_return_at_one_moment_are_spread_out(tmp_path: Path) -> None:
+def test_watches_above_the_limit_get_spread_out_retry_times(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
         watch = HttpRequest("GET", "/v1/endpoints", {"after": str(revision), "wait_ms": "20000"}, b"")
-        answers = [service.registry.handle(watch, Stub()) for _ in range(30)]
+        answers = [service.registry.handle(watch, RecordingConnection()) for _ in range(30)]
         turned_away = [answer for answer in answers if answer is not None]
         assert len(turned_away) == 20 and all(answer.status == 503 for answer in turned_away)
         waits = sorted(float(answer.headers.split()[1]) for answer in turned_away)
-        assert RETRY_S[0] <= waits[0] < waits[-1] <= RETRY_S[1] and waits[-1] - waits[0] > 2
+        assert (
+            RETRY_AFTER_RANGE_S[0] <= waits[0] < waits[-1] <= RETRY_AFTER_RANGE_S[1]
+            and waits[-1] - waits[0] > 2
+        )
         assert len(set(waits)) > 15
 
     with_service(scenario, tmp_path, watches=10)
 
 
-def test_a_store_that_begins_empty_tells_no_list_before_its_servers_are_heard(tmp_path: Path) -> None:
+def test_empty_store_serves_no_list_before_servers_register(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1")
-        told = await service.call("GET", "endpoints")
-        assert told.status == 503 and told.retry_after_s > 0 and not service.registry.ready()
+        response = await service.call("GET", "endpoints")
+        assert response.status == 503 and response.retry_after_s > 0 and not service.registry.ready()
         await service.stop()
-        await service.start()  # with what it wrote, it need not wait
+        await service.start()  # it has its records from the files and need not wait
         assert await service.ids() == ["s-1"]
 
     with_service(scenario, tmp_path, settle_ms=1e6)
@@ -219,21 +224,21 @@
 # --- Peers that are slow, silent or talk nonsense ---------------------------------------------------------
 
 
-class Peer:
-    """One connection to a listener on virtual time."""
+class ListenerHarness:
+    """A listener on virtual time, to which a test opens connections."""
 
     def __init__(
         self,
         handle: Callable[[HttpRequest, HttpConnection], HttpResponse | None] = lambda call, caller: (
             HttpResponse(200, b"ok")
         ),
-        **manners: object,
+        **limits: object,
     ) -> None:
         self.loop = VirtualLoop()
         self.listener = HttpServer(
             self.loop,
             handle,
-            ConnectionLimits(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **manners}),
+            ConnectionLimits(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **limits}),
         )
         self.listener._server = object()
         self.loop.call_later(0.5, self.listener._sweep)
@@ -254,65 +259,67 @@
         (b"GET / HTTP/1.1\r\n\r\n", 61),
     ],
 )
-def test_a_silent_peer_is_closed_in_bounded_time(sent: bytes, by: float) -> None:
-    peer = Peer()
-    caller, transport = peer.connect()
+def test_silent_connection_is_closed_in_time(sent: bytes, by: float) -> None:
+    harness = ListenerHarness()
+    caller, transport = harness.connect()
     if sent:
         caller.data_received(sent)
-    peer.loop.run(by - 1.5)
+    harness.loop.run(by - 1.5)
     assert not transport.is_closing()
-    peer.loop.run(by)
-    assert transport.is_closing() and not peer.listener.callers
+    harness.loop.run(by)
+    assert transport.is_closing() and not harness.listener.callers
 
 
-def test_a_peer_that_sends_a_byte_now_and_then_is_closed_all_the_same() -> None:
-    peer = Peer()
-    caller, transport = peer.connect()
+def test_connection_that_sends_single_bytes_is_closed() -> None:
+    harness = ListenerHarness()
+    caller, transport = harness.connect()
     for n, byte in enumerate(b"GET / HTTP/1.1\r\nX: "):
-        peer.loop.run(0.5 * n)
+        harness.loop.run(0.5 * n)
         if not transport.is_closing():
             caller.data_received(bytes([byte]))
     assert transport.is_closing()
 
 
-def test_a_watcher_that_does_not_read_is_dropped() -> None:
-    peer = Peer(lambda call, caller: None)
-    caller, transport = peer.connect()
-    left = []
+def test_watcher_that_does_not_read_is_dropped() -> None:
+    harness = ListenerHarness(lambda call, caller: None)
+    caller, transport = harness.connect()
+    disconnects = []
     caller.data_received(b"GET /v1/endpoints?after=1&wait_ms=60000 HTTP/1.1\r\n\r\n")
-    caller.on_disconnect = lambda: left.append(True)
-    peer.loop.run(30)
-    assert not transport.is_closing()  # to wait is no fault
+    caller.on_disconnect = lambda: disconnects.append(True)
+    harness.loop.run(30)
+    assert not transport.is_closing()  # waiting is allowed
     caller.pause_writing()
-    peer.loop.run(30 + READ_S + 1)
-    assert transport.is_closing() and left and peer.listener.dropped == 1
+    harness.loop.run(30 + READ_TIMEOUT_S + 1)
+    assert transport.is_closing() and disconnects and harness.listener.dropped == 1
 
 
-def test_one_who_calls_on_and_on_without_waiting_is_dropped() -> None:
-    peer = Peer(lambda call, caller: None)
-    caller, transport = peer.connect()
+def test_too_many_pipelined_calls_close_the_connection() -> None:
+    harness = ListenerHarness(lambda call, caller: None)
+    caller, transport = harness.connect()
     caller.data_received(b"GET / HTTP/1.1\r\n\r\n" * 20)
     assert transport.is_closing()
 
 
-def test_past_the_bound_the_one_that_nobody_waits_on_gives_way() -> None:
-    peer = Peer(lambda call, caller: None)
-    busy, busy_line = peer.connect()
+def test_idle_connection_is_closed_above_the_connection_limit() -> None:
+    harness = ListenerHarness(lambda call, caller: None)
+    busy, busy_transport = harness.connect()
     busy.data_received(b"GET / HTTP/1.1\r\n\r\n")
-    _, idle_line = peer.connect()
-    peer.connect()
-    peer.connect()
-    assert idle_line.is_closing() and not busy_line.is_closing() and len(peer.listener.callers) == 3
+    _, idle_transport = harness.connect()
+    harness.connect()
+    harness.connect()
+    assert (
+        idle_transport.is_closing() and not busy_transport.is_closing() and len(harness.listener.callers) == 3
+    )
 
 
-def test_calls_on_one_connection_are_answered_in_their_order() -> None:
+def test_calls_on_one_connection_are_answered_in_order() -> None:
     held: list[HttpConnection] = []
-    peer = Peer(
+    harness = ListenerHarness(
         lambda call, caller: (
             held.append(caller) if call.path == "/slow" else HttpResponse(200, call.path.encode())
         )
     )
-    caller, transport = peer.connect()
+    caller, transport = harness.connect()
     caller.data_received(b"GET /slow HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n")
     assert not transport.written
     held[0].answer(HttpResponse(200, b"/slow"))
@@ -363,7 +370,7 @@
         ("POST", "/v1/leases/l/renew", b'{"holder": "h", "token": 0}', 400, "token"),
     ],
 )
-def test_bad_calls_are_answered_with_one_line_that_names_the_field(
+def test_invalid_calls_are_answered_with_the_field_at_fault(
     tmp_path: Path, method: str, path: str, body: bytes | None, status: int, field: str | None
 ) -> None:
     async def scenario(service: Service) -> None:
@@ -374,8 +381,8 @@
         length = int(head.lower().split("content-length: ")[1].split("\r\n")[0])
         line = await reader.readexactly(length)
         assert int(head.split()[1]) == status and line.count(b"\n") == 1
-        told = json.loads(line)
-        assert told["error"] and told.get("field") == field
+        answer = json.loads(line)
+        assert answer["error"] and answer.get("field") == field
         assert not service.store.records
         writer.close()
 
@@ -385,7 +392,7 @@
 # --- Writes -----------------------------------------------------------------------------------------------
 
 
-def test_a_write_that_was_logged_and_not_answered_is_there_after_the_kill_and_may_be_repeated(
+def test_logged_write_without_an_answer_survives_a_kill_and_may_be_repeated(
     tmp_path: Path,
 ) -> None:
     async def scenario(service: Service) -> None:
@@ -395,7 +402,7 @@
         def killed(entry: dict) -> None:
             append(entry)
             loop.call_soon_threadsafe(logged.set)
-            raise SystemError("killed here")  # nothing of it is seen
+            raise SystemError("killed here")  # the entry is in the log but not applied
 
         service.files.append = killed
         call = asyncio.create_task(service.call("PUT", "endpoints/s-1", SERVER))
@@ -412,16 +419,16 @@
     with_service(scenario, tmp_path)
 
 
-def test_a_full_disk_refuses_writes_and_reads_go_on(tmp_path: Path) -> None:
+def test_full_disk_refuses_writes_and_still_serves_reads(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
 
         def full(entry: dict) -> None:
-            raise FullError("write: No space left on device")
+            raise WriteFailedError("write: No space left on device")
 
         append, service.files.append = service.files.append, full
-        told = await service.call("PUT", "endpoints/s-2", SERVER)
-        assert told.status == 503 and told.retry_after_s > 0
+        response = await service.call("PUT", "endpoints/s-2", SERVER)
+        assert response.status == 503 and response.retry_after_s > 0
         assert await service.ids() == ["s-1"] and service.store.revision == revision
         assert (await service.call("POST", "endpoints/s-1/renew", {})).status == 200
         assert 'registry_writes_total{result="not_durable"} 1.0\n' in service.registry.metrics()
@@ -432,7 +439,7 @@
     with_service(scenario, tmp_path)
 
 
-def test_a_snapshot_is_taken_by_the_way_and_a_restart_goes_on_from_it(tmp_path: Path) -> None:
+def test_restart_continues_from_a_snapshot(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         for n in range(25):
             await service.register(f"s-{n}")
@@ -445,15 +452,13 @@
     with_service(scenario, tmp_path, snapshot_entries=10)
 
 
-def test_a_wall_clock_that_was_set_back_changes_nothing(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_wall_clock_set_back_has_no_effect(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
         token = (await service.call("PUT", "leases/d", {"holder": "x", "ttlMs": 5000})).body["token"]
         before = service.store.revision
-        monkeypatch.setattr(time, "time", lambda: 1.0)  # while it runs, and over a restart
-        assert not service.store.overdue(service.registry.ledger.now())
+        monkeypatch.setattr(time, "time", lambda: 1.0)  # while the service runs, and across a restart
+        assert not service.store.overdue(service.registry.backend.now())
         await service.stop()
         await service.start(wall_ms=1.0)
         assert await service.ids() == ["s-1", "s-2", "s-3"] and service.store.revision == before
@@ -463,26 +468,26 @@
     with_service(scenario, tmp_path)
 
 
-def test_two_writers_that_race_end_with_one_told_409(tmp_path: Path) -> None:
+def test_one_of_two_concurrent_writers_gets_409(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         revision = (await service.register("s-1")).body["revision"]
-        others = [ServiceClient([(LOOP, service.port)]) for _ in range(2)]
-        told = await asyncio.gather(
+        writers = [ServiceClient([(LOOP, service.port)]) for _ in range(2)]
+        responses = await asyncio.gather(
             *(
-                other.call("POST", "/v1/endpoints/s-1/drain", {"draining": True, "expect": revision})
+                writer.call("POST", "/v1/endpoints/s-1/drain", {"draining": True, "expect": revision})
                 if n
-                else other.call("DELETE", "/v1/endpoints/s-1", {"expect": revision})
-                for n, other in enumerate(others)
+                else writer.call("DELETE", "/v1/endpoints/s-1", {"expect": revision})
+                for n, writer in enumerate(writers)
             )
         )
-        assert sorted(answer.status for answer in told) == [200, 409]
-        for other in others:
-            other.close()
+        assert sorted(answer.status for answer in responses) == [200, 409]
+        for writer in writers:
+            writer.close()
 
     with_service(scenario, tmp_path)
 
 
-def test_a_server_that_stops_renewing_is_gone_and_the_others_are_told(tmp_path: Path) -> None:
+def test_server_that_stops_renewing_is_removed_and_watchers_are_told(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
         revision = service.store.revision
@@ -492,10 +497,10 @@
         await asyncio.sleep(0)
         service.ahead_ms += 4000
         for name in ("s-1", "s-2"):
-            service.store.renew(name, None, service.registry.ledger.now())
+            service.store.renew(name, None, service.registry.backend.now())
         service.ahead_ms += 3000
-        told = await watch
-        assert told.body["instances"] == [{"instanceId": "s-3", "lifecycle": "gone"}]
+        response = await watch
+        assert response.body["instances"] == [{"instanceId": "s-3", "lifecycle": "gone"}]
         assert (await service.call("POST", "endpoints/s-3/renew", {})).status == 404
 
     with_service(scenario, tmp_path)
@@ -504,7 +509,7 @@
 # --- Leases and duties ------------------------------------------------------------------------------------
 
 
-def test_a_lease_is_granted_renewed_released_and_fences_writes(tmp_path: Path) -> None:
+def test_lease_is_granted_renewed_released_and_fences_writes(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
         first = (await service.call("PUT", "leases/d", {"holder": "x", "ttlMs": 5000})).body["token"]
@@ -513,9 +518,9 @@
         assert (await service.call("PUT", "leases/d", {"holder": "y", "ttlMs": 5000})).status == 409
         assert (await service.call("POST", "leases/d/renew", {"holder": "x", "token": first})).status == 200
         verdict = {"well": False, "lease": "d", "token": first}
-        told = await service.call("POST", "endpoints/s-1/verdict", verdict)
-        assert told.body["lifecycle"] == "draining"
-        for _ in range(2):  # repeating is harmless
+        response = await service.call("POST", "endpoints/s-1/verdict", verdict)
+        assert response.body["lifecycle"] == "draining"
+        for _ in range(2):  # a repeated release has no effect
             assert (await service.call("DELETE", "leases/d", {"holder": "x", "token": first})).status == 200
         second = (await service.call("PUT", "leases/d", {"holder": "y", "ttlMs": 5000})).body["token"]
         assert second > first
@@ -529,8 +534,8 @@
     with_service(scenario, tmp_path)
 
 
-class Scripted:
-    """A client whose answers a test writes; None is silence."""
+class ScriptedClient:
+    """A client with scripted answers; None means no answer."""
 
     def __init__(self, *answers: ServiceReply | None) -> None:
         self.answers, self.calls = list(answers), []
@@ -542,48 +547,50 @@
             raise NoAnswerError("silence")
         return answer
 
-    def rest_s(self) -> float:
+    def backoff_s(self) -> float:
         return 0.25
 
-    def between(self, least: float, most: float) -> float:
+    def random_between(self, least: float, most: float) -> float:
         return least
 
 
-def test_a_holder_counts_from_when_it_sent_and_stops_before_another_may_be_granted() -> None:
+def test_holder_counts_its_lease_from_sending_and_stops_in_time() -> None:
     async def scenario() -> None:
         clock = [100.0]
-        client = Scripted(
+        client = ScriptedClient(
             ServiceReply(200, {"token": 4, "ttlMs": 1000.0}), None, ServiceReply(409, {"error": "held by y"})
         )
-        duty = LeaseHolder(client, "d", "x", 1000.0, 0.05, lambda: clock[0])
+        lease_holder = LeaseHolder(client, "d", "x", 1000.0, 0.05, lambda: clock[0])
         call = client.call
 
         async def slow(*args: object) -> ServiceReply:
-            clock[0] += 0.3  # on its way
+            clock[0] += 0.3  # time until the service receives the call
             return await call(*args)
 
         client.call = slow
-        assert await duty.acquire_or_renew() == pytest.approx(1 / 3) and duty.token == 4
+        assert await lease_holder.acquire_or_renew() == pytest.approx(1 / 3) and lease_holder.token == 4
         clock[0] = 100.94
-        assert duty.is_held()
-        clock[0] = 100.951  # its word was 1.000 from when the service heard of it
-        assert not duty.is_held()
-        assert await duty.acquire_or_renew() == 0.25 and not duty.is_held()  # silence: nothing is assumed
-        assert await duty.acquire_or_renew() > 0 and not duty.is_held()
+        assert lease_holder.is_held()
+        clock[0] = 100.951  # past 0.95 s after sending: the TTL of 1 s less the drift
+        assert not lease_holder.is_held()
+        assert (
+            await lease_holder.acquire_or_renew() == 0.25 and not lease_holder.is_held()
+        )  # no answer: nothing is assumed
+        assert await lease_holder.acquire_or_renew() > 0 and not lease_holder.is_held()
 
     on_loop(scenario)
 
 
-def test_a_holder_that_was_stopped_finds_out_before_it_acts() -> None:
+def test_paused_holder_no_longer_holds_its_lease() -> None:
     async def scenario() -> None:
         clock = [0.0]
-        duty = LeaseHolder(
-            Scripted(ServiceReply(200, {"token": 1})), "d", "x", 1000.0, 0.01, lambda: clock[0]
+        lease_holder = LeaseHolder(
+            ScriptedClient(ServiceReply(200, {"token": 1})), "d", "x", 1000.0, 0.01, lambda: clock[0]
         )
-        await duty.acquire_or_renew()
-        assert duty.is_held()
-        clock[0] += 60.0  # stopped, and woken in the middle of its work
-        assert not duty.is_held()
+        await lease_holder.acquire_or_renew()
+        assert lease_holder.is_held()
+        clock[0] += 60.0  # paused, and resumed in the middle of its work
+        assert not lease_holder.is_held()
 
     on_loop(scenario)
 
@@ -604,77 +611,78 @@
     )
 
 
-def test_of_two_checkers_one_frozen_and_woken_only_the_holder_is_believed(tmp_path: Path) -> None:
+def test_verdicts_of_a_checker_that_was_paused_are_refused(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
         address, checkers = [(LOOP, service.port)], []
-        clocks = {"frozen": [0.0], "other": [0.0]}
+        clocks = {"paused": [0.0], "other": [0.0]}
         for name, clock in clocks.items():
             client = ServiceClient(address)
             watch = ListWatch(client, lambda clock=clock: clock[0])
             await watch.ask(0)
-            duty = LeaseHolder(client, "checker", name, 5000.0, 0.01, lambda clock=clock: clock[0])
+            lease_holder = LeaseHolder(client, "checker", name, 5000.0, 0.01, lambda clock=clock: clock[0])
 
-            async def says(target: object, timeout_s: float, well: bool = name == "other") -> int:
+            async def fixed_status(target: object, timeout_s: float, well: bool = name == "other") -> int:
                 return 200 if well else 503
 
-            checkers.append(Checker(checker_config(), watch, duty, client, says))
-        frozen, other = checkers
-        await frozen.duty.acquire_or_renew()
+            checkers.append(Checker(checker_config(), watch, lease_holder, client, fixed_status))
+        paused, other = checkers
+        await paused.duty.acquire_or_renew()
         await other.duty.acquire_or_renew()
-        assert frozen.duty.is_held() and not other.duty.is_held()
-        service.ahead_ms += 6000  # the frozen one's clock stands still with it
+        assert paused.duty.is_held() and not other.duty.is_held()
+        service.ahead_ms += 6000  # the paused process's clock stands still
         for name in ("s-1", "s-2", "s-3"):
-            service.store.renew(name, None, service.registry.ledger.now())
+            service.store.renew(name, None, service.registry.backend.now())
         await other.duty.acquire_or_renew()
-        assert other.duty.is_held() and frozen.duty.is_held()  # it does not know better yet
-        await frozen.round()
+        assert other.duty.is_held() and paused.duty.is_held()  # it has not noticed yet
+        await paused.round()
         await other.round()
-        assert frozen.written == 0 and frozen.refused == 3
+        assert paused.written == 0 and paused.refused == 3
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        await frozen.duty.acquire_or_renew()
-        assert not frozen.duty.is_held()
-        for each in checkers:
-            each._client.close()
+        await paused.duty.acquire_or_renew()
+        assert not paused.duty.is_held()
+        for checker in checkers:
+            checker._client.close()
 
     with_service(scenario, tmp_path)
 
 
-def test_a_checkers_verdict_takes_a_server_out_and_back_in(tmp_path: Path) -> None:
+def test_checker_verdicts_take_a_server_out_of_service_and_back(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2", "s-3")
         client = ServiceClient([(LOOP, service.port)])
         watch, clock = ListWatch(client, lambda: 0.0), [0.0]
         await watch.ask(0)
-        duty = LeaseHolder(client, "checker", "c", 5000.0, 0.01, lambda: clock[0])
-        await duty.acquire_or_renew()
+        lease_holder = LeaseHolder(client, "checker", "c", 5000.0, 0.01, lambda: clock[0])
+        await lease_holder.acquire_or_renew()
         answers = {"s-1": 503, "s-2": 200, "s-3": 404}
         asked = []
         ports = {watch.addresses[name]: name for name in watch.addresses}
-        assert len(ports) == 1  # all three stand at one address here: told apart by turns
+        # all three have the same address here; the order of the probes tells them apart
+        assert len(ports) == 1
 
-        async def says(target: object, timeout_s: float) -> int:
+        async def scripted_status(target: object, timeout_s: float) -> int:
             asked.append(target)
             return answers[names[len(asked) - 1]]
 
         names: list[str] = []
-        work = Checker(checker_config(fails=2, passes=2), watch, duty, client, says)
-        check = work._check
+        checker = Checker(checker_config(fails=2, passes=2), watch, lease_holder, client, scripted_status)
+        check = checker._check
 
-        async def noted(name: str) -> None:
+        async def recorded_check(name: str) -> None:
             names.append(name)
             await check(name)
 
-        work._check = noted
-        await work.round()
-        assert work.written == 0  # one failure is none
-        await work.round()
+        checker._check = recorded_check
+        await checker.round()
+        assert checker.written == 0  # one failure is not enough
+        await checker.round()
         assert service.store.records["s-1"].lifecycle() == "draining" and service.store.records["s-3"].well
         answers["s-1"] = 200
-        await work.round()
-        await work.round()
+        await checker.round()
+        await checker.round()
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        assert 'checker_verdicts_total{result="written"} 3.0\n' in work.metrics()
+        assert 'checker_verdicts_total{result="written"} 3.0\n' in checker.metrics()
         client.close()
 
     with_service(scenario, tmp_path)
@@ -684,7 +692,7 @@
     ("answer", "status"),
     [(reply(b""), 200), (reply(b"", 503), 503), (reply(b"", 404), 404), (b"", 0), (b"nonsense\r\n\r\n", 0)],
 )
-def test_what_a_probe_comes_to(answer: bytes, status: int) -> None:
+def test_probe_results(answer: bytes, status: int) -> None:
     async def scenario() -> None:
         server = await Fake(lambda seen: answer).start()
         assert await probe((LOOP, server.port), 20) == status
@@ -694,7 +702,7 @@
     on_loop(scenario)
 
 
-def test_a_probe_that_is_refused_or_not_answered_ends_in_its_time() -> None:
+def test_refused_or_unanswered_probe_ends_in_time() -> None:
     async def scenario() -> None:
         server = await Fake(lambda seen: None).start()
         assert await probe((LOOP, server.port), 0.05) == 0
@@ -707,7 +715,7 @@
 # --- Clients and the service's failures -------------------------------------------------------------------
 
 
-def test_a_watch_goes_on_across_a_restart_without_a_gap(tmp_path: Path) -> None:
+def test_watch_continues_across_a_restart_without_a_gap(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2")
         client = ServiceClient([(LOOP, service.port)])
@@ -726,7 +734,7 @@
     with_service(scenario, tmp_path)
 
 
-def test_a_service_that_lost_its_files_does_not_empty_its_clients_lists(tmp_path: Path) -> None:
+def test_service_that_lost_its_files_does_not_empty_its_clients_lists(tmp_path: Path) -> None:
     async def scenario(service: Service) -> None:
         await service.register("s-1", "s-2")
         before = service.store.revision
@@ -763,7 +771,7 @@
         reply(b'{"generation":9,"reset":true,"instances":[]}'),
     ],
 )
-def test_nonsense_keeps_the_last_good_list_and_tells_its_age(answer: bytes) -> None:
+def test_invalid_answer_keeps_the_last_list_and_its_age(answer: bytes) -> None:
     async def scenario() -> None:
         good = reply(json.dumps({"generation": 5, "reset": True, "instances": [instance("s-1", 1)]}).encode())
         answers = itertools.chain([good], itertools.repeat(answer))
@@ -782,11 +790,11 @@
     on_loop(scenario)
 
 
-def test_a_client_of_several_addresses_moves_on_from_one_that_is_gone() -> None:
+def test_client_fails_over_to_the_next_address() -> None:
     async def scenario() -> None:
         server = await Fake(lambda seen: reply(b'{"leases":[]}')).start()
         client = ServiceClient([(LOOP, 1), (LOOP, server.port)], random.Random(2))
-        client._at = 0
+        client._address_index = 0
         with pytest.raises(NoAnswerError):
             await client.call("GET", "/v1/leases")
         assert 0 <= client.backoff_s() <= 0.1
@@ -797,13 +805,13 @@
     on_loop(scenario)
 
 
-def test_rests_grow_by_full_jitter_and_are_bounded() -> None:
+def test_backoff_grows_with_full_jitter_up_to_a_limit() -> None:
     client = ServiceClient([(LOOP, 1)], random.Random(1))
     spans = []
     for failures in (1, 4, 30):
         client._failures = failures
-        rests = [client.backoff_s() for _ in range(400)]
-        spans.append((min(rests), max(rests)))
+        delays_s = [client.backoff_s() for _ in range(400)]
+        spans.append((min(delays_s), max(delays_s)))
     assert all(least < 0.1 * most for least, most in spans)
     assert spans[0][1] <= 0.1 and 0.6 < spans[1][1] <= 0.8 and 9 < spans[2][1] <= 10
 
@@ -824,11 +832,11 @@
         ({"least_ttl_ms": 100000}, "least_ttl_ms"),
     ],
 )
-def test_a_bad_configuration_ends_the_services_start_with_one_line(
+def test_invalid_service_configuration_stops_the_start_with_one_line(
     tmp_path: Path, change: dict, word: str
 ) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw(tmp_path / "state", **change)))
+    path.write_text(json.dumps(config_fields(tmp_path / "state", **change)))
     done = run("yewstage.registry", "--config", str(path))
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and word in done.stderr
 
@@ -844,7 +852,7 @@
         ({"ops": None}, "ops"),
     ],
 )
-def test_a_bad_configuration_ends_the_checkers_start_with_one_line(
+def test_invalid_checker_configuration_stops_the_start_with_one_line(
     tmp_path: Path, change: dict, word: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -855,11 +863,11 @@
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and word in done.stderr
 
 
-def test_a_damaged_log_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_damaged_log_stops_the_start_with_one_line(tmp_path: Path) -> None:
     (tmp_path / "state").mkdir()
     (tmp_path / "state" / "log").write_bytes(b"something else\n")
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw(tmp_path / "state")))
+    path.write_text(json.dumps(config_fields(tmp_path / "state")))
     done = run("yewstage.registry", "--config", str(path))
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "log" in done.stderr
 
@@ -875,15 +883,15 @@
     )
 
 
-class Program:
-    """The real service as a process of its own, killed and started again at one address."""
+class ServiceProcess:
+    """The real service in its own process, which can be killed and restarted at the same address."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port, self.ops_port = folder, 0, 0
 
     async def start(self) -> None:
         path = self.folder / "registry.json"
-        path.write_text(json.dumps(raw(self.folder / "state", listen=f"{LOOP}:{self.port}")))
+        path.write_text(json.dumps(config_fields(self.folder / "state", listen=f"{LOOP}:{self.port}")))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -904,20 +912,20 @@
         await self.process.wait()
 
 
-def test_requests_are_served_throughout_while_the_service_is_killed_and_started_again(tmp_path: Path) -> None:
+def test_requests_are_served_while_the_service_is_killed_and_restarted(tmp_path: Path) -> None:
     async def scenario() -> None:
-        service = Program(tmp_path)
+        service = ServiceProcess(tmp_path)
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
 
         class Fleet(Rig):
             async def launch(self) -> None:
                 for name, host in zip(("s-0", "s-1"), self.hosts, strict=True):
-                    told = await client.call(
+                    response = await client.call(
                         "PUT", f"/v1/endpoints/{name}", {"hostPort": f"{LOOP}:{host.port}", "ttlMs": 60000}
                     )
-                    assert told.status == 200
-                self.directory.fake.port = service.port  # where the gateway looks for discovery
+                    assert response.status == 200
+                self.directory.fake.port = service.port  # where the gateway finds the discovery service
                 await super().launch()
 
         async with Fleet(tmp_path, lambda seen: reply(b"a"), lambda seen: reply(b"b")) as rig:
@@ -932,13 +940,13 @@
             await service.kill()
             await served(20)
             await service.start()
-            while True:  # the repeated call is harmless, and the service knows its servers again
+            while True:  # until the client has reconnected; the service has its servers again
                 try:
-                    told = await client.call("GET", "/v1/endpoints")
+                    response = await client.call("GET", "/v1/endpoints")
                     break
                 except NoAnswerError:
                     continue
-            assert [i["instanceId"] for i in told.body["instances"]] == ["s-0", "s-1"]
+            assert [i["instanceId"] for i in response.body["instances"]] == ["s-0", "s-1"]
             await served(5)
             done = await asyncio.to_thread(run, "plumwall", "drain", "s-0", "--at", f"{LOOP}:{service.port}")
             assert done.returncode == 0 and "draining" in done.stdout
@@ -966,11 +974,11 @@
     on_loop(scenario, 60)
 
 
-def test_the_checkers_process_takes_an_unwell_server_out_and_leaves_its_duty_to_the_next(
+def test_checker_process_takes_an_unhealthy_server_out_and_releases_its_lease(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        service = Program(tmp_path)
+        service = ServiceProcess(tmp_path)
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
         hosts = [await Fake(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)]
@@ -1001,15 +1009,15 @@
         )
         lifecycles: dict[str, str] = {}
         while lifecycles != {"s-0": "draining", "s-1": "ready", "s-2": "ready"}:
-            told = await client.call("GET", "/v1/endpoints")
-            lifecycles = {i["instanceId"]: i["lifecycle"] for i in told.body["instances"]}
+            response = await client.call("GET", "/v1/endpoints")
+            lifecycles = {i["instanceId"]: i["lifecycle"] for i in response.body["instances"]}
             await asyncio.sleep(0.02)
         (lease,) = (await client.call("GET", "/v1/leases")).body["leases"]
         assert lease["name"] == "checker" and lease["holder"].startswith("c.")
         process.terminate()
         assert await process.wait() == 0
         (lease,) = (await client.call("GET", "/v1/leases")).body["leases"]
-        assert lease["holder"] == ""  # at once, not after its 30 s
+        assert lease["holder"] == ""  # released at once, not after its TTL of 30 s
         client.close()
         for host in hosts:
             host.stop()
--- a/yewstage/registry/__init__.py
+++ b/yewstage/registry/__init__.py
@@ -1,2 +1,2 @@
-"""The list service: servers' records with revisions, watches, and leases for duties that one process
-holds."""
+"""The list service: server registrations with revisions, watches on the list, and leases with fencing
+tokens."""
--- a/yewstage/registry/__main__.py
+++ b/yewstage/registry/__main__.py
@@ -1,4 +1,4 @@
-"""The list service: start-up, signals, exit."""
+"""Entry point of the list service: start-up, signals and exit status."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 
 def load(config: Config, files: Log, now: float, wall_ms: float) -> Store:
-    """The store as the files have it. A new one begins at the wall clock's milliseconds: above all that an
-    earlier life, whose files are lost, can have told."""
+    """The store as the files have it. A new store begins at the wall clock's milliseconds as its revision,
+    which is above every revision that an earlier store, whose files are lost, can have reported."""
     try:
         state, entries = files.load()
         store = Store.restored(config.rules, state, now) if state else Store(config.rules, int(wall_ms))
         for entry in entries:
             store.apply(entry, now)
     except (KeyError, TypeError, ValueError) as error:
-        raise LogError(f"{config.folder}: an entry makes no sense: {error!r}") from None
-    store.live_anew(now)
+        raise LogError(f"{config.folder}: an entry is invalid: {error!r}") from None
+    store.restart_deadlines(now)
     return store
 
 
@@ -42,20 +42,20 @@
     """Run until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     store = load(config, files, loop.time() * 1000, time.time() * 1000)
-    if files.cut:
+    if files.torn_bytes:
         log.warning(
             Event(
                 "torn_entry",
-                "a torn last entry of {bytes} bytes was cut off: nobody was told of it",
-                bytes=files.cut,
+                "cut off a torn last entry of {bytes} bytes; it was never acknowledged",
+                bytes=files.torn_bytes,
             )
         )
-    ledger = SingleNodeBackend(store, files, config.snapshot_entries, loop)
-    registry = Registry(config, ledger, loop, random.Random())
+    backend = SingleNodeBackend(store, files, config.snapshot_entries, loop)
+    registry = Registry(config, backend, loop, random.Random())
     ops = Ops(loop, registry.ready, registry.metrics)
-    over = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     address = await registry.start()
     log.info(
@@ -68,19 +68,20 @@
         )
     )
     log.info(address_event("listening", "listening on", address))
-    await over.wait()
+    await stop_requested.wait()
     ops.stop()
-    await ledger.finished()
+    await backend.wait_for_pending_write()
     await registry.stop()
-    ledger.close()
+    backend.close()
     log.info(Event("ended", "ended"))
 
 
 def main() -> int:
-    """0 after SIGTERM; 2 with one plain line if the configuration, the files or an address are no good."""
+    """Exit status 0 after SIGTERM or SIGINT; 2, with one line on stderr, if the configuration, the files
+    or an address cannot be used."""
     parser = argparse.ArgumentParser(prog="python -m yewstage.registry", description=__doc__)
     parser.add_argument("--config", required=True, metavar="FILE")
-    parser.add_argument("--log-format", choices=FORMATS, help="goes before the file's `log`")
+    parser.add_argument("--log-format", choices=FORMATS, help="overrides `log` in the file")
     options = parser.parse_args()
     try:
         config = service(read(options.config))
--- a/yewstage/registry/backend.py
+++ b/yewstage/registry/backend.py
@@ -1,4 +1,4 @@
-"""Where the list service's writes go, and the store that they make: alone on one disk here, copied in
+"""The storage behind the list service: a single node with one folder here, replicated in
 `yewstage.holding`."""
 
 from __future__ import annotations
@@ -10,64 +10,66 @@
 from typing import Protocol
 
 from yewstage.log import Event
-from yewstage.registry.log import FullError, Log
-from yewstage.registry.store import Plan, Store
+from yewstage.registry.log import Log, WriteFailedError
+from yewstage.registry.store import Store, WritePlan
 
 log = logging.getLogger(__name__)
 
 
 class MisdirectedError(Exception):
-    """Another process takes writes. `at` is the address where it is called; empty: none is known."""
+    """Another process accepts writes. `leader_address` is its address; empty if it is not known."""
 
     def __init__(self, leader_address: str) -> None:
         super().__init__(
-            f"not the leader; it is {leader_address}" if leader_address else "no leader is known"
+            f"not the leader; the leader is {leader_address}" if leader_address else "no leader is known"
         )
         self.leader_address = leader_address
 
 
 class OutcomeUnknownError(Exception):
-    """It is not known to have come about; the call may be repeated."""
+    """It is not known whether the write was carried out; the call may be repeated."""
 
 
 class StoreBackend(Protocol):
-    """What the service needs of whatever keeps its store."""
+    """What the list service needs from its storage."""
 
-    store: Store  # what has come about, here
-    changed: Callable[[], None]  # told after each change of the list
+    store: Store  # the state as known in this process
+    changed: Callable[[], None]  # called after each change of the list
     log_entries: int  # since the last snapshot
-    broken: str  # why no write can be made any more; empty: it can
+    broken: str  # why writes are no longer possible; empty: they are
 
     def now(self) -> float:
-        """The store's time, ms: never set back."""
+        """The store's time in ms, monotonic."""
 
     def leader_store(self) -> Store | None:
-        """The store with the deadlines in force; None where another process decides."""
+        """The store with the deadlines in force; None if another process is the leader."""
 
     def leader(self) -> str:
-        """Where that one is called; empty: none is known."""
+        """Address of the leader if it is another process; empty if none is known."""
 
     def age_ms(self) -> float:
-        """For how long there may be writes that are not in the store here."""
+        """Upper bound on how long there may have been writes that are not in this store, in ms."""
 
-    async def write(self, plan: Plan) -> bool:
-        """Bring a write about: True once it is durable, False where the plan makes no entry and all that it
-        was made on holds. RefusedError, FullError, ElsewhereError, LaterError."""
+    async def write(self, plan: WritePlan) -> bool:
+        """Carry out a write. True once it is durable; False if the plan returned no entry, once it is
+        certain that the state it was based on was current. Raises RefusedError, WriteFailedError,
+        MisdirectedError or OutcomeUnknownError."""
 
     def close(self) -> None:
-        """Nothing more is written."""
+        """Stop; nothing is written afterwards."""
 
 
 class SingleNodeBackend:
-    """One process, one folder: each write is durable there before it is seen."""
+    """Storage in one process and one folder. A write is durable before it becomes visible."""
 
     def __init__(
         self, store: Store, files: Log, snapshot_entries: int, loop: asyncio.AbstractEventLoop
     ) -> None:
-        self.store, self._files, self._most, self._loop = store, files, snapshot_entries, loop
+        self.store, self._files, self._snapshot_entries, self._loop = store, files, snapshot_entries, loop
         self.changed: Callable[[], None] = lambda: None
-        self._disk = ThreadPoolExecutor(1, "disk")  # a sync takes milliseconds: nobody else waits for it
-        self._writing = asyncio.Lock()
+        # A sync takes milliseconds and must not block the event loop.
+        self._disk_thread = ThreadPoolExecutor(1, "disk")
+        self._write_lock = asyncio.Lock()
 
     @property
     def log_entries(self) -> int:
@@ -89,31 +91,35 @@
     def age_ms(self) -> float:
         return 0.0
 
-    async def write(self, plan: Plan) -> bool:
-        """One write at a time: planned, made durable, then seen."""
-        async with self._writing:
+    async def write(self, plan: WritePlan) -> bool:
+        """Plan a write, make it durable and apply it; one write at a time."""
+        async with self._write_lock:
             entry = plan(self.store, self.now())
             if entry is None:
                 return False
-            await self._loop.run_in_executor(self._disk, self._files.append, entry)
+            await self._loop.run_in_executor(self._disk_thread, self._files.append, entry)
             before = self.store.revision
             self.store.apply(entry, self.now())
             if self.store.revision != before:
                 self.changed()
-            if self._files.entries >= self._most:
+            if self._files.entries >= self._snapshot_entries:
                 await self._compact()
             return True
 
-    async def finished(self) -> None:
-        """Wait for the write that is under way."""
-        async with self._writing:
+    async def wait_for_pending_write(self) -> None:
+        """Wait for the write in progress, if any."""
+        async with self._write_lock:
             pass
 
     async def _compact(self) -> None:
         try:
-            await self._loop.run_in_executor(self._disk, self._files.compact, self.store.snapshot())
-        except FullError as error:
-            log.error(Event("no_snapshot", "no snapshot: {error}; the log goes on", error=str(error)))
+            await self._loop.run_in_executor(self._disk_thread, self._files.compact, self.store.snapshot())
+        except WriteFailedError as error:
+            log.error(
+                Event(
+                    "no_snapshot", "snapshot failed: {error}; the log is kept and continues", error=str(error)
+                )
+            )
 
     def close(self) -> None:
-        self._disk.shutdown()
+        self._disk_thread.shutdown()
--- a/yewstage/registry/log.py
+++ b/yewstage/registry/log.py
@@ -1,9 +1,9 @@
-"""Durability: an append-only log of the store's entries and a snapshot that it goes on from.
+"""Durable storage: an append-only log of the store's entries, and a snapshot that the log continues from.
 
-One entry is one line: a checksum, a length and JSON that holds a number one higher than the line before. An
-entry is acknowledged once it is synced. A crash can leave a last line that is not whole, which nobody was
-told of: it is cut off. Anything else that does not fit is damage, and no list is better than a wrong one: the
-start ends there.
+An entry is one line: a checksum, a length and JSON with a number that is one higher than in the line
+before. An entry is acknowledged once it is synced. A crash can leave a torn last line; it was never
+acknowledged and is cut off. Any other mismatch is damage and stops the start, because serving a wrong list
+is worse than serving none.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 
 from yewstage.registry.store import Entry
 
-LOG, SNAPSHOT, LOCK = "log", "snapshot", "lock"
-FIRST = b"plumwall registry 1\n"  # what a log begins with
+LOG_FILE, SNAPSHOT_FILE, LOCK_FILE = "log", "snapshot", "lock"
+FILE_HEADER = b"plumwall registry 1\n"  # first line of a log
 
 
 class LogError(Exception):
     """The folder cannot be used; the text says why, in one line."""
 
 
-class FullError(Exception):
-    """An entry could not be made durable, and is not there."""
+class WriteFailedError(Exception):
+    """An entry could not be made durable and was not added."""
 
 
 class Log:
-    """The files of one store, which one process holds."""
+    """The files of one store, locked by one process at a time."""
 
     def __init__(self, folder: Path, sync: Callable[[int], None] = os.fsync) -> None:
         self._folder, self._sync = folder, sync
-        self.cut = 0  # bytes of a torn last entry, at the last load
-        self.entries = 0  # in the log, behind the snapshot
-        self.broken = ""  # why nothing more can be written; empty: it can
-        self._number = 0  # of the last entry
-        self._size = 0  # of the part of the log that is whole
+        self.torn_bytes = 0  # bytes of a torn last entry that the last `load` removed
+        self.entries = 0  # in the log after the snapshot
+        self.broken = ""  # why writes are no longer possible; empty: they are
+        self._last_number = 0  # of the last entry
+        self._intact_bytes = 0  # size of the part of the log that holds complete entries
         self._file: BinaryIO | None = None
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            self._lock = open(folder / LOCK, "ab")
+            self._lock = open(folder / LOCK_FILE, "ab")
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             raise LogError(f"{folder}: another process holds it") from None
@@ -51,56 +51,59 @@
             raise LogError(f"{folder}: {error}") from None
 
     def load(self) -> tuple[Entry | None, list[Entry]]:
-        """The snapshot, None if there is none, and the entries behind it. Ready to append from here on."""
+        """Read the snapshot (None if there is none) and the entries after it, and prepare for appending.
+        Raises LogError."""
         try:
             state = self._read_snapshot()
             entries = self._read_log(state is not None)
-            self._file = open(self._folder / LOG, "r+b", buffering=0)
-            self._file.truncate(self._size)
-            self._file.seek(self._size)
+            self._file = open(self._folder / LOG_FILE, "r+b", buffering=0)
+            self._file.truncate(self._intact_bytes)
+            self._file.seek(self._intact_bytes)
         except OSError as error:
             raise LogError(f"{self._folder}: {error}") from None
         self.entries = len(entries)
         return state, entries
 
     def append(self, entry: Entry) -> None:
-        """Make an entry durable; FullError if that failed, and then it is not there."""
+        """Make an entry durable. Raises WriteFailedError if that fails; the entry is then not in the log."""
         if self.broken:
-            raise FullError(self.broken)
-        line = _line({"n": self._number + 1, "entry": entry})
+            raise WriteFailedError(self.broken)
+        line = _encode_line({"n": self._last_number + 1, "entry": entry})
         try:
             self._write(line)
         except OSError as error:
-            self._undo(error)
+            self._truncate_partial_write(error)
         try:
             self._sync(self._file.fileno())
         except OSError as error:
-            # Danger: after a sync that failed nobody knows what is on the disk; a second one may lie.
+            # After a failed sync the content of the disk is unknown, and a second sync may report success
+            # without having written anything.
             self.broken = f"sync: {error}"
-            raise FullError(self.broken) from None
-        self._number += 1
-        self._size += len(line)
+            raise WriteFailedError(self.broken) from None
+        self._last_number += 1
+        self._intact_bytes += len(line)
         self.entries += 1
 
     def compact(self, state: Entry) -> None:
-        """Put a snapshot in place of all entries so far. What fails leaves the log as it was."""
+        """Replace all entries so far by a snapshot. Raises WriteFailedError if that fails; the log is then
+        unchanged."""
         if self.broken:
-            raise FullError(self.broken)
+            raise WriteFailedError(self.broken)
         try:
-            self._replace(SNAPSHOT, _line({"n": self._number, "state": state}))
-            # A crash between the two leaves entries that the snapshot holds: by their numbers they are
-            # skipped.
-            self._replace(LOG, FIRST)
-            fresh = open(self._folder / LOG, "r+b", buffering=0)
+            self._replace_file(SNAPSHOT_FILE, _encode_line({"n": self._last_number, "state": state}))
+            # A crash between the two steps leaves entries that the snapshot contains; they are skipped by
+            # their numbers.
+            self._replace_file(LOG_FILE, FILE_HEADER)
+            fresh = open(self._folder / LOG_FILE, "r+b", buffering=0)
         except OSError as error:
-            raise FullError(f"snapshot: {error}") from None
+            raise WriteFailedError(f"snapshot: {error}") from None
         self._file.close()
         self._file = fresh
-        self._file.seek(len(FIRST))
-        self._size, self.entries = len(FIRST), 0
+        self._file.seek(len(FILE_HEADER))
+        self._intact_bytes, self.entries = len(FILE_HEADER), 0
 
     def close(self) -> None:
-        """Give the folder up."""
+        """Close the files and release the lock."""
         if self._file is not None:
             self._file.close()
         self._lock.close()
@@ -110,16 +113,16 @@
         while left:
             left = left[self._file.write(left) :]
 
-    def _undo(self, error: OSError) -> None:
-        """Take a part of a line off again, so that what comes next does not stand behind it."""
+    def _truncate_partial_write(self, error: OSError) -> None:
+        """Remove a partial line, so that the next one does not follow it."""
         try:
-            self._file.truncate(self._size)
-            self._file.seek(self._size)
+            self._file.truncate(self._intact_bytes)
+            self._file.seek(self._intact_bytes)
         except OSError:
             self.broken = f"write: {error}"
-        raise FullError(f"write: {error}") from None
+        raise WriteFailedError(f"write: {error}") from None
 
-    def _replace(self, name: str, data: bytes) -> None:
+    def _replace_file(self, name: str, data: bytes) -> None:
         path = self._folder / f"{name}.new"
         with open(path, "wb") as file:
             file.write(data)
@@ -133,68 +136,74 @@
             os.close(folder)
 
     def _read_snapshot(self) -> Entry | None:
-        path = self._folder / SNAPSHOT
+        path = self._folder / SNAPSHOT_FILE
         if not path.exists():
             return None
-        raw = _parse(path.read_bytes().removesuffix(b"\n"))
-        if raw is None or not isinstance(raw.get("state"), dict) or not isinstance(raw.get("n"), int):
+        record = _decode_line(path.read_bytes().removesuffix(b"\n"))
+        if (
+            record is None
+            or not isinstance(record.get("state"), dict)
+            or not isinstance(record.get("n"), int)
+        ):
             raise LogError(f"{path}: is damaged; restore it from a copy, or start with an empty folder")
-        self._number = raw["n"]
-        return raw["state"]
+        self._last_number = record["n"]
+        return record["state"]
 
     def _read_log(self, snapshot: bool) -> list[Entry]:
-        path = self._folder / LOG
+        path = self._folder / LOG_FILE
         if not path.exists():
             if snapshot:
-                raise LogError(f"{path}: is missing beside a snapshot")
-            self._replace(LOG, FIRST)
+                raise LogError(f"{path}: is missing although there is a snapshot")
+            self._replace_file(LOG_FILE, FILE_HEADER)
         data = path.read_bytes()
-        if not data.startswith(FIRST):
-            raise LogError(f"{path}: does not begin as a log does")
-        lines = data[len(FIRST) :].split(b"\n")
-        last = lines.pop()  # behind the last line end: empty, or torn
-        entries, self._size = [], len(FIRST)
-        for at, line in enumerate(lines, 2):
-            raw = _parse(line)
-            if raw is None and at == len(lines) + 1 and not last and not _runs_on(line):
-                break  # torn, though its end has come: nobody was told of it
-            if raw is None or not isinstance(raw.get("entry"), dict):
-                raise LogError(f"{path}: line {at} is damaged; restore the folder from a copy")
-            self._size += len(line) + 1
-            if raw.get("n") <= self._number:
-                continue  # the snapshot holds it
-            if raw.get("n") != self._number + 1:
-                raise LogError(f"{path}: line {at} is number {raw.get('n')}, not {self._number + 1}")
-            self._number += 1
-            entries.append(raw["entry"])
-        if _runs_on(last):
+        if not data.startswith(FILE_HEADER):
+            raise LogError(f"{path}: is not a log of the list service")
+        lines = data[len(FILE_HEADER) :].split(b"\n")
+        last = lines.pop()  # after the last line end: empty, or a torn line
+        entries, self._intact_bytes = [], len(FILE_HEADER)
+        for number, line in enumerate(lines, 2):
+            record = _decode_line(line)
+            if record is None and number == len(lines) + 1 and not last and not _has_intact_prefix(line):
+                break  # torn although its line end was written; it was never acknowledged
+            if record is None or not isinstance(record.get("entry"), dict):
+                raise LogError(f"{path}: line {number} is damaged; restore the folder from a copy")
+            self._intact_bytes += len(line) + 1
+            if record.get("n") <= self._last_number:
+                continue  # the snapshot contains it
+            if record.get("n") != self._last_number + 1:
+                raise LogError(
+                    f"{path}: line {number} has number {record.get('n')}, expected {self._last_number + 1}"
+                )
+            self._last_number += 1
+            entries.append(record["entry"])
+        if _has_intact_prefix(last):
             raise LogError(f"{path}: line {len(lines) + 2} is damaged; restore the folder from a copy")
-        self.cut = len(data) - self._size
+        self.torn_bytes = len(data) - self._intact_bytes
         return entries
 
 
-def _line(value: Entry) -> bytes:
+def _encode_line(value: Entry) -> bytes:
     text = json.dumps(value, separators=(",", ":")).encode()
     return b"%08x %d %b\n" % (zlib.crc32(text), len(text), text)
 
 
-def _parse(line: bytes) -> Entry | None:
-    """What a line holds; None if it is not as it was written."""
-    checksum, text, length = _split(line)
+def _decode_line(line: bytes) -> Entry | None:
+    """The content of a line; None if its checksum or length does not match."""
+    checksum, text, length = _split_line(line)
     if length != len(text) or checksum != b"%08x" % zlib.crc32(text):
         return None
     value = json.loads(text)
     return value if isinstance(value, dict) and isinstance(value.get("n"), int) else None
 
 
-def _split(line: bytes) -> tuple[bytes, bytes, int]:
-    """Checksum, text and the length that the text should have; -1 where that is no number."""
+def _split_line(line: bytes) -> tuple[bytes, bytes, int]:
+    """Checksum, text and the stated length of the text; -1 if that is not a number."""
     checksum, _, rest = line.partition(b" ")
     length, _, text = rest.partition(b" ")
     return checksum, text, int(length) if length.isdigit() and len(length) < 12 else -1
 
 
-def _runs_on(line: bytes) -> bool:
-    """Whether a whole entry stands at its beginning: its line end was damaged, it was not torn."""
-    checksum, text, length = _split(line)
+def _has_intact_prefix(line: bytes) -> bool:
+    """Whether the line begins with a complete entry: then its line end was damaged, and it is not torn."""
+    checksum, text, length = _split_line(line)
     return 0 <= length < len(text) and checksum == b"%08x" % zlib.crc32(text[:length])
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -1,5 +1,5 @@
-"""The list service: calls to the store, each write durable before it is seen, watches that share one
-encoding."""
+"""The HTTP interface of the list service: lists, watches, registrations and leases. A write is answered
+once it is durable, and all watchers of a revision share one encoded answer."""
 
 from __future__ import annotations
 
@@ -16,100 +16,104 @@
 from yewstage.net.http_server import ConnectionLimits, HttpConnection, HttpRequest, HttpResponse, HttpServer
 from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError, StoreBackend
 from yewstage.registry.config import NAME, Config, Fields
-from yewstage.registry.log import FullError
-from yewstage.registry.store import GONE, READY, Entry, Plan, Record, RefusedError, Store
+from yewstage.registry.log import WriteFailedError
+from yewstage.registry.store import GONE, READY, Entry, Record, RefusedError, Store, WritePlan
 
 log = logging.getLogger(__name__)
 
-LONGEST_WAIT_MS = 60_000
-CALL_S, READ_S, IDLE_S = 5.0, 10.0, 75.0
-EXPIRE_S = 0.1  # spacing of the look for servers whose time is up
-RETRY_S = 1.0, 5.0  # who is turned away comes back after a random time between these
-KEPT_ENCODINGS = 64  # of the list's changes, for watchers that are not all equally far
-TOLD_S = 10.0  # spacing of the log's word that too many servers are silent
+MAX_WAIT_MS = 60_000
+CALL_TIMEOUT_S, READ_TIMEOUT_S, IDLE_TIMEOUT_S = 5.0, 10.0, 75.0
+EXPIRY_CHECK_INTERVAL_S = 0.1  # how often overdue servers are looked for
+RETRY_AFTER_RANGE_S = 1.0, 5.0  # a random Retry-After, so that rejected clients do not all return at once
+MAX_CACHED_ENCODINGS = 64  # of changes since a revision: watchers do not all wait on the same one
+WARNING_INTERVAL_S = 10.0  # between warnings that too many servers are silent
 
-PASSED = "passed"  # in a query: another process passes the call on, it is not passed on again
+PASSED = "passed"  # query parameter of a call that another process forwarded; it is not forwarded again
 
 Handler = Callable[[HttpRequest, HttpConnection, str], HttpResponse | None]
-PassOn = Callable[
-    [int | None, int, HttpConnection], bool
-]  # behind which revision, ms to wait; whether it was taken
+# Takes the revision (None: the whole list), the ms to wait and the connection; whether the call is forwarded.
+ForwardList = Callable[[int | None, int, HttpConnection], bool]
 
 
 def json_response(status: int, body: dict[str, object], headers: bytes = b"") -> HttpResponse:
-    """An answer of one line of JSON."""
+    """A response with one line of JSON."""
     line = json.dumps(body, separators=(",", ":")).encode() + b"\n"
     return HttpResponse(status, line, b"application/json", headers)
 
 
 def error_response(status: int, why: str, field: str = "") -> HttpResponse:
-    """What was wrong, and with which field."""
+    """A response with the reason of an error, and the field at fault if there is one."""
     return json_response(status, {"error": why, **({"field": field} if field else {})})
 
 
 def malformed(error: ConfigError) -> HttpResponse:
-    """A call whose field is wrong."""
+    """A 400 response for a field that is missing or invalid."""
     field, _, why = str(error).partition(": ")
     return error_response(400, why, field)
 
 
 def misdirected(error: MisdirectedError) -> HttpResponse:
-    """Who does it instead."""
+    """A 421 response with the address of the process that accepts the call."""
     return json_response(421, {"error": str(error), "leader": error.leader_address})
 
 
 class Registry:
-    """Calls in, answers out."""
+    """Handles the calls of the list service and answers them from its store."""
 
     def __init__(
-        self, config: Config, ledger: StoreBackend, loop: asyncio.AbstractEventLoop, rng: random.Random
+        self, config: Config, backend: StoreBackend, loop: asyncio.AbstractEventLoop, rng: random.Random
     ) -> None:
-        self.config, self.ledger, self._loop, self._rng = config, ledger, loop, rng
-        ledger.changed = self._changed
-        self.forward_list: PassOn | None = None  # to whom calls for the list go that cannot be answered here
-        manners = ConnectionLimits(config.connections, CALL_S, READ_S, IDLE_S, error_response)
-        self.listener = HttpServer(loop, self.handle, manners)
-        self._watches: dict[
-            HttpConnection, tuple[int, asyncio.TimerHandle]
-        ] = {}  # who waits behind which revision
-        self._encoded: dict[int | None, bytes] = {}  # since a revision, or the whole list; as of now
+        self.config, self.backend, self._loop, self._rng = config, backend, loop, rng
+        backend.changed = self._on_list_changed
+        # Forwards calls for the list that cannot be answered here.
+        self.forward_list: ForwardList | None = None
+        limits = ConnectionLimits(
+            config.connections, CALL_TIMEOUT_S, READ_TIMEOUT_S, IDLE_TIMEOUT_S, error_response
+        )
+        self.listener = HttpServer(loop, self.handle, limits)
+        # The revision that each pending watch waits on, and its timer.
+        self._watches: dict[HttpConnection, tuple[int, asyncio.TimerHandle]] = {}
+        # Answers by the revision asked for, None for the whole list. Cleared when the list changes.
+        self._encoded_lists: dict[int | None, bytes] = {}
         self._tasks: set[asyncio.Task] = set()
-        known = bool(ledger.store.records)
-        self._settled_at = loop.time() + (0.0 if known else config.settle_ms / 1000)
-        self._heard = known  # of a server, in this life or before
-        self._told_at = -TOLD_S
-        self._figures = MetricsPage(self.collect)
-        self.writes, self.refused, self.failed, self.renewals, self.expired = 0, 0, 0, 0, 0
-        self.turned_away = self.turned_away_early = self.turned_away_old = self.changes_told = 0
+        has_records = bool(backend.store.records)
+        self._settled_at = loop.time() + (0.0 if has_records else config.settle_ms / 1000)
+        self._has_known_servers = has_records  # a server is or was registered, now or in the loaded files
+        self._warned_at = -WARNING_INTERVAL_S
+        self._metrics_page = MetricsPage(self.collect)
+        self.writes, self.refused, self.not_durable, self.renewals, self.expired = 0, 0, 0, 0, 0
+        self.rejected_too_many = self.rejected_not_ready = self.rejected_too_old = self.watches_answered = 0
 
     async def start(self) -> tuple[str, int]:
-        """Listen, and begin to look for servers whose time is up."""
-        self._spawn(self._expire())
+        """Start to listen, and to expire overdue servers. Returns the address."""
+        self._start_task(self._expire_servers())
         return await self.listener.start(self.config.listen)
 
     async def stop(self) -> None:
-        """End all connections and whatever waits."""
+        """Close all connections and cancel what is pending."""
         self.listener.stop()
         for task in self._tasks:
             task.cancel()
 
     def ready(self) -> bool:
-        """Whether lists are told: a store that began empty has waited for its servers, and heard some.
+        """Whether lists are served. A store that began empty first waits `settle_ms` and for at least one
+        registration.
 
-        Danger: to a gateway an empty list says that all servers are gone. One that knows none says nothing.
+        A gateway takes an empty list to mean that all servers are gone, so a service that knows no server
+        gives no list.
         """
-        self._heard = self._heard or bool(self.store.records)
-        return self._heard and self._loop.time() >= self._settled_at
+        self._has_known_servers = self._has_known_servers or bool(self.store.records)
+        return self._has_known_servers and self._loop.time() >= self._settled_at
 
     @property
     def store(self) -> Store:
-        """What has come about, as it is known here."""
-        return self.ledger.store
+        """The store as known in this process."""
+        return self.backend.store
 
-    def handle(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse | None:
-        """One call; None if it is answered later."""
-        kind, _, name = call.path.removeprefix("/v1/").partition("/")
-        name, _, verb = name.partition("/")
+    def handle(self, request: HttpRequest, connection: HttpConnection) -> HttpResponse | None:
+        """Handle one call; None if it is answered later."""
+        kind, _, name = request.path.removeprefix("/v1/").partition("/")
+        name, _, action = name.partition("/")
         routes: dict[tuple[str, bool, str], dict[str, Handler]] = {
             ("endpoints", False, ""): {"GET": self._list},
             ("endpoints", True, ""): {"PUT": self._register, "DELETE": self._deregister},
@@ -120,16 +124,16 @@
             ("leases", True, ""): {"PUT": self._acquire, "DELETE": self._release},
             ("leases", True, "renew"): {"POST": self._renew_lease},
         }
-        methods = routes.get((kind, bool(name), verb)) if call.path.startswith("/v1/") else None
+        methods = routes.get((kind, bool(name), action)) if request.path.startswith("/v1/") else None
         if methods is None:
             return error_response(404, "no such path")
-        if call.method not in methods:
-            answer = error_response(405, f"not {call.method}")
+        if request.method not in methods:
+            answer = error_response(405, f"method not allowed: {request.method}")
             return HttpResponse(405, answer.body, answer.kind, b"Allow: %b\r\n" % ", ".join(methods).encode())
         try:
             if name and not NAME.fullmatch(name):
-                raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underlines")
-            return methods[call.method](call, caller, name)
+                raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underscores")
+            return methods[request.method](request, connection, name)
         except ConfigError as error:
             return malformed(error)
         except RefusedError as error:
@@ -138,168 +142,172 @@
 
     # --- Lists and watches --------------------------------------------------------------------------------
 
-    def _list(self, call: HttpRequest, caller: HttpConnection, name: str) -> HttpResponse | None:
-        after, wait_ms = _whole(call, "after", None), min(_whole(call, "wait_ms", 0), LONGEST_WAIT_MS)
+    def _list(self, request: HttpRequest, connection: HttpConnection, name: str) -> HttpResponse | None:
+        after, wait_ms = (
+            _query_integer(request, "after", None),
+            min(_query_integer(request, "wait_ms", 0), MAX_WAIT_MS),
+        )
         if (
             self.forward_list is not None
-            and PASSED not in call.query
-            and self.forward_list(after, wait_ms, caller)
+            and PASSED not in request.query
+            and self.forward_list(after, wait_ms, connection)
         ):
             return None
         if not self.ready():
-            self.turned_away_early += 1
+            self.rejected_not_ready += 1
             return self.later("the list is not complete yet")
-        age_ms = self.ledger.age_ms()
+        age_ms = self.backend.age_ms()
         if age_ms > self.config.most_age_ms:
-            self.turned_away_old += 1
-            return self.later(f"what is known here may be {age_ms / 1000:.0f} s old")
+            self.rejected_too_old += 1
+            return self.later(f"the list here may be {age_ms / 1000:.0f} s old")
         if after is None:
             return self._listing(None)
         changes = self.store.changes(after)
-        ahead = (
-            after > self.store.revision and self.ledger.leader_store() is None
-        )  # another replica has told more
+        # The client has a later revision from another replica.
+        ahead = after > self.store.revision and self.backend.leader_store() is None
         if ahead and not wait_ms:
-            return self.later("not as far as that yet")
+            return self.later("the list here is at an earlier revision")
         if not ahead and (changes or changes is None or not wait_ms):
             return self._listing(after if changes is not None else None)
         if len(self._watches) >= self.config.watches:
-            self.turned_away += 1
+            self.rejected_too_many += 1
             return self.later("too many watches")
-        timer = self._loop.call_later(wait_ms / 1000, self._waited, caller)
-        self._watches[caller] = (after, timer)
-        caller.on_disconnect = lambda: self._unwatch(caller)
+        timer = self._loop.call_later(wait_ms / 1000, self._on_watch_timeout, connection)
+        self._watches[connection] = (after, timer)
+        connection.on_disconnect = lambda: self._unwatch(connection)
         return None
 
     def later(self, why: str) -> HttpResponse:
-        """Come back, and not all at one moment."""
-        wait = b"Retry-After: %.2f\r\n" % self._rng.uniform(*RETRY_S)
+        """A 503 response with a random Retry-After, so that clients do not all return at once."""
+        wait = b"Retry-After: %.2f\r\n" % self._rng.uniform(*RETRY_AFTER_RANGE_S)
         answer = error_response(503, why)
         return HttpResponse(503, answer.body, answer.kind, wait)
 
     def _listing(self, after: int | None) -> HttpResponse:
-        """The whole list, or what has changed: encoded once, however many ask for it."""
-        body = self._encoded.get(after)
+        """The whole list or the changes since a revision, encoded once for all that ask."""
+        body = self._encoded_lists.get(after)
         if body is None:
             changes = None if after is None else self.store.changes(after)
-            told = self.store.records.items() if changes is None else changes
+            servers = self.store.records.items() if changes is None else changes
             listing = {
                 "generation": self.store.revision,
                 "reset": changes is None,
-                "instances": [_row(name, record) for name, record in told],
+                "instances": [_instance(name, record) for name, record in servers],
             }
             body = json.dumps(listing, separators=(",", ":")).encode()
-            if len(self._encoded) >= KEPT_ENCODINGS:
-                self._encoded.pop(next(iter(self._encoded)))
-            self._encoded[after] = body
-        return HttpResponse(200, body, b"application/json", b"X-Age-Ms: %d\r\n" % self.ledger.age_ms())
-
-    def _waited(self, caller: HttpConnection) -> None:
-        """Nothing has changed in its time, or nothing was heard of what has."""
-        after, _ = self._watches.pop(caller)
-        if self.ledger.age_ms() > self.config.most_age_ms or after > self.store.revision:
-            self.turned_away_old += 1
-            caller.answer(self.later("what is known here may be too old"))
+            if len(self._encoded_lists) >= MAX_CACHED_ENCODINGS:
+                self._encoded_lists.pop(next(iter(self._encoded_lists)))
+            self._encoded_lists[after] = body
+        return HttpResponse(200, body, b"application/json", b"X-Age-Ms: %d\r\n" % self.backend.age_ms())
+
+    def _on_watch_timeout(self, connection: HttpConnection) -> None:
+        """Answer a watch whose time is over: with no changes, or 503 if the list here may be outdated."""
+        after, _ = self._watches.pop(connection)
+        if self.backend.age_ms() > self.config.most_age_ms or after > self.store.revision:
+            self.rejected_too_old += 1
+            connection.answer(self.later("the list here may be outdated"))
         else:
-            caller.answer(self._listing(after))
+            connection.answer(self._listing(after))
 
-    def _unwatch(self, caller: HttpConnection) -> None:
-        _, timer = self._watches.pop(caller, (0, None))
+    def _unwatch(self, connection: HttpConnection) -> None:
+        _, timer = self._watches.pop(connection, (0, None))
         if timer is not None:
             timer.cancel()
 
-    def _changed(self) -> None:
-        """Tell all who wait. They are let go first: some ask again at once. Who knows more than we do waits
-        on."""
-        self._encoded.clear()
+    def _on_list_changed(self) -> None:
+        """Answer the watches that wait for a change. All watches are taken out first, since an answered
+        client may ask again at once. A watch whose revision is ahead of this store keeps waiting."""
+        self._encoded_lists.clear()
         revision = self.store.revision
         watches, self._watches = self._watches, {}
-        for caller, (after, timer) in watches.items():
+        for connection, (after, timer) in watches.items():
             if after >= revision:
-                self._watches[caller] = after, timer
+                self._watches[connection] = after, timer
                 continue
             timer.cancel()
-            self.changes_told += 1
-            caller.answer(self._listing(after))
+            self.watches_answered += 1
+            connection.answer(self._listing(after))
 
     # --- Writes -------------------------------------------------------------------------------------------
 
-    def _write(self, caller: HttpConnection, plan: Plan, answer: Callable[[], dict[str, object]]) -> None:
-        """Answer a write once it is durable."""
-        self._spawn(self._written(caller, plan, answer))
+    def _write(
+        self, connection: HttpConnection, plan: WritePlan, answer: Callable[[], dict[str, object]]
+    ) -> None:
+        """Carry out a write and answer once it is durable."""
+        self._start_task(self._execute_write(connection, plan, answer))
 
-    async def _written(
-        self, caller: HttpConnection, plan: Plan, answer: Callable[[], dict[str, object]]
+    async def _execute_write(
+        self, connection: HttpConnection, plan: WritePlan, answer: Callable[[], dict[str, object]]
     ) -> None:
         try:
-            self.writes += await self.ledger.write(plan)
-            caller.answer(json_response(200, answer()))
+            self.writes += await self.backend.write(plan)
+            connection.answer(json_response(200, answer()))
         except RefusedError as error:
             self.refused += 1
-            caller.answer(error_response(error.status, error.why, error.field))
+            connection.answer(error_response(error.status, error.why, error.field))
         except MisdirectedError as error:
-            caller.answer(self._elsewhere(error))
+            connection.answer(self._redirect_to_leader(error))
         except OutcomeUnknownError as error:
-            caller.answer(self.later(str(error)))
-        except FullError as error:
+            connection.answer(self.later(str(error)))
+        except WriteFailedError as error:
             log.error(Event("not_durable", "a write could not be made durable: {error}", error=str(error)))
-            self.failed += 1
-            caller.answer(self.later(f"writes are refused: {error}"))
+            self.not_durable += 1
+            connection.answer(self.later(f"writes are refused: {error}"))
         except Exception:
             log.exception(Event("write_failed", "a write failed"))
-            caller.answer(error_response(500, "the service failed"))
+            connection.answer(error_response(500, "internal error"))
 
-    def _elsewhere(self, error: MisdirectedError) -> HttpResponse:
-        """Writes go to the leader: told where that is; come back later while there is none."""
+    def _redirect_to_leader(self, error: MisdirectedError) -> HttpResponse:
+        """Redirect a write to the leader, or 503 while none is known."""
         if not error.leader_address:
             return self.later(str(error))
         return misdirected(error)
 
-    async def _expire(self) -> None:
-        """Let servers go whose time is up, as long as it is not most of them."""
+    async def _expire_servers(self) -> None:
+        """Remove servers whose TTL has passed, unless too many are silent at once."""
         while True:
-            await asyncio.sleep(EXPIRE_S)
-            store = self.ledger.leader_store()
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
+            store = self.backend.leader_store()
             if store is None:
                 continue
-            late = store.overdue(self.ledger.now())
-            if store.held_back and self._loop.time() - self._told_at >= TOLD_S:
-                self._told_at = self._loop.time()
+            overdue = store.overdue(self.backend.now())
+            if store.withheld_expiries and self._loop.time() - self._warned_at >= WARNING_INTERVAL_S:
+                self._warned_at = self._loop.time()
                 log.warning(
                     Event(
                         "held_back",
-                        "{silent} of {servers} servers are silent: likelier it is "
-                        "we who hear nothing; all are kept",
-                        silent=store.held_back,
+                        "{silent} of {servers} servers have not renewed; the fault is more likely "
+                        "on this side, so none is removed",
+                        silent=store.withheld_expiries,
                         servers=len(store.records),
                     )
                 )
-            for name in late:
+            for name in overdue:
                 try:
-                    if await self.ledger.write(lambda store, now, name=name: store.plan_expire(name, now)):
+                    if await self.backend.write(lambda store, now, name=name: store.plan_expire(name, now)):
                         self.writes += 1
                         self.expired += 1
                         log.info(Event("expired", "{server} has not renewed in time", server=name))
-                except (FullError, MisdirectedError, OutcomeUnknownError) as error:
+                except (WriteFailedError, MisdirectedError, OutcomeUnknownError) as error:
                     log.error(
                         Event(
                             "not_expired",
-                            "{server} could not be let go: {error}",
+                            "{server} could not be removed: {error}",
                             server=name,
                             error=str(error),
                         )
                     )
                     break
 
-    def _spawn(self, work: object) -> None:
+    def _start_task(self, work: object) -> None:
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # --- Servers ------------------------------------------------------------------------------------------
 
-    def _register(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _register(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         config = self.config
         host, port = fields.address("hostPort")
         record = Record(
@@ -310,7 +318,7 @@
             cell=fields.integer("cell", 0, 0),
             weight=fields.number("weight", 1.0, 1e-6, 1e6),
             started_at_ms=fields.number("startedAtMs", 0.0, 0.0, 1e14),
-            ttl_ms=fields.number("ttlMs", None, config.least_ttl_ms, config.most_ttl_ms),
+            ttl_ms=fields.number("ttlMs", None, config.min_ttl_ms, config.max_ttl_ms),
         )
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
@@ -321,63 +329,66 @@
                 store.renew(name, None, now)
             return entry
 
-        self._change(caller, name, fence, plan)
+        self._write_record(connection, name, fence, plan)
 
-    def _change(self, caller: HttpConnection, name: str, fence: tuple[str, int] | None, plan: Plan) -> None:
-        """A write of one server's record, by the holder of a duty where a fence says so; answered with what
-        the
-        record was then, whatever came of it since."""
-        told: dict[str, object] = {}
+    def _write_record(
+        self, connection: HttpConnection, name: str, fence: tuple[str, int] | None, plan: WritePlan
+    ) -> None:
+        """Write a server's record, checking the fencing token if one is given. The answer describes the
+        record as of this write, even if it changes again before the answer is sent."""
+        result: dict[str, object] = {}
 
         def fenced(store: Store, now: float) -> Entry | None:
             if fence is not None:
                 store.check_token(*fence)
             entry = plan(store, now)
-            told.update(_told(store, name, entry))
+            result.update(_write_result(store, name, entry))
             return entry
 
-        self._write(caller, fenced, lambda: told)
+        self._write(connection, fenced, lambda: result)
 
-    def _renew(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _renew(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         registered = fields.integer("registered", 0, 0) or None
         fields.done()
-        told: dict[str, object] = {}
+        result: dict[str, object] = {}
 
         def plan(store: Store, now: float) -> None:
             record = store.renew(name, registered, now)
-            told.update(revision=record.revision, registered=record.registered, ttlMs=record.ttl_ms)
+            result.update(revision=record.revision, registered=record.registered, ttlMs=record.ttl_ms)
             self.renewals += 1
 
-        self._write(caller, plan, lambda: told)
+        self._write(connection, plan, lambda: result)
 
-    def _drain(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _drain(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         draining = fields.flag("draining") if fields.has("draining") else True
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
-        self._change(caller, name, fence, lambda store, now: store.plan_drain(name, draining, expect))
+        self._write_record(
+            connection, name, fence, lambda store, now: store.plan_drain(name, draining, expect)
+        )
 
-    def _verdict(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _verdict(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         well, fence = fields.flag("well"), _fence(fields)
         fields.done()
         if fence is None:
-            raise ConfigError("lease: a verdict is written by the holder of a duty")
-        self._change(caller, name, fence, lambda store, now: store.plan_verdict(name, well))
+            raise ConfigError("lease: is missing; a verdict is written by the holder of a lease")
+        self._write_record(connection, name, fence, lambda store, now: store.plan_verdict(name, well))
 
-    def _deregister(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _deregister(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         expect, fence = _expect(fields), _fence(fields)
         fields.done()
-        self._change(caller, name, fence, lambda store, now: store.plan_deregister(name, expect))
+        self._write_record(connection, name, fence, lambda store, now: store.plan_deregister(name, expect))
 
     # --- Leases -------------------------------------------------------------------------------------------
 
-    def _leases(self, call: HttpRequest, caller: HttpConnection, name: str) -> HttpResponse:
-        now, store = self.ledger.now(), self.ledger.leader_store()
+    def _leases(self, request: HttpRequest, connection: HttpConnection, name: str) -> HttpResponse:
+        now, store = self.backend.now(), self.backend.leader_store()
         if store is None:
-            return self._elsewhere(MisdirectedError(self.ledger.leader()))
+            return self._redirect_to_leader(MisdirectedError(self.backend.leader()))
         return json_response(
             200,
             {
@@ -386,63 +397,65 @@
                         "name": lease.name,
                         "holder": held.holder if held else "",
                         "token": lease.token,
-                        "endsInMs": round(store.lease_ends_ms(lease.name, now)) if held else 0,
+                        "endsInMs": round(store.lease_remaining_ms(lease.name, now)) if held else 0,
                     }
                     for lease in store.leases.values()
-                    for held in [store.holder(lease.name, now)]
+                    for held in [store.active_lease(lease.name, now)]
                 ]
             },
         )
 
-    def _acquire(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _acquire(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         holder = fields.name("holder")
-        ttl_ms = fields.number("ttlMs", None, self.config.least_ttl_ms, self.config.most_ttl_ms)
+        ttl_ms = fields.number("ttlMs", None, self.config.min_ttl_ms, self.config.max_ttl_ms)
         fields.done()
 
-        told: dict[str, object] = {}
+        result: dict[str, object] = {}
 
         def plan(store: Store, now: float) -> Entry | None:
             entry = store.plan_acquire(name, holder, ttl_ms, now)
             if entry is None:
                 store.renew_lease(name, holder, store.leases[name].token, now)
             lease = entry or asdict(store.leases[name])
-            told.update(token=lease["token"], ttlMs=lease["ttl_ms"])
+            result.update(token=lease["token"], ttlMs=lease["ttl_ms"])
             return entry
 
-        self._write(caller, plan, lambda: told)
+        self._write(connection, plan, lambda: result)
 
-    def _renew_lease(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _renew_lease(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         holder, token = fields.name("holder"), fields.integer("token", None, 1)
         fields.done()
-        told: dict[str, object] = {}
+        result: dict[str, object] = {}
 
         def plan(store: Store, now: float) -> None:
             lease = store.renew_lease(name, holder, token, now)
-            told.update(token=lease.token, ttlMs=lease.ttl_ms)
+            result.update(token=lease.token, ttlMs=lease.ttl_ms)
             self.renewals += 1
 
-        self._write(caller, plan, lambda: told)
+        self._write(connection, plan, lambda: result)
 
-    def _release(self, call: HttpRequest, caller: HttpConnection, name: str) -> None:
-        fields = _fields(call)
+    def _release(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
+        fields = _fields(request)
         holder, token = fields.name("holder"), fields.integer("token", None, 1)
         fields.done()
-        self._write(caller, lambda store, now: store.plan_release(name, holder, token), lambda: {})
+        self._write(connection, lambda store, now: store.plan_release(name, holder, token), lambda: {})
 
     # --- Figures ------------------------------------------------------------------------------------------
 
     def metrics(self) -> str:
-        """What operators read."""
-        return self._figures.text()
+        """The metrics page in text form."""
+        return self._metrics_page.text()
 
     def collect(self) -> list[Metric]:
-        """The figures, to be told alone or beside others."""
+        """The metrics, for this service's page or as part of another."""
         records = self.store.records.values()
         out = sum(record.lifecycle() != READY for record in records)
-        now, live = self.ledger.now(), self.ledger.leader_store()
-        held = sum(live.holder(name, now) is not None for name in live.leases) if live is not None else 0
+        now, live = self.backend.now(), self.backend.leader_store()
+        held = (
+            sum(live.active_lease(name, now) is not None for name in live.leases) if live is not None else 0
+        )
         return [
             gauge("registry_revision", "of the list", self.store.revision),
             gauge("registry_ready", "whether it tells a list", self.ready()),
@@ -452,20 +465,20 @@
             gauge(
                 "registry_held_back",
                 "servers past their time that are kept",
-                live.held_back if live is not None else 0,
+                live.withheld_expiries if live is not None else 0,
             ),
             gauge("registry_leases_held", "duties that somebody holds", held),
             gauge("registry_connections", "open", len(self.listener.callers)),
             gauge("registry_watches", "held", len(self._watches)),
-            count("registry_changes_told", "answers to watches that had waited", self.changes_told),
+            count("registry_changes_told", "answers to watches that had waited", self.watches_answered),
             counts(
                 "registry_turned_away",
                 "calls answered 503",
                 "reason",
                 {
-                    "too_many": self.turned_away,
-                    "not_ready": self.turned_away_early,
-                    "too_old": self.turned_away_old,
+                    "too_many": self.rejected_too_many,
+                    "not_ready": self.rejected_not_ready,
+                    "too_old": self.rejected_too_old,
                 },
             ),
             count("registry_dropped", "peers that were slow, silent or in the way", self.listener.dropped),
@@ -473,17 +486,17 @@
                 "registry_writes",
                 "by what came of them",
                 "result",
-                {"done": self.writes, "refused": self.refused, "not_durable": self.failed},
+                {"done": self.writes, "refused": self.refused, "not_durable": self.not_durable},
             ),
             count("registry_renewals", "of servers and leases", self.renewals),
             count("registry_expired", "servers let go for their silence", self.expired),
-            gauge("registry_log_entries", "since the last snapshot", self.ledger.log_entries),
-            gauge("registry_log_broken", "whether the log takes no more", bool(self.ledger.broken)),
+            gauge("registry_log_entries", "since the last snapshot", self.backend.log_entries),
+            gauge("registry_log_broken", "whether the log takes no more", bool(self.backend.broken)),
         ]
 
 
-def _told(store: Store, name: str, entry: Entry | None) -> dict[str, object]:
-    """What a server's record is once an entry, if there is one, has come about."""
+def _write_result(store: Store, name: str, entry: Entry | None) -> dict[str, object]:
+    """The answer to a write: the server's record as it is once the entry, if any, is applied."""
     if entry is not None:
         record = Record(**entry["record"]) if entry["op"] == "put" else None
         revision = entry["revision"]
@@ -499,8 +512,8 @@
     }
 
 
-def _row(name: str, record: Record | None) -> dict[str, object]:
-    """A server as discovery's protocol tells it."""
+def _instance(name: str, record: Record | None) -> dict[str, object]:
+    """A server in the format of the discovery protocol."""
     if record is None:
         return {"instanceId": name, "lifecycle": GONE}
     return {
@@ -515,10 +528,10 @@
     }
 
 
-def _fields(call: HttpRequest) -> Fields:
-    """The fields of a call's body."""
+def _fields(request: HttpRequest) -> Fields:
+    """The fields of a request's body."""
     try:
-        raw = json.loads(call.body or b"{}")
+        raw = json.loads(request.body or b"{}")
     except (ValueError, RecursionError):
         raise ConfigError("body: is not JSON") from None
     if not isinstance(raw, dict):
@@ -531,14 +544,14 @@
 
 
 def _fence(fields: Fields) -> tuple[str, int] | None:
-    """The duty that a write is made for, and the token that it was granted with."""
+    """The lease that a write is made under and its fencing token; None if the request names neither."""
     if not fields.has("lease") and not fields.has("token"):
         return None
     return fields.name("lease"), fields.integer("token", None, 1)
 
 
-def _whole(call: HttpRequest, name: str, default: int | None) -> int | None:
-    text = call.query.get(name)
+def _query_integer(request: HttpRequest, name: str, default: int | None) -> int | None:
+    text = request.query.get(name)
     if text is None:
         return default
     if not (text.isascii() and text.isdigit() and len(text) <= 18):
--- a/yewstage/registry/store.py
+++ b/yewstage/registry/store.py
@@ -1,10 +1,10 @@
-"""The store: records, revisions and leases. Pure: no clock, no sockets, no files.
+"""The state of the list service: server records with revisions, and leases. No clock, sockets or files.
 
-A write goes in three steps: `plan_...` says what entry it would make or why it is refused, the caller makes
-the entry last, and `apply` brings it about. So nothing is seen that a crash could take back, and a store that
-applies its entries again is the same store. Times are milliseconds on a clock that never runs backwards;
-deadlines are no part of entries, since no clock outlives its machine: what is loaded is given its whole time
-to live anew.
+A write has three steps: a `plan_...` method returns the log entry to write (or refuses it), the caller
+makes the entry durable, and `apply` carries it out. So no reader sees a state that a crash could undo, and
+applying the same entries again gives the same state. Times are milliseconds of a monotonic clock.
+Deadlines are not part of entries, because such a clock does not survive a restart of its machine: after
+loading, every registration and lease gets its full TTL again.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 Entry = dict[str, object]
-Plan = Callable[["Store", float], Entry | None]  # against which store, at what time on its clock
+WritePlan = Callable[["Store", float], Entry | None]  # takes the store and the time on its clock
 
 
 class RefusedError(Exception):
-    """A write that the store does not take; nothing was changed."""
+    """A write that the store refuses; nothing was changed. `status` is the HTTP status, `field` the field
+    at fault."""
 
     def __init__(self, status: int, why: str, field: str = "") -> None:
         super().__init__(status, why, field)
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One server as it registered, and what was said of it since."""
+    """One server as registered, and its current state."""
 
     id: str
     address: str
@@ -42,14 +43,14 @@
     started_at_ms: float = 0.0
     ttl_ms: float = 10_000.0
     draining: bool = False
-    well: bool = True  # by the checker's word
-    registered: int = 0  # revision of its registration: the life that may renew it
-    revision: int = 0  # of its last change
-
-    def same_server(self, other: Record) -> bool:
-        """Whether a registration says nothing new."""
-        ours = (self.address, self.zone, self.kind, self.cell, self.weight, self.started_at_ms, self.ttl_ms)
-        return ours == (
+    well: bool = True  # as reported by the checker
+    registered: int = 0  # revision of its registration, which identifies the incarnation that may renew it
+    revision: int = 0  # of the last change
+
+    def same_registration(self, other: Record) -> bool:
+        """Whether a registration changes nothing."""
+        own = (self.address, self.zone, self.kind, self.cell, self.weight, self.started_at_ms, self.ttl_ms)
+        return own == (
             other.address,
             other.zone,
             other.kind,
@@ -60,13 +61,14 @@
         )
 
     def lifecycle(self) -> str:
-        """What gateways are told: one that is not well gets nothing new either."""
+        """The state told to gateways. Like a draining server, one that is not well gets no new requests."""
         return DRAINING if self.draining or not self.well else READY
 
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """Who holds a duty, and by which token; no holder: nobody does, and the next token is higher."""
+    """A lease: its holder and fencing token. Without a holder it is free, and the next grant gets a higher
+    token."""
 
     name: str
     holder: str
@@ -76,42 +78,46 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """What the store goes by."""
+    """Limits of the store."""
 
-    history: int = 10_000  # changes that are kept for watchers
-    # more than this part of the servers silent at one time: the fault is likelier ours
-    most_gone: float = 0.5
-    most_unwell: float = 0.5  # no more than this part is taken out of service by verdicts
-    drift: float = 0.01  # by which a holder's clock may run slower than ours
+    history: int = 10_000  # changes kept for watchers
+    # Above this share of servers that are silent at once, none is expired: the fault is more likely on this
+    # side.
+    max_silent_share: float = 0.5
+    max_unhealthy_share: float = 0.5  # at most this share of servers is taken out of service by the checker
+    drift: float = 0.01  # by which a holder's clock may run slower than the clock here
 
 
 class Store:
-    """All that the service knows."""
+    """All records and leases, and the history of changes."""
 
-    def __init__(self, rules: Rules, first: int = 0) -> None:
-        """`first` is the revision that a new store begins at: above all of any earlier life."""
+    def __init__(self, rules: Rules, first_revision: int = 0) -> None:
+        """`first_revision`: the revision of a new store, above all revisions of an earlier store whose
+        files are lost."""
         self.rules = rules
-        self.revision = self.floor = first  # the last change; the last one that is not in the history
+        # Of the last change, and of the last change that is no longer in the history.
+        self.revision = self.compacted_revision = first_revision
         self.token = 0
         self.records: dict[str, Record] = {}
         self.leases: dict[str, Lease] = {}
-        self.held_back = 0  # records past their time that are kept, since too many are
-        self._deadlines: dict[str, float] = {}  # of records
-        self._lease_ends: dict[str, float] = {}
-        self._history: deque[tuple[int, str]] = deque()  # revision, server
-        self._expired: list[float] = []  # until when each server that went of late still counts
+        self.withheld_expiries = 0  # overdue records that are kept because too many are overdue
+        self._deadlines: dict[str, float] = {}  # of registrations
+        self._lease_deadlines: dict[str, float] = {}
+        self._history: deque[tuple[int, str]] = deque()  # revision and server id
+        # for each recently expired server, the time until which it counts as silent
+        self._recent_expiries: list[float] = []
 
     # --- Reading ------------------------------------------------------------------------------------------
 
     def changes(self, after: int) -> list[tuple[str, Record | None]] | None:
-        """What has changed since a revision, each server once; None if that is not known any more or not
-        yet."""
-        if not self.floor <= after <= self.revision:
+        """The changes after a revision, each server once; None if the history does not reach back that far
+        or the revision is in the future."""
+        if not self.compacted_revision <= after <= self.revision:
             return None
-        changed = dict.fromkeys(name for revision, name in self._since(after))
+        changed = dict.fromkeys(name for revision, name in self._history_after(after))
         return [(name, self.records.get(name)) for name in changed]
 
-    def _since(self, after: int) -> Iterable[tuple[int, str]]:
+    def _history_after(self, after: int) -> Iterable[tuple[int, str]]:
         newer = []
         for revision, name in reversed(self._history):
             if revision <= after:
@@ -119,166 +125,181 @@
             newer.append((revision, name))
         return reversed(newer)
 
-    def holder(self, name: str, now: float) -> Lease | None:
-        """Who holds a duty now."""
+    def active_lease(self, name: str, now: float) -> Lease | None:
+        """The lease if it is held now, otherwise None."""
         lease = self.leases.get(name)
-        return lease if lease is not None and lease.holder and now < self._lease_ends[name] else None
+        return lease if lease is not None and lease.holder and now < self._lease_deadlines[name] else None
 
     # --- Servers ------------------------------------------------------------------------------------------
 
     def plan_register(self, record: Record, expect: int | None = None) -> Entry | None:
-        """A server's record; None if it stands there already. `expect`: its revision now, 0 if there is none.
+        """Register a server; None if the record is already there. `expect` is the current revision that
+        the caller assumes, 0 if there is none.
 
-        What was said of a server holds for its life: to register again does not undo a drain.
+        Draining and health persist for the lifetime of a server process: registering again does not undo a
+        drain, but a restarted server (a later `started_at_ms`) begins without them.
         """
-        old = self.records.get(record.id)
-        if old is not None and record.started_at_ms < old.started_at_ms:
+        existing = self.records.get(record.id)
+        if existing is not None and record.started_at_ms < existing.started_at_ms:
             raise RefusedError(
-                409, f"a later life has registered, started at {old.started_at_ms:.0f}", "startedAtMs"
+                409,
+                f"a later incarnation is registered, started at {existing.started_at_ms:.0f}",
+                "startedAtMs",
             )
-        if old is not None and record.same_server(old):
+        if existing is not None and record.same_registration(existing):
             return None
-        self._expect(record.id, expect)
-        same_life = old is not None and record.started_at_ms == old.started_at_ms
+        self._check_expected_revision(record.id, expect)
+        same_incarnation = existing is not None and record.started_at_ms == existing.started_at_ms
         revision = self.revision + 1
-        return self._put(
+        return self._put_entry(
             replace(
                 record,
-                draining=same_life and old.draining,
-                well=not same_life or old.well,
+                draining=same_incarnation and existing.draining,
+                well=not same_incarnation or existing.well,
                 registered=revision,
                 revision=revision,
             )
         )
 
     def renew(self, name: str, registered: int | None, now: float) -> Record:
-        """A server lives on; nothing is written, for a restart gives it its whole time anew."""
-        record = self._known(name)
+        """Renew a registration. Nothing is written, since a restart of the service gives every server its
+        full TTL."""
+        record = self._existing_record(name)
         if registered is not None and registered != record.registered:
-            raise RefusedError(409, f"registered anew as {record.registered}", "registered")
+            raise RefusedError(409, f"registered again as revision {record.registered}", "registered")
         self._deadlines[name] = now + record.ttl_ms
         return record
 
     def plan_drain(self, name: str, draining: bool, expect: int | None = None) -> Entry | None:
-        """Nothing new to a server, or again; None if it is so already."""
+        """Drain a server or undo that; None if nothing changes."""
         if name not in self.records:
-            self._expect(name, expect)
-        record = self._known(name)
+            self._check_expected_revision(name, expect)
+        record = self._existing_record(name)
         if record.draining == draining:
             return None
-        self._expect(name, expect)
-        return self._put(replace(record, draining=draining, revision=self.revision + 1))
+        self._check_expected_revision(name, expect)
+        return self._put_entry(replace(record, draining=draining, revision=self.revision + 1))
 
     def plan_verdict(self, name: str, well: bool) -> Entry | None:
-        """What a checker found; None if it is known."""
-        record = self._known(name)
+        """Record the checker's verdict; None if nothing changes. Refused if too many servers would be
+        unhealthy."""
+        record = self._existing_record(name)
         if record.well == well:
             return None
         unwell = sum(not r.well for r in self.records.values())
-        if not well and unwell + 1 > self.rules.most_unwell * len(self.records):
-            raise RefusedError(409, f"{unwell} of {len(self.records)} servers are out by verdicts", "well")
-        return self._put(replace(record, well=well, revision=self.revision + 1))
+        if not well and unwell + 1 > self.rules.max_unhealthy_share * len(self.records):
+            raise RefusedError(
+                409, f"{unwell} of {len(self.records)} servers are out of service by verdicts", "well"
+            )
+        return self._put_entry(replace(record, well=well, revision=self.revision + 1))
 
     def plan_deregister(self, name: str, expect: int | None = None) -> Entry | None:
-        """A server is gone; None if it was."""
+        """Remove a server; None if it is not registered."""
         if name not in self.records:
             return None
-        self._expect(name, expect)
+        self._check_expected_revision(name, expect)
         return {"op": "del", "revision": self.revision + 1, "id": name}
 
     def overdue(self, now: float) -> list[str]:
-        """Servers that have not renewed in time, and may go.
+        """Servers that have not renewed in time and may be expired.
 
-        Danger: when most fall silent at one time it is likelier that we do not hear them: a list without them
-        would end all service. Those past their time count, and those that went within their own time to live.
+        If more than the allowed share of servers is silent at once, the service itself is more likely cut
+        off, and removing them all would stop all traffic: none is returned. Overdue servers count as
+        silent, and so do servers that expired less than one TTL ago.
         """
-        self._expired = [until for until in self._expired if until > now]
-        late = [name for name, deadline in self._deadlines.items() if deadline <= now]
-        lost, all_of_late = len(late) + len(self._expired), len(self.records) + len(self._expired)
-        self.held_back = len(late) if lost > self.rules.most_gone * all_of_late else 0
-        return [] if self.held_back else late
+        self._recent_expiries = [
+            counted_until for counted_until in self._recent_expiries if counted_until > now
+        ]
+        overdue = [name for name, deadline in self._deadlines.items() if deadline <= now]
+        silent, counted_servers = (
+            len(overdue) + len(self._recent_expiries),
+            len(self.records) + len(self._recent_expiries),
+        )
+        self.withheld_expiries = len(overdue) if silent > self.rules.max_silent_share * counted_servers else 0
+        return [] if self.withheld_expiries else overdue
 
     def plan_expire(self, name: str, now: float) -> Entry | None:
-        """A server's time is up; None if it has renewed meanwhile or is gone."""
+        """Remove a server whose TTL has passed; None if it has renewed in the meantime or is gone."""
         if name not in self.records or self._deadlines[name] > now:
             return None
         return {"op": "del", "revision": self.revision + 1, "id": name, "expired": True}
 
-    def _known(self, name: str) -> Record:
+    def _existing_record(self, name: str) -> Record:
         record = self.records.get(name)
         if record is None:
             raise RefusedError(404, f"no server {name}", "id")
         return record
 
-    def _expect(self, name: str, expect: int | None) -> None:
+    def _check_expected_revision(self, name: str, expect: int | None) -> None:
         record = self.records.get(name)
         revision = record.revision if record is not None else 0
         if expect is not None and expect != revision:
-            raise RefusedError(409, f"its revision is {revision}, not {expect}", "expect")
+            raise RefusedError(409, f"the revision is {revision}, not {expect}", "expect")
 
     @staticmethod
-    def _put(record: Record) -> Entry:
+    def _put_entry(record: Record) -> Entry:
         return {"op": "put", "revision": record.revision, "record": asdict(record)}
 
     # --- Leases -------------------------------------------------------------------------------------------
 
     def plan_acquire(self, name: str, holder: str, ttl_ms: float, now: float) -> Entry | None:
-        """Hold a duty; None if this holder does. The token is higher than any that was granted before."""
-        lease = self.holder(name, now)
+        """Acquire a lease; None if this holder already has it with this TTL. A new grant gets a token
+        higher than all earlier ones."""
+        lease = self.active_lease(name, now)
         if lease is not None and lease.holder != holder:
             raise RefusedError(409, f"held by {lease.holder}", "holder")
         if lease is not None and lease.ttl_ms == ttl_ms:
-            return None  # its answer was lost: the same grant, from now on
+            return None  # a repeated call, for example after a lost answer: same grant, renewed by the caller
         token = self.token + 1 if lease is None else lease.token
         return {"op": "lease", **asdict(Lease(name, holder, token, ttl_ms))}
 
     def renew_lease(self, name: str, holder: str, token: int, now: float) -> Lease:
-        """Go on with a duty; nothing is written."""
-        lease = self.holder(name, now)
+        """Renew a lease; nothing is written. Raises RefusedError if it is not held with this token."""
+        lease = self.active_lease(name, now)
         if lease is None or lease.holder != holder or lease.token != token:
             raise RefusedError(409, "not held" if lease is None else f"held by {lease.holder}", "token")
-        self._lease_ends[name] = now + self._lease_ms(lease)
+        self._lease_deadlines[name] = now + self._lease_duration_ms(lease)
         return lease
 
     def plan_release(self, name: str, holder: str, token: int) -> Entry | None:
-        """Give a duty up; None if it is not held by this grant any more."""
+        """Release a lease; None if it is no longer held by this grant."""
         lease = self.leases.get(name)
         if lease is None or (lease.holder, lease.token) != (holder, token):
             return None
         return {"op": "lease", **asdict(replace(lease, holder=""))}
 
     def check_token(self, name: str, token: int) -> None:
-        """Fencing: a write by a duty's holder is refused once a newer one was granted."""
+        """Fencing: refuse a write by a former holder once the lease was granted again."""
         lease = self.leases.get(name)
         newest = lease.token if lease is not None else 0
         if token != newest:
             raise RefusedError(409, f"the newest token of {name} is {newest}", "token")
 
-    def lease_ends_ms(self, name: str, now: float) -> float:
-        """How long a duty is still held."""
-        return max(self._lease_ends.get(name, now) - now, 0.0)
+    def lease_remaining_ms(self, name: str, now: float) -> float:
+        """Remaining time of a lease, in ms."""
+        return max(self._lease_deadlines.get(name, now) - now, 0.0)
 
-    def _lease_ms(self, lease: Lease) -> float:
-        """From when we hear of a renewal: its holder counts from when it sent it, by a clock that may be
-        slow."""
+    def _lease_duration_ms(self, lease: Lease) -> float:
+        """How long a lease is blocked here after a renewal arrives. The holder counts from when it sent
+        the renewal, by a clock that may run slow, so the TTL is extended by the drift."""
         return lease.ttl_ms * (1 + self.rules.drift)
 
     # --- Entries ------------------------------------------------------------------------------------------
 
     def apply(self, entry: Entry, now: float) -> None:
-        """Bring an entry about, now that it is durable."""
+        """Carry out an entry that is durable."""
         if entry["op"] == "lease":
             lease = Lease(*(entry[name] for name in ("name", "holder", "token", "ttl_ms")))
             self.leases[lease.name] = lease
             self.token = max(self.token, lease.token)
-            self._lease_ends[lease.name] = now + self._lease_ms(lease)
+            self._lease_deadlines[lease.name] = now + self._lease_duration_ms(lease)
             return
         name = entry["id"] if entry["op"] == "del" else entry["record"]["id"]
         if entry["op"] == "del":
             record = self.records.pop(name)
             del self._deadlines[name]
             if entry.get("expired"):
-                self._expired.append(now + record.ttl_ms)
+                self._recent_expiries.append(now + record.ttl_ms)
         else:
             record = Record(**entry["record"])
             if name not in self.records or self.records[name].registered != record.registered:
@@ -287,11 +308,10 @@
         self.revision = entry["revision"]
         self._history.append((self.revision, name))
         while len(self._history) > self.rules.history:
-            self.floor = self._history.popleft()[0]
+            self.compacted_revision = self._history.popleft()[0]
 
     def snapshot(self) -> Entry:
-        """All that entries have brought about, but for the history: who asks for older gets the whole
-        list."""
+        """The whole state except the history; watchers that ask for earlier changes get the whole list."""
         return {
             "revision": self.revision,
             "token": self.token,
@@ -301,9 +321,8 @@
 
     @classmethod
     def restored(cls, rules: Rules, state: Entry, now: float) -> Store:
-        """A store from a snapshot. Everything has its whole time, leases too: an earlier life may have
-        renewed
-        them in its last moment."""
+        """A store from a snapshot. Registrations and leases get their full TTL: they may have been renewed
+        just before the service stopped."""
         store = cls(rules, int(state["revision"]))
         store.token = int(state["token"])
         for raw in state["records"]:
@@ -312,13 +331,14 @@
         for raw in state["leases"]:
             lease = Lease(**raw)
             store.leases[lease.name] = lease
-        store.live_anew(now)
+        store.restart_deadlines(now)
         return store
 
-    def live_anew(self, now: float) -> None:
-        """Give everything its whole time from now on: after a start, when nobody could be heard."""
+    def restart_deadlines(self, now: float) -> None:
+        """Give every registration and lease its full TTL from now on, after a start during which no
+        renewal could arrive."""
         for name, record in self.records.items():
             self._deadlines[name] = now + record.ttl_ms
         for name, lease in self.leases.items():
-            self._lease_ends[name] = now + self._lease_ms(lease)
-        self._expired.clear()
+            self._lease_deadlines[name] = now + self._lease_duration_ms(lease)
+        self._recent_expiries.clear()
