--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -43,8 +43,8 @@
     def sync(self) -> int:
         """All that was written is durable; the number of the last write."""
         for write in self.pending:
-            if write.hard is not None:
-                self.saved.term, self.saved.vote = write.hard
+            if write.hard_state is not None:
+                self.saved.term, self.saved.vote = write.hard_state
             if write.snapshot is not None:
                 self.saved.snapshot = write.snapshot
                 kept = [] if write.reset else self.saved.entries
--- a/plumwall/model/planted.py
+++ b/plumwall/model/planted.py
@@ -9,33 +9,33 @@
 
 
 class _HastyVoter(Replica):
-    def _send(self, message: AnyMessage) -> None:
+    def _send_when_durable(self, message: AnyMessage) -> None:
         if isinstance(message, VoteReply):
-            self._emit(message)
+            self._send_now(message)
         else:
-            super()._send(message)
+            super()._send_when_durable(message)
 
 
 class _CountsOldTerms(Replica):
-    def _may_commit(self) -> None:
-        index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._stable)
+    def _maybe_commit(self) -> None:
+        index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._durable_index)
         if index > self.commit_index:
-            self._committed(index)
+            self._commit_to(index)
 
 
 class _ReadsAtOnce(Replica):
     def read(self, now: float, ticket: int) -> None:
-        self._must_lead(now)
+        self._require_leadership(now)
         self.out.reads.append((ticket, self.commit_index))
 
 
 class _ChangesAtOnce(Replica):
     def change_members(self, now: float, members: Members) -> int:
-        self._must_lead(now)
-        entry = self._append(MEMBERS, encode(members))
+        self._require_leadership(now)
+        entry = self._append_entry(MEMBERS, encode(members))
         for name in self.peers:
-            self._tell(name, now)
-        self._may_commit()
+            self._replicate_to(name, now)
+        self._maybe_commit()
         return entry.index
 
 
--- a/plumwall/model/scenes.py
+++ b/plumwall/model/scenes.py
@@ -11,7 +11,7 @@
 from plumwall.model.cluster import SETTINGS, TTL_MS, Cluster, PlantedBug
 from plumwall.model.keyed import KEYS, KeyedCluster
 from yewstage.raft.core import LEADER
-from yewstage.raft.messages import Append
+from yewstage.raft.messages import AppendEntries
 
 A, B, C = 0, 1, 2
 
@@ -102,9 +102,9 @@
     cluster.restart(A)
     _win(cluster, A)
     cluster.sync(A)
-    while not any(isinstance(m, Append) and m.entries for m in cluster.network):
+    while not any(isinstance(m, AppendEntries) and m.entries for m in cluster.network):
         cluster.deliver(0)
-    brought = next(m for m in cluster.network if isinstance(m, Append) and m.entries)
+    brought = next(m for m in cluster.network if isinstance(m, AppendEntries) and m.entries)
     cluster.network = [brought]
     cluster.deliver(0)
     cluster.sync(B)
--- a/tests/rogue_holding.py
+++ b/tests/rogue_holding.py
@@ -7,17 +7,17 @@
 from yewstage.holding.__main__ import main
 from yewstage.raft.core import Replica
 
-honest = Replica._tell
+honest = Replica._replicate_to
 
 
-def lazily(self: Replica, name: str, now: float, beat: bool = False) -> None:
+def lazily(self: Replica, name: str, now: float, is_heartbeat: bool = False) -> None:
     """The others are told with the next sign of life only."""
-    if beat:
-        honest(self, name, now, beat)
+    if is_heartbeat:
+        honest(self, name, now, is_heartbeat)
 
 
 Replica._quorum = lambda self, values, own: own
-Replica._tell = lazily
+Replica._replicate_to = lazily
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -1,4 +1,4 @@
-"""Consensus: the code that runs, played under virtual time with every fault, and its log on disk."""
+"""Consensus: the real replica code in a model under virtual time with faults, and its log on disk."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from yewstage.raft.disk import Disk, DiskError, FullError
 from yewstage.raft.messages import (
     DATA,
-    Append,
-    AppendReply,
+    AppendEntries,
+    AppendEntriesReply,
     Entry,
-    Install,
-    InstallReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Member,
     PreVoteReply,
     Snapshot,
@@ -39,37 +39,38 @@
 MEMBERS = tuple(Member(f"n{i}.1", f"n{i}", f"z{i}", "", "") for i in range(3))
 
 
-def test_random_plans_of_losses_crashes_lost_disks_and_changes_of_members_break_nothing() -> None:
+def test_invariants_hold_for_random_plans_of_message_loss_crashes_wiped_disks_and_member_changes() -> None:
     found = search(range(250), 300)
     assert found.plans == 250 and not found.breach, (found.breach, found.scene, shorten(found))
 
 
 @pytest.mark.parametrize("scene", ["start", "candidates", "older-entry", "held", "claimed"])
-def test_all_orders_of_events_to_a_depth_break_nothing(scene: str) -> None:
+def test_invariants_hold_for_all_event_orders_up_to_a_depth(scene: str) -> None:
     found = every(scene, 3)
     assert found.complete and found.depth == 3 and found.states > 100 and not found.breach, found
 
 
 @pytest.mark.parametrize("name", PLANTED)
-def test_a_mistake_planted_on_purpose_is_found_and_its_plan_is_clean_without_it(name: str) -> None:
+def test_planted_bug_is_found(name: str) -> None:
     planted = PLANTED[name]
     found = search(range(4000), 300, planted, (planted.scene,))
     assert found.breach, f"not found in {found.plans} plans"
 
 
-def test_random_plans_of_lost_machines_and_operators_words_bring_every_copy_where_it_is_wanted() -> None:
+def test_random_plans_of_machine_loss_and_operator_commands_place_every_copy() -> None:
     found = places.search(range(150), 300)
     assert found.plans == 150 and not found.breach, (found.breach, places.shorten(found))
 
 
 @pytest.mark.parametrize("mistake", [Decisions(places.hasty), Decisions(next_table=places.crowding)])
-def test_a_mistake_about_where_copies_are_to_be_is_found(mistake: Decisions) -> None:
+def test_planted_placement_bug_is_found(mistake: Decisions) -> None:
     found = places.search(range(100), 300, mistake)
     assert found.breach and places.ending(places.shorten(found, mistake), mistake)[1]
 
 
-def test_a_whole_copy_stays_until_one_that_may_be_lost_is_there_again() -> None:
-    """m2 has been copied to m5, as it is taken out, when m0 loses its disk: without m2 two would be left."""
+def test_complete_copy_is_kept_while_another_member_may_be_lost() -> None:
+    """Guards against removing a complete copy while another member may be lost. m2, which is to leave, has
+    been copied to m5 when m0 loses its disk: without m2 only two copies would be left."""
 
     def view(silent_ms: float) -> GroupView:
         members = tuple(Member(f"{name}.1", name, "", "", "") for name in ("m0", "m2", "m4", "m5"))
@@ -79,44 +80,44 @@
         return GroupView("m4.1", members, ("m0", "m4", "m5"), silent, there, caught, 4000.0)
 
     assert next_change(view(100.0)) is None
-    assert [m.name for m in next_change(view(5000.0))] == ["m2", "m4", "m5"]  # the lost one goes first
+    # the lost member is removed first
+    assert [m.name for m in next_change(view(5000.0))] == ["m2", "m4", "m5"]
 
 
-# --- By name
-# -----------------------------------------------------------------------------------------------------
+# --- Single cases ---------------------------------------------------------------------------------------
 
 
-def test_a_disk_that_forgets_what_it_synced_is_found_out_counted_out_and_filled_again() -> None:
+def test_disk_that_loses_synced_entries_is_detected_and_refilled() -> None:
     cluster = led(None)
-    cluster.cut_links |= {(A, B), (B, A)}  # C's word alone made the next one durable
+    cluster.cut_links |= {(A, B), (B, A)}  # the next write becomes durable with C's acknowledgement alone
     assert cluster.write(A)
     settle(cluster)
-    leader, forgetful = cluster.nodes[A].group.replica, cluster.nodes[C]
+    leader, faulty = cluster.nodes[A].group.replica, cluster.nodes[C]
     last, commit = leader.last, leader.commit_index
     cluster.crash(C)
-    del forgetful.disk.saved.entries[-1:]
-    cluster.planted.keeps_name = True  # the model accuses whoever accuses a disk; this one is guilty
+    del faulty.disk.saved.entries[-1:]
+    cluster.planted.keeps_name = True  # the model forbids a reported durability loss; here the loss is real
     cluster.restart(C)
-    assert forgetful.group.replica.last == last - 1
+    assert faulty.group.replica.last == last - 1
     for _ in range(4):
         cluster.wait(SETTINGS.heartbeat_ms)
         cluster.tick(A)
         settle(cluster)
-    peer = leader.peers[forgetful.member.id]
+    peer = leader.peers[faulty.member.id]
     assert (leader.durability_losses, peer.durability_losses, peer.match, leader.commit_index) == (
         1,
         1,
         last,
         commit,
     )
-    assert forgetful.group.replica.last == last and cluster.acknowledged <= set(forgetful.group.store.records)
+    assert faulty.group.replica.last == last and cluster.acknowledged <= set(faulty.group.store.records)
 
 
-def leaders(cluster: object) -> list[int]:
+def current_leaders(cluster: object) -> list[int]:
     return [i for i, node in enumerate(cluster.nodes) if node.group is not None and node.group.is_leader()]
 
 
-def test_a_leader_that_can_send_but_not_hear_gives_way_within_its_election_time() -> None:
+def test_leader_that_receives_nothing_steps_down_within_the_election_timeout() -> None:
     cluster = led(None)
     cluster.cut_links |= {(B, A), (C, A)}
     assert not cluster.write(B)
@@ -124,18 +125,18 @@
         cluster.wait(100)
         cluster.tick(A)
         settle(cluster)
-    assert leaders(cluster) == [] and not cluster.write(A)
+    assert current_leaders(cluster) == [] and not cluster.write(A)
     elect(cluster, B)
-    assert B in leaders(cluster) and cluster.write(B)
+    assert B in current_leaders(cluster) and cluster.write(B)
 
 
-def test_one_that_was_paused_leads_no_more_before_it_answers_anybody() -> None:
+def test_paused_leader_steps_down_before_it_serves_a_read() -> None:
     cluster = led(None)
-    cluster.wait(1100)  # nobody looked at a clock
-    assert not cluster.read(A) and leaders(cluster) == []
+    cluster.wait(1100)  # nothing calls tick meanwhile
+    assert not cluster.read(A) and current_leaders(cluster) == []
 
 
-def test_a_machine_that_comes_back_with_an_empty_disk_has_no_vote_until_it_is_let_in() -> None:
+def test_machine_with_a_wiped_disk_has_no_vote_until_it_is_added() -> None:
     cluster = led(None)
     old = cluster.nodes[C].member
     cluster.wipe(C)
@@ -146,7 +147,7 @@
     for i in (B, C):
         cluster.tick(i)
         settle(cluster)
-    assert leaders(cluster) == []  # one old voter of three is left: it refuses
+    assert current_leaders(cluster) == []  # one of three old voters is left, and it refuses
     cluster.restart(A)
     elect(cluster, A)
     assert cluster.change(
@@ -170,16 +171,16 @@
         replica.change_members(now, replica.members[:1])
 
 
-def test_leadership_is_handed_over_before_a_planned_stop_without_waiting_for_anybodys_patience() -> None:
+def test_leadership_transfer_does_not_wait_for_an_election_timeout() -> None:
     cluster = led(None)
     assert cluster.hand_over(A, B)
-    assert not cluster.write(A)  # nothing new is taken meanwhile
+    assert not cluster.write(A)  # refused during the transfer
     settle(cluster)
     beat(cluster, B)
-    assert leaders(cluster) == [B]
+    assert current_leaders(cluster) == [B]
 
 
-def test_a_follower_tells_how_old_it_is_by_its_own_clock_alone() -> None:
+def test_follower_bounds_its_age_by_its_own_clock() -> None:
     cluster = led(None)
     for _ in range(3):
         beat(cluster, A)
@@ -190,7 +191,7 @@
     assert cluster.nodes[C].group.replica.age_ms(cluster.now(C)) >= 700
 
 
-def test_a_follower_that_lags_by_more_than_the_log_holds_gets_a_snapshot_in_parts_that_resume() -> None:
+def test_follower_behind_the_log_gets_a_snapshot_in_resumable_parts() -> None:
     cluster = led(None)
     cluster.cut_links |= {(A, C)}
     for _ in range(12):
@@ -206,7 +207,7 @@
         cluster.tick(A)
         while cluster.network:
             message = cluster.network[0]
-            if isinstance(message, Install):
+            if isinstance(message, InstallSnapshot):
                 parts.append(message.offset)
                 if len(parts) == 3:
                     lost += 1
@@ -216,40 +217,40 @@
             for i, node in enumerate(cluster.nodes):
                 if node.disk.pending:
                     cluster.sync(i)
-    assert lost == 1 and parts.count(0) == 1 and parts.count(parts[2]) == 2  # only the lost one came again
+    # only the lost part is sent again
+    assert lost == 1 and parts.count(0) == 1 and parts.count(parts[2]) == 2
     assert cluster.nodes[C].group.store.records == cluster.nodes[A].group.store.records
 
 
-def leader(settings: Settings) -> Replica:
+def new_leader(settings: Settings) -> Replica:
     replica = Replica("n0.1", settings, first_state(MEMBERS, b"x"), random.Random(1), 0.0)
-    replica.term, replica._real = 2, True
-    replica._lead(0.0)
-    replica.commit_index = replica._emitted = replica.last
+    replica.term, replica._is_real_election = 2, True
+    replica._become_leader(0.0)
+    replica.commit_index = replica._delivered_index = replica.last
     return replica
 
 
-def test_a_slow_follower_cannot_fill_the_leaders_memory() -> None:
-    settings = Settings(window_bytes=5000, window_messages=4, batch_bytes=1000, proposed_bytes=20000)
-    replica = leader(settings)
-    replica.peers["n1.1"].probing = False
+def test_slow_follower_does_not_exhaust_the_leaders_memory() -> None:
+    settings = Settings(window_bytes=5000, window_messages=4, batch_bytes=1000, max_uncommitted_bytes=20000)
+    replica = new_leader(settings)
+    replica.peers["n1.1"].is_probing = False
     with pytest.raises(BusyError):
         for _ in range(1000):
             replica.propose(1.0, b"d" * 500)
     out = replica.take(1.0)
-    sent = [m for m in out.messages if isinstance(m, Append) and m.entries and m.dst == "n1.1"]
+    sent = [m for m in out.messages if isinstance(m, AppendEntries) and m.entries and m.dst == "n1.1"]
     assert 0 < len(sent) <= 4 and sum(e.size() for m in sent for e in m.entries) <= 5000 + 1000
     assert sum(e.size() for e in replica.entries) <= 20000 + 600
 
 
-def test_a_follower_names_the_leader_and_takes_nothing() -> None:
+def test_follower_refuses_writes_and_names_the_leader() -> None:
     cluster = led(None)
     with pytest.raises(NotLeaderError) as refused:
         cluster.nodes[B].group.write(cluster.now(B), lambda store, now: None)
     assert refused.value.leader == cluster.nodes[A].member.id
 
 
-# --- The disk
-# ----------------------------------------------------------------------------------------------------
+# --- The disk -------------------------------------------------------------------------------------------
 
 
 def entry(index: int, term: int = 1, data: bytes = b"data") -> Entry:
@@ -299,7 +300,7 @@
     return folder / "log-00000001"
 
 
-def test_a_torn_last_record_is_cut_off_wherever_it_was_torn(tmp_path: Path) -> None:
+def test_torn_last_record_is_cut_off_at_any_byte(tmp_path: Path) -> None:
     whole = written(tmp_path).read_bytes()
     log = tmp_path / "log-00000001"
     two = whole.index(b"last") - 20
@@ -309,14 +310,14 @@
             try:
                 disk, saved = loaded(tmp_path)
             except DiskError:
-                assert tail  # zeros behind half a record: not known to be torn, so refused
+                assert tail  # zeros after half a record may also be damage, so they are refused
                 continue
             assert [e.index for e in saved.entries] in ([1, 2], [1, 2, 3]) and saved.term == 3
             disk.write([Write(3, None, (entry(saved.entries[-1].index + 1),))])
             disk.close()
 
 
-def test_a_broken_middle_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_damaged_record_is_refused_with_advice(tmp_path: Path) -> None:
     log = written(tmp_path)
     data = bytearray(log.read_bytes())
     data[data.index(b"data")] ^= 1
@@ -325,25 +326,25 @@
         Disk(tmp_path).load()
 
 
-def test_a_later_format_is_refused_with_what_to_do(tmp_path: Path) -> None:
+def test_later_format_version_is_refused(tmp_path: Path) -> None:
     log = written(tmp_path)
     log.write_bytes(log.read_bytes().replace(b"raft 1", b"raft 2", 1))
     with pytest.raises(DiskError, match="format 2, this program reads 1"):
         Disk(tmp_path).load()
 
 
-def test_a_full_disk_takes_nothing_half_and_goes_on_when_there_is_room(
+def test_full_disk_leaves_no_partial_write_and_recovers(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     disk, _ = loaded(tmp_path)
     disk.write([Write(1, (1, ""), (entry(1),))])
-    real, room = os.write, [10]
+    real_write, free_bytes = os.write, [10]
 
     def write(fd: int, data: bytes) -> int:
-        if room[0] <= 0:
+        if free_bytes[0] <= 0:
             raise OSError(errno.ENOSPC, "no space left")
-        room[0] -= 10
-        return real(fd, bytes(data[:10]))
+        free_bytes[0] -= 10
+        return real_write(fd, bytes(data[:10]))
 
     monkeypatch.setattr(os, "write", write)
     writes = [Write(2, (2, "a"), (entry(2),)), Write(3, None, (entry(3),))]
@@ -353,14 +354,14 @@
     with pytest.raises(FullError):
         disk.write([Write(4, None, (), Snapshot(1, 1, MEMBERS, state, zlib.crc32(state)))])
     assert not list(tmp_path.glob("*.new"))
-    monkeypatch.setattr(os, "write", real)
+    monkeypatch.setattr(os, "write", real_write)
     disk.write(writes)
     disk.close()
     _, saved = loaded(tmp_path)
     assert (saved.term, saved.vote, [e.index for e in saved.entries]) == (2, "a", [1, 2, 3])
 
 
-def test_after_a_sync_that_failed_nothing_is_promised_any_more(tmp_path: Path) -> None:
+def test_nothing_is_written_after_a_failed_sync(tmp_path: Path) -> None:
     def sync(fd: int) -> None:
         if failing:
             raise OSError(errno.EIO, "input/output error")
@@ -376,33 +377,33 @@
         disk.write([Write(1, (1, ""), (entry(1),))])
 
 
-def test_one_sync_serves_many_writes(tmp_path: Path) -> None:
+def test_one_sync_covers_many_writes(tmp_path: Path) -> None:
     disk, _ = loaded(tmp_path)
     before = disk.syncs
     disk.write([Write(i, None, (entry(i),)) for i in range(1, 200)])
     assert disk.syncs == before + 1
 
 
-def test_messages_survive_the_wire_and_nonsense_is_refused() -> None:
-    from yewstage.raft.core import parse
+def test_messages_round_trip_and_malformed_ones_are_refused() -> None:
+    from yewstage.raft.core import parse_message
 
-    message = Append("a.1", "b.1", 3, 1, 1, (entry(2),), 1, 7, 5.0, 1.0)
-    assert parse(encode(message)) == message
+    message = AppendEntries("a.1", "b.1", 3, 1, 1, (entry(2),), 1, 7, 5.0, 1.0)
+    assert parse_message(encode(message)) == message
     for bad in (b"", b"\xc0", encode([99, "a", "b", 1]), encode([5, "a"])):
         with pytest.raises(ValueError):
-            parse(bad)
+            parse_message(bad)
 
 
-def test_every_scene_is_reached_by_the_program_as_it_is() -> None:
+def test_every_scene_is_reachable_without_planted_bugs() -> None:
     assert all(scene(None).nodes for scene in SCENES.values()) and start(None).nodes
 
 
-def test_copying_keeps_its_pace_in_any_time_and_holds_nobody_else_up() -> None:
+def test_copying_obeys_its_rate_limit_without_delaying_replication() -> None:
     settings = Settings(batch_bytes=1000)
-    pace = CopyRateLimiter(100_000.0)
+    copy_limiter = CopyRateLimiter(100_000.0)
     members = tuple(Member(name, name, "z", "", "") for name in ("a", "b"))
     saved = first_state(members, b"x" * 40_000)
-    replica = Replica("a", settings, saved, random.Random(1), 0.0, pace)
+    replica = Replica("a", settings, saved, random.Random(1), 0.0, copy_limiter)
     now = replica.next_at()
     replica.tick(now)
     replica.durable(now, 99)
@@ -410,31 +411,31 @@
     replica.durable(now, 99)
     replica.handle(now, VoteReply("b", "a", 2, True))
     replica.durable(now, 99)
-    replica.handle(now, AppendReply("b", "a", 2, True, replica.last, 1, 1))
+    replica.handle(now, AppendEntriesReply("b", "a", 2, True, replica.last, 1, 1))
     replica.change_members(now, (*members, Member("c", "c", "z", "", "", voter=False)))
-    replica.handle(now, AppendReply("c", "a", 2, False, 0, replica.last, 1))
+    replica.handle(now, AppendEntriesReply("c", "a", 2, False, 0, replica.last, 1))
     sent: list[tuple[float, int]] = []
-    have = writes = 0
-    while have < 40_000:
+    received = writes = 0
+    while received < 40_000:
         replica.durable(now, 10_000)
         for message in replica.take(now).messages:
-            if isinstance(message, Install) and message.offset == have:
+            if isinstance(message, InstallSnapshot) and message.offset == received:
                 sent.append((now, len(message.data)))
-                have += len(message.data)
-                replica.handle(now, InstallReply("c", "a", 2, 1, have, 1))
-            elif isinstance(message, Append) and message.dst == "b":
+                received += len(message.data)
+                replica.handle(now, InstallSnapshotReply("c", "a", 2, 1, received, 1))
+            elif isinstance(message, AppendEntries) and message.dst == "b":
                 end = message.prev_index + len(message.entries)
-                reply = AppendReply("b", "a", 2, True, end, message.prev_index, message.round, now)
+                reply = AppendEntriesReply("b", "a", 2, True, end, message.prev_index, message.round, now)
                 replica.handle(now, reply)
-        index = replica.propose(now, b"more")  # a new write is on its way to the others at once
-        told = [m for m in replica.take(now).messages if isinstance(m, Append) and m.dst == "b"]
-        writes += any(m.entries for m in told)
+        index = replica.propose(now, b"more")  # a new write is replicated at once
+        sent_to_b = [m for m in replica.take(now).messages if isinstance(m, AppendEntries) and m.dst == "b"]
+        writes += any(m.entries for m in sent_to_b)
         replica.durable(now, 10_000)
-        replica.handle(now, AppendReply("b", "a", 2, True, index, index - 1, 1, now))
+        replica.handle(now, AppendEntriesReply("b", "a", 2, True, index, index - 1, 1, now))
         assert replica.commit_index == index
         now = max(now + 1, min(replica.next_at(), now + 5))
         replica.tick(now)
-    assert writes > 50 and pace.copied >= 40_000
+    assert writes > 50 and copy_limiter.copied >= 40_000
     for begin, _ in sent:
         for end, _ in sent:
             moved = sum(size for at, size in sent if begin <= at <= end)
--- a/yewstage/raft/__init__.py
+++ b/yewstage/raft/__init__.py
@@ -1,6 +1,7 @@
-"""Consensus among the replicas of one group: a pure state machine (`core`) and its log on disk (`disk`).
+"""Consensus among the replicas of one group: a state machine without I/O (`core`) and its log on disk
+(`disk`).
 
-After "In Search of an Understandable Consensus Algorithm" (Ongaro, Ousterhout, 2014) and Ongaro's thesis,
-with pre-vote (9.6), check-quorum (6.2), read index (6.4), leadership transfer (3.10) and members changed one
-at a time (4.1) through learners (4.2.1).
+Implements Raft ("In Search of an Understandable Consensus Algorithm", Ongaro and Ousterhout, 2014) and parts
+of Ongaro's thesis: pre-vote (9.6), check-quorum (6.2), read index (6.4), leadership transfer (3.10),
+membership changes of one member at a time (4.1) and learners (4.2.1).
 """
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -1,12 +1,14 @@
-"""One replica of one group: messages, time and what is durable go in; messages, writes and timers come out.
+"""One replica of one consensus group, as a state machine without I/O.
 
-Pure: no sockets, files or clocks. Times are milliseconds on this machine's own clock, which never runs
-backwards; no other machine's clock is compared with it. The caller carries out the writes in their order,
-tells `durable`, and delivers messages in any order, late, twice or not at all.
+The caller passes in messages, the current time and the numbers of the writes that are durable, and takes out
+messages, writes and committed entries (`Output`). The replica opens no sockets or files and reads no clock.
+Times are milliseconds of this machine's monotonic clock; they are never compared with the clock of another
+machine. The caller carries out the writes in order and reports them with `durable`. Messages may be delivered
+in any order, late, more than once or not at all.
 
-What a message promises of this replica (a vote, an acknowledgement) leaves only once the write that it rests
-on is durable. Entries may go out before the leader has them on its own disk: it counts for their majority
-only from then on.
+A message that promises something of this replica (a vote, an acknowledgement) is released only after the
+write that it depends on is durable. Entries may be sent before the leader has them on its own disk; the
+leader counts itself towards their majority only once they are durable there.
 """
 
 from __future__ import annotations
@@ -23,17 +25,17 @@
     MEMBERS,
     NOOP,
     AnyMessage,
-    Append,
-    AppendReply,
+    AppendEntries,
+    AppendEntriesReply,
     Entry,
-    Install,
-    InstallReply,
+    InstallSnapshot,
+    InstallSnapshotReply,
     Member,
     Members,
     PreVote,
     PreVoteReply,
     Snapshot,
-    StandNow,
+    TimeoutNow,
     Vote,
     VoteReply,
     decode_members,
@@ -42,13 +44,14 @@
 )
 from yewstage.raft.rate_limiter import CopyRateLimiter
 
-FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"  # a candidate asks for pre-votes first
-EMPTY = Snapshot(0, 0, (), b"")
+FOLLOWER, CANDIDATE, LEADER = "follower", "candidate", "leader"  # a candidate requests pre-votes first
+EMPTY_SNAPSHOT = Snapshot(0, 0, (), b"")
 NEVER = float("-inf")
 
 
 class NotLeaderError(Exception):
-    """Only the leader can do that. `leader` is the id of the one that we know; empty: none."""
+    """Raised for an operation that only the leader can carry out. `leader` is the id of the known leader, or
+    empty."""
 
     def __init__(self, leader: str, why: str = "not the leader") -> None:
         super().__init__(why)
@@ -56,84 +59,90 @@
 
 
 class BusyError(Exception):
-    """Not now: too much is under way, or a change of members is. Nothing was begun."""
+    """Raised when too much is in progress or a membership change is pending. Nothing was started."""
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a replica goes by. Bytes and ms."""
+    """Timing and limits of a replica. Sizes are in bytes, times in milliseconds."""
 
     heartbeat_ms: float = 80.0
-    election_ms: float = 500.0  # silence of a leader after which replicas stand, at the least
-    batch_bytes: int = 256 * 1024  # of entries in one message, and of a snapshot's part
-    window_bytes: int = 1024 * 1024  # of entries sent to one replica and not acknowledged
+    election_ms: float = 500.0  # minimum time without contact from a leader before an election
+    batch_bytes: int = 256 * 1024  # of entries in one message, and of one part of a snapshot
+    window_bytes: int = 1024 * 1024  # of entries sent to one replica and not yet acknowledged
     window_messages: int = 16
-    proposed_bytes: int = 8 * 1024 * 1024  # of entries that are not committed, in the leader
-    kept_entries: int = 1000  # behind a snapshot, for replicas that are a little late
+    max_uncommitted_bytes: int = 8 * 1024 * 1024  # of entries that are not committed, on the leader
+    # retained behind a snapshot, so that a replica slightly behind needs no snapshot
+    kept_entries: int = 1000
 
 
 @dataclass(slots=True)
 class DurableState:
-    """What a disk holds of a replica."""
+    """The state of a replica that is stored on disk."""
 
     term: int = 0
     vote: str = ""
-    snapshot: Snapshot = EMPTY
+    snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: list[Entry] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """What is to be durable next. An entry takes the place of all that stand at its index or behind it."""
+    """One write to make durable. An entry replaces the stored entry at its index and all later ones."""
 
     number: int
-    hard: tuple[int, str] | None = None  # term, vote
+    hard_state: tuple[int, str] | None = None  # term and vote
     entries: tuple[Entry, ...] = ()
-    snapshot: Snapshot | None = None  # entries up to its index may go
-    reset: bool = False  # with a snapshot from a leader: all entries go
+    snapshot: Snapshot | None = None  # entries up to its index may be deleted
+    reset: bool = False  # the snapshot was received from a leader: all stored entries are dropped
 
 
 @dataclass(slots=True)
 class Output:
-    """What came out since the last time."""
+    """Everything produced since the last call of `take`."""
 
     messages: list[AnyMessage] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
-    install: Snapshot | None = None  # the state is this one now; `committed` goes on from it
+    install: Snapshot | None = None  # replaces the state machine's state; `committed` continues after it
     committed: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # ticket, index that has to be applied first
-    lost_reads: list[int] = field(default_factory=list)  # leadership could not be confirmed
+    # ticket and the index that must be applied before the read
+    reads: list[tuple[int, int]] = field(default_factory=list)
+    # tickets of reads for which leadership could not be confirmed
+    lost_reads: list[int] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of another replica."""
+    """What the leader knows about another replica."""
 
     next: int
     match: int = 0
-    matched_in: int = 0  # our round when that was heard: what we ask in a later one is read after it was said
-    durability_losses: int = 0  # how often it has lost what it had said to be durable
-    probing: bool = True  # where its log meets ours is not known: signs of life only
-    inflight: deque[tuple[int, int]] = field(default_factory=deque)  # last index, bytes
+    # Heartbeat round in which `match` last rose; answers to later rounds were sent after it.
+    matched_round: int = 0
+    # times that this replica no longer had entries that it had acknowledged as durable
+    durability_losses: int = 0
+    is_probing: bool = True  # the last matching index is unknown: only heartbeats are sent
+    inflight: deque[tuple[int, int]] = field(default_factory=deque)  # last index and bytes of each message
     inflight_bytes: int = 0
-    round: int = 0
+    confirmed_round: int = 0
     heard_at: float = NEVER
-    clock: float = -1.0
-    snapshot: Snapshot | None = None  # it is being sent
-    offset: int = 0
-    part_at: float = NEVER  # when the last part left
-    copy_to: int = 0  # entries up to here are a copy of what was there before it came, and go by the pace
-    waits: bool = False  # for the pace
+    clock_ms: float = -1.0
+    pending_snapshot: Snapshot | None = None  # the snapshot that is being sent
+    snapshot_offset: int = 0
+    part_sent_at: float = NEVER  # when the last part of the snapshot was sent
+    # Entries up to this index existed before the replica joined; they are sent under the copy rate limit.
+    copy_until_index: int = 0
+    awaits_rate_limit: bool = False  # sending is paused by the copy rate limit
 
     def reset(self, after: int) -> None:
-        """Nothing is under way; what comes next stands behind an index."""
-        self.next, self.probing, self.inflight_bytes = after + 1, True, 0
+        """Forget everything in flight and continue after index `after`."""
+        self.next, self.is_probing, self.inflight_bytes = after + 1, True, 0
         self.inflight.clear()
-        self.snapshot, self.waits = None, False
+        self.pending_snapshot, self.awaits_rate_limit = None, False
 
 
 class Replica:
-    """One replica."""
+    """A replica: follower, candidate or leader of its group."""
 
     def __init__(
         self,
@@ -142,10 +151,10 @@
         saved: DurableState,
         rng: random.Random,
         now: float,
-        pace: CopyRateLimiter | None = None,
+        copy_limiter: CopyRateLimiter | None = None,
     ) -> None:
         self.own_id, self.settings, self._rng = own_id, settings, rng
-        self._pace = pace or CopyRateLimiter()
+        self._copy_limiter = copy_limiter or CopyRateLimiter()
         self.term, self.vote = saved.term, saved.vote
         self.snapshot = saved.snapshot
         self.entries = [entry for entry in saved.entries if entry.index > saved.snapshot.index]
@@ -154,380 +163,427 @@
             if entry.kind == MEMBERS:
                 self.members_at.append((entry.index, decode_members(entry.data)))
         self.role, self.leader, self.leader_zone = FOLLOWER, "", ""
-        self.commit_index = self._emitted = saved.snapshot.index
+        self.commit_index = self._delivered_index = saved.snapshot.index
         self.out = Output()
         if saved.snapshot.index:
             self.out.install = saved.snapshot
-        # Writes under way: number, and up to which index the log is as it says. Messages that wait for them.
-        self._writes: deque[list[int]] = deque()
-        self._numbers = self._done = 0
-        self._stable = self.last
-        self._held: deque[tuple[int, AnyMessage]] = deque()
-        self._heard_at = now  # of the leader. A fresh start knows nothing: it waits before it stands
-        self._fresh_at = NEVER  # our own time as of which we know all that was committed
-        self._part: tuple[tuple[int, int, int, int], bytearray] | None = None
+        # Pending writes as [number, last index up to which the log is as written], and the messages that wait
+        # for them.
+        self._pending_writes: deque[list[int]] = deque()
+        self._last_write_number = self._durable_write_number = 0
+        self._durable_index = self.last
+        self._deferred_messages: deque[tuple[int, AnyMessage]] = deque()
+        # Time of the last contact from the leader. A replica that has just started waits a full timeout
+        # before it campaigns.
+        self._leader_heard_at = now
+        self._fresh_as_of = NEVER  # own time as of which all committed entries are known here
+        self._incoming_snapshot: tuple[tuple[int, int, int, int], bytearray] | None = None
         self.elections = 0
-        self.durability_losses = 0  # times that a peer of ours has lost what it had said to be durable
-        # As a candidate or leader.
-        self._granted: set[str] = set()
-        self._asked_at = now
-        self._real = False  # votes are asked for, not pre-votes
+        self.durability_losses = 0  # times that a peer no longer had entries that it had acknowledged
+        # State of a candidate or leader.
+        self._votes_granted: set[str] = set()
+        self._campaign_started_at = now
+        self._is_real_election = False  # whether votes are requested, not pre-votes
         self.peers: dict[str, Progress] = {}
-        self._round = 0
-        self._rounds: deque[tuple[int, float]] = deque()  # when each was sent
+        self._heartbeat_round = 0
+        self._unconfirmed_rounds: deque[tuple[int, float]] = deque()  # round and when it was sent
         self.confirmed_at = NEVER
-        self._beat_at = now
-        self._reads: deque[tuple[int, int]] = deque()  # ticket, the round that confirms it; 0: not asked yet
-        self._proposed_bytes = 0
-        self._handing: tuple[str, float] | None = None  # to whom, until when
-        self._own_term = 0  # index of the first entry of our term as leader
-        self._stand_at = now + self._patience()
+        self._heartbeat_at = now
+        # Ticket and the round that confirms it; 0: no round sent yet.
+        self._pending_reads: deque[tuple[int, int]] = deque()
+        self._uncommitted_bytes = 0
+        self._leadership_transfer: tuple[str, float] | None = None  # target and deadline
+        self._term_start_index = 0  # index of the first entry of the own term as leader
+        self._election_due_at = now + self._election_timeout_ms()
 
     # --- Reading ------------------------------------------------------------------------------------------
 
     @property
     def first(self) -> int:
-        """Index of the first entry that is kept."""
+        """Index of the first entry in the log."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
     def last(self) -> int:
-        """Index of the last entry."""
+        """Index of the last entry in the log, or of the snapshot if the log is empty."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def members(self) -> Members:
-        """The members in force: those of the newest list in the log, committed or not."""
+        """The members in effect: those of the newest membership entry in the log, committed or not."""
         return self.members_at[-1][1]
 
     def voters(self) -> list[str]:
-        """Ids of those who count."""
+        """Ids of the members that count towards a majority."""
         return [m.id for m in self.members if m.voter]
 
     def member(self, name: str) -> Member | None:
-        """A member by its id."""
+        """The member with this id, or None."""
         return next((m for m in self.members if m.id == name), None)
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None if it is not known any more or not yet."""
+        """The term of the entry at an index; None if it was compacted away or does not exist yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.first
-        return self.entries[at].term if 0 <= at < len(self.entries) else None
+        offset = index - self.first
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
     def leading(self) -> bool:
-        """Whether we lead and know all that was committed before us."""
-        return self.role == LEADER and self.commit_index >= self._own_term
+        """Whether this replica leads and knows all entries committed in earlier terms."""
+        return self.role == LEADER and self.commit_index >= self._term_start_index
 
     def age_ms(self, now: float) -> float:
-        """For how long there may be committed writes that are not applied here: a bound, by our own clock.
+        """Upper bound, by this machine's clock, on how long there may have been committed entries not known
+        here.
 
-        A leader knows all that was committed until its leadership was last confirmed; it tells the others
-        how long ago that was, and echoes their clocks, so that no message is younger than it claims.
+        A leader knows all committed entries up to the time when its leadership was last confirmed. It tells
+        followers how long ago that was and echoes their clocks, so that a delayed message does not appear
+        fresher than it is.
         """
         if self.leading():
             return now - self.confirmed_at
-        return now - self._fresh_at
+        return now - self._fresh_as_of
 
     def next_at(self) -> float:
-        """When `tick` is to be called at the latest."""
+        """The latest time at which `tick` must be called."""
         if self.role != LEADER:
-            return self._stand_at if self.own_id in self.voters() else float("inf")
-        at = min(self._beat_at + self.settings.heartbeat_ms, self.confirmed_at + self.settings.election_ms)
-        return min(at, self._pace.free_at) if any(peer.waits for peer in self.peers.values()) else at
+            return self._election_due_at if self.own_id in self.voters() else float("inf")
+        due_at = min(
+            self._heartbeat_at + self.settings.heartbeat_ms, self.confirmed_at + self.settings.election_ms
+        )
+        return (
+            min(due_at, self._copy_limiter.free_at)
+            if any(peer.awaits_rate_limit for peer in self.peers.values())
+            else due_at
+        )
 
     def take(self, now: float) -> Output:
-        """What came out; the caller carries it out."""
-        if self._reads and self._reads[-1][1] == 0 and self.leading():
-            self._beat(now)
+        """Return and clear the output; the caller carries it out."""
+        if self._pending_reads and self._pending_reads[-1][1] == 0 and self.leading():
+            self._broadcast_heartbeat(now)
         out, self.out = self.out, Output()
         return out
 
     # --- Time and durability ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Advance the timers: elections, heartbeats and copying that waits for the rate limit."""
         if self.role == LEADER:
-            if now - self.confirmed_at > self.settings.election_ms and not self._alone():
-                # Check-quorum. Also what one that was paused does first: it leads no more before it acts.
-                self._follow(self.term, "", now)
-            elif now >= self._beat_at + self.settings.heartbeat_ms:
-                if self._handing is not None and now >= self._handing[1]:
-                    self._handing = None
-                self._beat(now)
-            elif self._pace.may(now):
-                self._go_on_copying(now)
-        elif now >= self._stand_at:
+            if now - self.confirmed_at > self.settings.election_ms and not self._is_only_voter():
+                # Check-quorum. It also makes a replica that was paused stop leading before it does anything
+                # else.
+                self._become_follower(self.term, "", now)
+            elif now >= self._heartbeat_at + self.settings.heartbeat_ms:
+                if self._leadership_transfer is not None and now >= self._leadership_transfer[1]:
+                    self._leadership_transfer = None
+                self._broadcast_heartbeat(now)
+            elif self._copy_limiter.may_send(now):
+                self._resume_copying(now)
+        elif now >= self._election_due_at:
             if self.own_id in self.voters():
-                self._ask(now, real=False)
+                self._campaign(now, is_real_election=False)
             else:
-                self._stand_at = now + self._patience()
+                self._election_due_at = now + self._election_timeout_ms()
 
-    def _go_on_copying(self, now: float) -> None:
-        for name in [name for name, peer in self.peers.items() if peer.waits]:
-            if self.peers[name].snapshot is not None:
-                self._part_to(name, now)
+    def _resume_copying(self, now: float) -> None:
+        for name in [name for name, peer in self.peers.items() if peer.awaits_rate_limit]:
+            if self.peers[name].pending_snapshot is not None:
+                self._send_snapshot_part(name, now)
             else:
-                self._tell(name, now)
+                self._replicate_to(name, now)
 
     def durable(self, now: float, number: int) -> None:
-        """All writes up to this number are on the disk."""
-        self._done = max(self._done, number)
-        while self._writes and self._writes[0][0] <= number:
-            self._stable = self._writes.popleft()[1]
-        while self._held and self._held[0][0] <= number:
-            self._emit(self._held.popleft()[1])
-        if self.role == CANDIDATE and self._real:
-            self._count(now)
+        """Report that all writes up to `number` are on disk."""
+        self._durable_write_number = max(self._durable_write_number, number)
+        while self._pending_writes and self._pending_writes[0][0] <= number:
+            self._durable_index = self._pending_writes.popleft()[1]
+        while self._deferred_messages and self._deferred_messages[0][0] <= number:
+            self._send_now(self._deferred_messages.popleft()[1])
+        if self.role == CANDIDATE and self._is_real_election:
+            self._count_votes(now)
         elif self.role == LEADER:
-            self._may_commit()
+            self._maybe_commit()
 
-    def _write(
+    def _queue_write(
         self,
-        hard: bool = False,
+        hard_state: bool = False,
         entries: tuple[Entry, ...] = (),
         snapshot: Snapshot | None = None,
         reset: bool = False,
     ) -> None:
-        self._numbers += 1
-        self._writes.append([self._numbers, self.last])
+        self._last_write_number += 1
+        self._pending_writes.append([self._last_write_number, self.last])
         self.out.writes.append(
-            Write(self._numbers, (self.term, self.vote) if hard else None, entries, snapshot, reset)
+            Write(
+                self._last_write_number,
+                (self.term, self.vote) if hard_state else None,
+                entries,
+                snapshot,
+                reset,
+            )
         )
 
-    def _emit(self, message: AnyMessage) -> None:
-        """Send what needs nothing durable any more."""
+    def _send_now(self, message: AnyMessage) -> None:
+        """Send a message that depends on no pending write."""
         self.out.messages.append(message)
 
-    def _send(self, message: AnyMessage) -> None:
-        """Send once all that is written so far is durable."""
-        if self._done >= self._numbers:
-            self._emit(message)
+    def _send_when_durable(self, message: AnyMessage) -> None:
+        """Send a message once all writes so far are durable."""
+        if self._durable_write_number >= self._last_write_number:
+            self._send_now(message)
         else:
-            self._held.append((self._numbers, message))
+            self._deferred_messages.append((self._last_write_number, message))
 
-    def _patience(self) -> float:
-        """How long a leader's silence lasts before we stand. Those of the leader's own zone stand last: a
-        zone that is lost whole took its leader along, and its others must not be in the way."""
-        span = self.settings.election_ms
+    def _election_timeout_ms(self) -> float:
+        """A randomized timeout without leader contact after which this replica campaigns. Replicas in the
+        leader's zone get a longer one: if a whole zone is lost the leader is lost with it, and other replicas
+        of that zone would only compete with those that can win."""
+        base_ms = self.settings.election_ms
         zones = {m.zone for m in self.members if m.voter}
-        mine = self.member(self.own_id)
-        shares = mine is not None and len(zones) > 1 and mine.zone == self.leader_zone
-        return span * (1 + self._rng.random() + shares)
+        own_member = self.member(self.own_id)
+        in_leader_zone = own_member is not None and len(zones) > 1 and own_member.zone == self.leader_zone
+        return base_ms * (1 + self._rng.random() + in_leader_zone)
 
     # --- Elections ----------------------------------------------------------------------------------------
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
-        """Be a follower, of this leader if one is known."""
+    def _become_follower(self, term: int, leader: str, now: float) -> None:
+        """Become a follower, of this leader if one is known."""
         if term > self.term:
             self.term, self.vote = term, ""
-            self._write(hard=True)
+            self._queue_write(hard_state=True)
         if self.role == LEADER:
-            self.out.lost_reads += [ticket for ticket, _ in self._reads]
-            self._reads.clear()
+            self.out.lost_reads += [ticket for ticket, _ in self._pending_reads]
+            self._pending_reads.clear()
             self.peers.clear()
-            self._rounds.clear()
-            self._handing, self._proposed_bytes = None, 0
+            self._unconfirmed_rounds.clear()
+            self._leadership_transfer, self._uncommitted_bytes = None, 0
         if self.role != FOLLOWER or leader != self.leader:
-            self._stand_at = now + self._patience()
+            self._election_due_at = now + self._election_timeout_ms()
         self.role, self.leader = FOLLOWER, leader
         if leader:
-            self._hear(now)
+            self._on_leader_contact(now)
 
-    def _hear(self, now: float) -> None:
-        """The leader lives."""
-        self._heard_at = now
+    def _on_leader_contact(self, now: float) -> None:
+        """Restart the election timeout: the leader was heard from."""
+        self._leader_heard_at = now
         member = self.member(self.leader)
         self.leader_zone = member.zone if member is not None else ""
-        self._stand_at = now + self._patience()
+        self._election_due_at = now + self._election_timeout_ms()
 
-    def _hears_leader(self, now: float) -> bool:
-        """Whether there is a leader that must not be disturbed."""
+    def _has_live_leader(self, now: float) -> bool:
+        """Whether a leader was heard from within the election timeout; it must not be disrupted."""
         if self.role == LEADER:
             return True  # check-quorum ends it
-        return bool(self.leader) and now - self._heard_at < self.settings.election_ms
+        return bool(self.leader) and now - self._leader_heard_at < self.settings.election_ms
 
-    def _ask(self, now: float, real: bool, handed: bool = False) -> None:
-        """Ask all voters: whether they would vote for us, then to do so."""
-        self.role, self.leader, self._real = CANDIDATE, "", real
-        self._granted = set()
-        self._asked_at, self._stand_at = now, now + self._patience()
+    def _campaign(self, now: float, is_real_election: bool, is_leadership_transfer: bool = False) -> None:
+        """Request pre-votes, or votes in a new term, from all voters."""
+        self.role, self.leader, self._is_real_election = CANDIDATE, "", is_real_election
+        self._votes_granted = set()
+        self._campaign_started_at, self._election_due_at = now, now + self._election_timeout_ms()
         term = self.term + 1
-        if real:
+        if is_real_election:
             self.elections += 1
             self.term, self.vote = term, self.own_id
-            self._write(hard=True)
-        log = self.last, self.term_at(self.last)
+            self._queue_write(hard_state=True)
+        last_entry = self.last, self.term_at(self.last)
         for voter in self.voters():
             if voter == self.own_id:
                 continue
-            if real:
-                self._send(Vote(self.own_id, voter, term, *log, handed))
+            if is_real_election:
+                self._send_when_durable(Vote(self.own_id, voter, term, *last_entry, is_leadership_transfer))
             else:
-                self._emit(PreVote(self.own_id, voter, term, *log))
-        self._count(now)
+                self._send_now(PreVote(self.own_id, voter, term, *last_entry))
+        self._count_votes(now)
 
-    def _count(self, now: float) -> None:
-        """Whether enough have said yes; ourselves only once our own vote is durable."""
+    def _count_votes(self, now: float) -> None:
+        """Proceed if a majority granted its vote. The own vote counts only once it is durable."""
         voters = self.voters()
-        granted = self._granted & set(voters)
-        if self.own_id in voters and (not self._real or self._done >= self._numbers):
+        granted = self._votes_granted & set(voters)
+        if self.own_id in voters and (
+            not self._is_real_election or self._durable_write_number >= self._last_write_number
+        ):
             granted.add(self.own_id)
         if len(granted) * 2 <= len(voters):
             return
-        if self._real:
-            self._lead(now)
+        if self._is_real_election:
+            self._become_leader(now)
         else:
-            self._ask(now, real=True)
+            self._campaign(now, is_real_election=True)
 
-    def _lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self.role, self.leader, self.leader_zone = LEADER, self.own_id, ""
-        self.peers = {m.id: self._new_peer(m) for m in self.members if m.id != self.own_id}
-        self._rounds.clear()
-        self._reads.clear()
-        self._handing = None
-        self.confirmed_at = self._asked_at  # who voted did so after that
-        self._proposed_bytes = sum(entry.size() for entry in self._from(self.commit_index + 1))
-        self._own_term = self.last + 1
-        self._append(NOOP, b"")
-        self._beat(now)
-
-    def _current(self, last_index: int, last_term: int) -> bool:
-        """Whether a candidate's log holds all that ours may have committed."""
+        self.peers = {m.id: self._new_progress(m) for m in self.members if m.id != self.own_id}
+        self._unconfirmed_rounds.clear()
+        self._pending_reads.clear()
+        self._leadership_transfer = None
+        self.confirmed_at = self._campaign_started_at  # the votes were granted after that
+        self._uncommitted_bytes = sum(entry.size() for entry in self._entries_from(self.commit_index + 1))
+        self._term_start_index = self.last + 1
+        self._append_entry(NOOP, b"")
+        self._broadcast_heartbeat(now)
+
+    def _is_log_up_to_date(self, last_index: int, last_term: int) -> bool:
+        """Whether a candidate's log contains every entry that may be committed according to this log."""
         return (last_term, last_index) >= (self.term_at(self.last), self.last)
 
-    def _on_pre_vote(self, m: PreVote, now: float) -> None:
+    def _on_pre_vote(self, message: PreVote, now: float) -> None:
         granted = (
-            m.term > self.term and self._current(m.last_index, m.last_term) and not self._hears_leader(now)
+            message.term > self.term
+            and self._is_log_up_to_date(message.last_index, message.last_term)
+            and not self._has_live_leader(now)
+        )
+        self._send_when_durable(
+            PreVoteReply(self.own_id, message.src, message.term if granted else self.term, granted)
         )
-        self._send(PreVoteReply(self.own_id, m.src, m.term if granted else self.term, granted))
 
-    def _on_pre_vote_reply(self, m: PreVoteReply, now: float) -> None:
-        if m.granted:
-            if self.role == CANDIDATE and not self._real and m.term == self.term + 1:
-                self._granted.add(m.src)
-                self._count(now)
-        elif m.term > self.term:
-            self._follow(m.term, "", now)
+    def _on_pre_vote_reply(self, message: PreVoteReply, now: float) -> None:
+        if message.granted:
+            if self.role == CANDIDATE and not self._is_real_election and message.term == self.term + 1:
+                self._votes_granted.add(message.src)
+                self._count_votes(now)
+        elif message.term > self.term:
+            self._become_follower(message.term, "", now)
 
-    def _on_vote(self, m: Vote, now: float) -> None:
+    def _on_vote(self, message: Vote, now: float) -> None:
         granted = (
-            m.term == self.term
-            and self.vote in ("", m.src)
+            message.term == self.term
+            and self.vote in ("", message.src)
             and self.role != LEADER
-            and self._current(m.last_index, m.last_term)
+            and self._is_log_up_to_date(message.last_index, message.last_term)
         )
         if granted and not self.vote:
-            self.vote = m.src
-            self._write(hard=True)
-            self._stand_at = now + self._patience()
-        self._send(VoteReply(self.own_id, m.src, self.term, granted))
+            self.vote = message.src
+            self._queue_write(hard_state=True)
+            self._election_due_at = now + self._election_timeout_ms()
+        self._send_when_durable(VoteReply(self.own_id, message.src, self.term, granted))
 
-    def _on_vote_reply(self, m: VoteReply, now: float) -> None:
-        if m.granted and m.term == self.term and self.role == CANDIDATE and self._real:
-            self._granted.add(m.src)
-            self._count(now)
+    def _on_vote_reply(self, message: VoteReply, now: float) -> None:
+        if (
+            message.granted
+            and message.term == self.term
+            and self.role == CANDIDATE
+            and self._is_real_election
+        ):
+            self._votes_granted.add(message.src)
+            self._count_votes(now)
 
-    def _on_stand_now(self, m: StandNow, now: float) -> None:
-        if m.term == self.term and self.role == FOLLOWER and self.own_id in self.voters():
-            self._ask(now, real=True, handed=True)
+    def _on_timeout_now(self, message: TimeoutNow, now: float) -> None:
+        if message.term == self.term and self.role == FOLLOWER and self.own_id in self.voters():
+            self._campaign(now, is_real_election=True, is_leadership_transfer=True)
 
     # --- Messages -----------------------------------------------------------------------------------------
 
-    def handle(self, now: float, m: AnyMessage) -> None:
-        """One message, whenever it comes. What is for another disk under our name is passed over."""
+    def handle(self, now: float, message: AnyMessage) -> None:
+        """Process one message. Messages for another disk that had the same machine name are ignored."""
         if self.role == LEADER:
-            self.tick(
-                now
-            )  # one that was paused leads no more; a follower hears what has come before it stands
-        if m.dst != self.own_id or m.src == self.own_id:
+            # Only as leader: one that was paused stops leading first. A follower processes the messages that
+            # have already arrived before its election timeout takes effect.
+            self.tick(now)
+        if message.dst != self.own_id or message.src == self.own_id:
             return
-        if isinstance(m, PreVote):
-            self._on_pre_vote(m, now)
-        elif isinstance(m, PreVoteReply):
-            self._on_pre_vote_reply(m, now)
-        elif isinstance(m, Vote) and m.term > self.term and not m.handed and self._hears_leader(now):
-            pass  # a replica that hears less than we do must not end what works
-        elif m.term < self.term:
-            if isinstance(m, Append | Install):  # a leader that does not know it is none any more
-                self._send(AppendReply(self.own_id, m.src, self.term, False, 0, 0, 0))
+        if isinstance(message, PreVote):
+            self._on_pre_vote(message, now)
+        elif isinstance(message, PreVoteReply):
+            self._on_pre_vote_reply(message, now)
+        elif (
+            isinstance(message, Vote)
+            and message.term > self.term
+            and not message.is_leadership_transfer
+            and self._has_live_leader(now)
+        ):
+            pass  # a replica that does not hear the leader must not depose it
+        elif message.term < self.term:
+            # Tells a deposed leader the newer term.
+            if isinstance(message, AppendEntries | InstallSnapshot):
+                self._send_when_durable(
+                    AppendEntriesReply(self.own_id, message.src, self.term, False, 0, 0, 0)
+                )
         else:
-            if m.term > self.term:
-                self._follow(m.term, "", now)
-            self._by_kind(m, now)
+            if message.term > self.term:
+                self._become_follower(message.term, "", now)
+            self._dispatch(message, now)
 
-    def _by_kind(self, m: AnyMessage, now: float) -> None:
-        if isinstance(m, Append | Install):
+    def _dispatch(self, message: AnyMessage, now: float) -> None:
+        if isinstance(message, AppendEntries | InstallSnapshot):
             if self.role == LEADER:
-                return  # no term has two; a replica that says so is not to be believed
-            if self.role != FOLLOWER or self.leader != m.src:
-                self._follow(m.term, m.src, now)
+                return  # a term has one leader; a message that claims otherwise is ignored
+            if self.role != FOLLOWER or self.leader != message.src:
+                self._become_follower(message.term, message.src, now)
             else:
-                self._hear(now)
-        match m:
-            case Append():
-                self._on_append(m, now)
-            case AppendReply():
-                self._on_append_reply(m, now)
-            case Install():
-                self._on_install(m, now)
-            case InstallReply():
-                self._on_install_reply(m, now)
+                self._on_leader_contact(now)
+        match message:
+            case AppendEntries():
+                self._on_append_entries(message, now)
+            case AppendEntriesReply():
+                self._on_append_entries_reply(message, now)
+            case InstallSnapshot():
+                self._on_install_snapshot(message, now)
+            case InstallSnapshotReply():
+                self._on_install_snapshot_reply(message, now)
             case Vote():
-                self._on_vote(m, now)
+                self._on_vote(message, now)
             case VoteReply():
-                self._on_vote_reply(m, now)
-            case StandNow():
-                self._on_stand_now(m, now)
+                self._on_vote_reply(message, now)
+            case TimeoutNow():
+                self._on_timeout_now(message, now)
 
     # --- The log ------------------------------------------------------------------------------------------
 
-    def _from(self, index: int) -> list[Entry]:
+    def _entries_from(self, index: int) -> list[Entry]:
         return self.entries[max(index - self.first, 0) :] if self.entries else []
 
-    def _append(self, kind: int, data: bytes) -> Entry:
-        """As leader: an entry at the end."""
+    def _append_entry(self, kind: int, data: bytes) -> Entry:
+        """Append an entry as leader."""
         entry = Entry(self.last + 1, self.term, kind, data)
-        self._proposed_bytes += entry.size()
-        self._take_in((entry,))
+        self._uncommitted_bytes += entry.size()
+        self._extend_log((entry,))
         return entry
 
-    def _take_in(self, entries: tuple[Entry, ...]) -> None:
+    def _extend_log(self, entries: tuple[Entry, ...]) -> None:
         self.entries += entries
         for entry in entries:
             if entry.kind == MEMBERS:
                 self.members_at.append((entry.index, decode_members(entry.data)))
-        self._write(entries=entries)
+        self._queue_write(entries=entries)
         if self.role == LEADER:
-            self._know_members()
+            self._update_peers()
 
-    def _know_members(self) -> None:
-        """As leader: follow exactly those who are members."""
+    def _update_peers(self) -> None:
+        """As leader, keep a Progress for exactly the other members."""
         others = [m for m in self.members if m.id != self.own_id]
-        self.peers = {m.id: self.peers.get(m.id) or self._new_peer(m) for m in others}
+        self.peers = {m.id: self.peers.get(m.id) or self._new_progress(m) for m in others}
 
-    def _new_peer(self, member: Member) -> Progress:
-        """What is there when a learner comes is copied at the pace; what comes later it gets like all."""
-        return Progress(self.last + 1, copy_to=0 if member.voter else self.last)
+    def _new_progress(self, member: Member) -> Progress:
+        """For a learner, the entries that exist when it joins are sent under the copy rate limit; later ones
+        are not."""
+        return Progress(self.last + 1, copy_until_index=0 if member.voter else self.last)
 
-    def _cut(self, index: int) -> None:
-        """Entries from an index on go: another leader has others there."""
+    def _truncate_from(self, index: int) -> None:
+        """Remove the entries from an index on: the leader has different entries there."""
         self.entries = self.entries[: index - self.first]
         while self.members_at[-1][0] >= index:
             self.members_at.pop()
-        self._stable = min(self._stable, index - 1)
-        for write in self._writes:
+        self._durable_index = min(self._durable_index, index - 1)
+        for write in self._pending_writes:
             write[1] = min(write[1], index - 1)
 
-    def _on_append(self, m: Append, now: float) -> None:
-        prev, entries = m.prev_index, m.entries
-        if prev < self.commit_index:  # all up to our commit is as the leader has it
+    def _on_append_entries(self, message: AppendEntries, now: float) -> None:
+        prev, entries = message.prev_index, message.entries
+        if prev < self.commit_index:  # everything up to the commit index matches the leader's log
             entries = entries[self.commit_index - prev :]
-            prev = min(self.commit_index, m.prev_index + len(m.entries))
-        elif self.term_at(prev) != m.prev_term:
-            self._send(
-                AppendReply(
-                    self.own_id, m.src, self.term, False, self._may_match(m), m.prev_index, m.round, now
+            prev = min(self.commit_index, message.prev_index + len(message.entries))
+        elif self.term_at(prev) != message.prev_term:
+            self._send_when_durable(
+                AppendEntriesReply(
+                    self.own_id,
+                    message.src,
+                    self.term,
+                    False,
+                    self._match_hint(message),
+                    message.prev_index,
+                    message.round,
+                    now,
                 )
             )
             return
@@ -535,105 +591,119 @@
         for at, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
                 if entry.index <= self.last:
-                    self._cut(entry.index)
-                self._take_in(entries[at:])
+                    self._truncate_from(entry.index)
+                self._extend_log(entries[at:])
                 break
-        self._committed(min(m.commit, end))
-        self._freshen(m, end)
-        self._send(AppendReply(self.own_id, m.src, self.term, True, end, m.prev_index, m.round, now))
-
-    def _may_match(self, m: Append) -> int:
-        """The highest index that may match, below one that does not: a whole term is passed over."""
-        at = min(m.prev_index - 1, self.last)
-        wrong = self.term_at(m.prev_index)
-        while at > self.commit_index and wrong is not None and self.term_at(at) == wrong:
-            at -= 1
-        return max(at, self.commit_index)
-
-    def _freshen(self, m: Append, end: int) -> None:
-        """As of when we know all that was committed, by the echo of our own clock."""
-        if m.echo >= 0 and m.commit <= end:
-            self._fresh_at = max(self._fresh_at, m.echo - m.lag)
-
-    def _committed(self, index: int) -> None:
+        self._commit_to(min(message.commit_index, end))
+        self._update_freshness(message, end)
+        self._send_when_durable(
+            AppendEntriesReply(
+                self.own_id, message.src, self.term, True, end, message.prev_index, message.round, now
+            )
+        )
+
+    def _match_hint(self, message: AppendEntries) -> int:
+        """The highest index that may match, below the mismatch. All entries of the conflicting term are
+        skipped."""
+        index = min(message.prev_index - 1, self.last)
+        conflicting_term = self.term_at(message.prev_index)
+        while (
+            index > self.commit_index
+            and conflicting_term is not None
+            and self.term_at(index) == conflicting_term
+        ):
+            index -= 1
+        return max(index, self.commit_index)
+
+    def _update_freshness(self, message: AppendEntries, end: int) -> None:
+        """Update the time as of which all committed entries are known, from the echo of the own clock."""
+        if message.echoed_clock_ms >= 0 and message.commit_index <= end:
+            self._fresh_as_of = max(self._fresh_as_of, message.echoed_clock_ms - message.unconfirmed_ms)
+
+    def _commit_to(self, index: int) -> None:
         if index <= self.commit_index:
             return
         self.commit_index = index
-        for entry in self._from(self._emitted + 1):
+        for entry in self._entries_from(self._delivered_index + 1):
             if entry.index > index:
                 break
-            self._emitted = entry.index
+            self._delivered_index = entry.index
             self.out.committed.append(entry)
             if self.role == LEADER:
-                self._proposed_bytes -= entry.size()
+                self._uncommitted_bytes -= entry.size()
 
     # --- Leading ------------------------------------------------------------------------------------------
 
-    def _alone(self) -> bool:
+    def _is_only_voter(self) -> bool:
         return self.voters() == [self.own_id]
 
-    def _beat(self, now: float) -> None:
-        """A sign of life to all, which asks them to confirm that we lead."""
-        self._beat_at = now
-        self._round += 1
-        self._rounds.append((self._round, now))
-        self._reads = deque((ticket, number or self._round) for ticket, number in self._reads)
+    def _broadcast_heartbeat(self, now: float) -> None:
+        """Send a heartbeat to all peers; the answers confirm leadership."""
+        self._heartbeat_at = now
+        self._heartbeat_round += 1
+        self._unconfirmed_rounds.append((self._heartbeat_round, now))
+        self._pending_reads = deque(
+            (ticket, number or self._heartbeat_round) for ticket, number in self._pending_reads
+        )
         for name in self.peers:
-            self._tell(name, now, beat=True)
-        self._confirm()
+            self._replicate_to(name, now, is_heartbeat=True)
+        self._confirm_rounds()
 
-    def _tell(self, name: str, now: float, beat: bool = False) -> None:
-        """Send a replica what it lacks, as far as its window goes; on a beat at least a sign of life."""
+    def _replicate_to(self, name: str, now: float, is_heartbeat: bool = False) -> None:
+        """Send a replica the entries that it lacks, as far as its window allows; a heartbeat if
+        `is_heartbeat` is set and nothing else is sent."""
         peer = self.peers[name]
-        if peer.snapshot is None and self.term_at(peer.next - 1) is None:
+        if peer.pending_snapshot is None and self.term_at(peer.next - 1) is None:
             peer.reset(peer.match)
-            peer.snapshot, peer.offset, peer.part_at = self.snapshot, 0, NEVER
-        if peer.snapshot is not None:
-            if now - peer.part_at >= self.settings.election_ms / 2:  # the part or its answer was lost
-                self._part_to(name, now)
-            elif beat:  # it has to hear that somebody leads
-                self._append_to(name, (), now, self.commit_index)
+            peer.pending_snapshot, peer.snapshot_offset, peer.part_sent_at = self.snapshot, 0, NEVER
+        if peer.pending_snapshot is not None:
+            if now - peer.part_sent_at >= self.settings.election_ms / 2:  # the part or its answer was lost
+                self._send_snapshot_part(name, now)
+            elif is_heartbeat:  # the follower must hear that there is a leader
+                self._send_append(name, (), now, self.commit_index)
             return
         window = self.settings
-        peer.waits = False
+        peer.awaits_rate_limit = False
         while (
-            not peer.probing
+            not peer.is_probing
             and peer.next <= self.last
             and peer.inflight_bytes < window.window_bytes
             and len(peer.inflight) < window.window_messages
         ):
-            copies = peer.next <= peer.copy_to
-            peer.waits = copies and not self._pace.may(now)
-            if peer.waits:
+            copies = peer.next <= peer.copy_until_index
+            peer.awaits_rate_limit = copies and not self._copy_limiter.may_send(now)
+            if peer.awaits_rate_limit:
                 break
-            entries = self._batch(peer.next)
-            self._append_to(name, entries, now)
+            entries = self._next_batch(peer.next)
+            self._send_append(name, entries, now)
             size = sum(entry.size() for entry in entries)
             if copies:
-                self._pace.take(now, size)
+                self._copy_limiter.record(now, size)
             peer.next += len(entries)
             peer.inflight.append((peer.next - 1, size))
             peer.inflight_bytes += size
-            beat = False
-        if beat:
-            self._append_to(name, (), now)
-
-    def _batch(self, index: int) -> tuple[Entry, ...]:
-        batch, size, at = [], 0, index - self.first
-        while at < len(self.entries) and (
-            not batch or size + self.entries[at].size() <= self.settings.batch_bytes
+            is_heartbeat = False
+        if is_heartbeat:
+            self._send_append(name, (), now)
+
+    def _next_batch(self, index: int) -> tuple[Entry, ...]:
+        batch, size, offset = [], 0, index - self.first
+        while offset < len(self.entries) and (
+            not batch or size + self.entries[offset].size() <= self.settings.batch_bytes
         ):
-            batch.append(self.entries[at])
+            batch.append(self.entries[offset])
             size += batch[-1].size()
-            at += 1
+            offset += 1
         return tuple(batch)
 
-    def _append_to(self, name: str, entries: tuple[Entry, ...], now: float, prev: int | None = None) -> None:
+    def _send_append(
+        self, name: str, entries: tuple[Entry, ...], now: float, prev: int | None = None
+    ) -> None:
         peer = self.peers[name]
         prev = peer.next - 1 if prev is None else prev
-        known = self.leading()
-        self._emit(
-            Append(
+        knows_all_committed = self.leading()
+        self._send_now(
+            AppendEntries(
                 self.own_id,
                 name,
                 self.term,
@@ -641,182 +711,198 @@
                 self.term_at(prev),
                 entries,
                 self.commit_index,
-                self._round,
-                peer.clock if known else -1.0,
+                self._heartbeat_round,
+                peer.clock_ms if knows_all_committed else -1.0,
                 now - self.confirmed_at,
             )
         )
 
-    def _on_append_reply(self, m: AppendReply, now: float) -> None:
-        peer = self.peers.get(m.src)
+    def _on_append_entries_reply(self, message: AppendEntriesReply, now: float) -> None:
+        peer = self.peers.get(message.src)
         if self.role != LEADER or peer is None:
             return
-        self._heard_from(peer, m.round, now)
-        peer.clock = max(peer.clock, m.clock)
-        if m.ok:
-            self._acknowledged(m.src, peer, m.match, now)
+        self._on_peer_contact(peer, message.round, now)
+        peer.clock_ms = max(peer.clock_ms, message.clock_ms)
+        if message.ok:
+            self._on_acknowledged(message.src, peer, message.match, now)
         elif (
-            peer.snapshot is None
-            and m.prev_index > peer.match
-            and (not peer.probing or m.prev_index == peer.next - 1)
+            peer.pending_snapshot is None
+            and message.prev_index > peer.match
+            and (not peer.is_probing or message.prev_index == peer.next - 1)
         ):
-            peer.reset(max(m.match, peer.match))
-            self._tell(m.src, now, beat=True)
-        elif m.prev_index <= peer.match and m.round > peer.matched_in:
-            self._forgotten(m, peer, now)
-
-    def _forgotten(self, m: AppendReply, peer: Progress, now: float) -> None:
-        """A replica refuses what it had said to be durable, by an answer to a question that we asked after it
-        had said so: its disk forgets. It counts for what it has now, and is sent the rest again.
-
-        Danger: what was committed with its word may be on a minority from now on, until it has it again; no
-        protocol can keep that promise for a disk that lies. It is told, so that the disk is replaced.
+            peer.reset(max(message.match, peer.match))
+            self._replicate_to(message.src, now, is_heartbeat=True)
+        elif message.prev_index <= peer.match and message.round > peer.matched_round:
+            self._on_durability_loss(message, peer, now)
+
+    def _on_durability_loss(self, message: AppendEntriesReply, peer: Progress, now: float) -> None:
+        """Handle a replica that lacks entries which it acknowledged as durable: its disk lost them.
+
+        The answer belongs to a round that was sent after the acknowledgement arrived, so it is not merely an
+        old message. The replica counts only for what it has now and is sent the rest again. Entries that were
+        committed with its acknowledgement may be on a minority of the disks until then; no protocol can
+        prevent that for a disk that loses synced data. The loss is counted so that operators replace the
+        disk.
         """
-        peer.match, peer.matched_in = min(peer.match, m.match), self._round
+        peer.match, peer.matched_round = min(peer.match, message.match), self._heartbeat_round
         peer.durability_losses += 1
         self.durability_losses += 1
         peer.reset(peer.match)
-        self._tell(m.src, now, beat=True)
+        self._replicate_to(message.src, now, is_heartbeat=True)
 
-    def _acknowledged(self, name: str, peer: Progress, match: int, now: float) -> None:
+    def _on_acknowledged(self, name: str, peer: Progress, match: int, now: float) -> None:
         if match > self.last:
-            return  # not by what we have sent
+            return  # acknowledges more than was sent
         if match > peer.match:
-            peer.match, peer.matched_in = match, self._round
+            peer.match, peer.matched_round = match, self._heartbeat_round
         peer.next = max(peer.next, match + 1)
         while peer.inflight and peer.inflight[0][0] <= match:
             peer.inflight_bytes -= peer.inflight.popleft()[1]
-        if peer.snapshot is not None and peer.match >= peer.snapshot.index:
-            peer.snapshot, peer.waits = None, False
-        if peer.snapshot is None:
-            peer.probing = False
-        self._may_commit()
+        if peer.pending_snapshot is not None and peer.match >= peer.pending_snapshot.index:
+            peer.pending_snapshot, peer.awaits_rate_limit = None, False
+        if peer.pending_snapshot is None:
+            peer.is_probing = False
+        self._maybe_commit()
         if name in self.peers:
-            self._tell(name, now)
-        self._hand_over(name, now)
+            self._replicate_to(name, now)
+        self._send_timeout_now(name, now)
 
-    def _heard_from(self, peer: Progress, number: int, now: float) -> None:
+    def _on_peer_contact(self, peer: Progress, number: int, now: float) -> None:
         peer.heard_at = now
-        if number > peer.round:
-            peer.round = number
-            self._confirm()
+        if number > peer.confirmed_round:
+            peer.confirmed_round = number
+            self._confirm_rounds()
 
     def _quorum(self, values: dict[str, int], own: int) -> int:
         """The highest value that a majority of the voters has reached."""
         reached = sorted((own if v == self.own_id else values[v] for v in self.voters()), reverse=True)
         return reached[len(reached) // 2] if reached else 0
 
-    def _confirm(self) -> None:
-        """A majority has answered a round: we led when it was sent."""
-        number = self._quorum({name: peer.round for name, peer in self.peers.items()}, self._round)
-        while self._rounds and self._rounds[0][0] <= number:
-            self.confirmed_at = max(self.confirmed_at, self._rounds.popleft()[1])
-        while self._reads and 0 < self._reads[0][1] <= number:
-            self.out.reads.append((self._reads.popleft()[0], self.commit_index))
+    def _confirm_rounds(self) -> None:
+        """Confirm leadership as of the last round that a majority answered, and release the reads that waited
+        for it."""
+        number = self._quorum(
+            {name: peer.confirmed_round for name, peer in self.peers.items()}, self._heartbeat_round
+        )
+        while self._unconfirmed_rounds and self._unconfirmed_rounds[0][0] <= number:
+            self.confirmed_at = max(self.confirmed_at, self._unconfirmed_rounds.popleft()[1])
+        while self._pending_reads and 0 < self._pending_reads[0][1] <= number:
+            self.out.reads.append((self._pending_reads.popleft()[0], self.commit_index))
 
-    def _may_commit(self) -> None:
-        """Commit what a majority has on its disks.
+    def _maybe_commit(self) -> None:
+        """Commit what is durable on a majority.
 
-        Danger: an entry of an earlier term is committed only by one of ours behind it; by count alone it
-        could still be replaced.
+        Only an entry of the current term is committed by counting; entries of earlier terms are committed
+        with it. An entry of an earlier term that is on a majority could still be replaced (Raft paper,
+        5.4.2).
         """
-        index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._stable)
+        index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._durable_index)
         if index > self.commit_index and self.term_at(index) == self.term:
-            self._committed(index)
+            self._commit_to(index)
             if self.own_id not in self.voters() and self.members_at[-1][0] <= self.commit_index:
-                self.role = FOLLOWER  # we were taken out, and that is committed: others go on
-                self.out.lost_reads += [ticket for ticket, _ in self._reads]
-                self._reads.clear()
+                # this replica was removed, and the removal is committed: it stops leading
+                self.role = FOLLOWER
+                self.out.lost_reads += [ticket for ticket, _ in self._pending_reads]
+                self._pending_reads.clear()
                 self.peers.clear()
                 self.leader = ""
 
     # --- What the leader is asked -------------------------------------------------------------------------
 
     def propose(self, now: float, data: bytes) -> int:
-        """Begin to replicate something; its index. It has come about if the entry that is committed there is
-        of this term."""
-        self._must_lead(now)
-        if self._proposed_bytes >= self.settings.proposed_bytes:
-            raise BusyError("too many writes are under way")
-        entry = self._append(DATA, data)
+        """Start to replicate data; returns the index of its entry. The data is committed if the entry that is
+        committed at this index has the current term. Raises NotLeaderError, BusyError."""
+        self._require_leadership(now)
+        if self._uncommitted_bytes >= self.settings.max_uncommitted_bytes:
+            raise BusyError("too many uncommitted writes")
+        entry = self._append_entry(DATA, data)
         for name in self.peers:
-            self._tell(name, now)
-        self._may_commit()
+            self._replicate_to(name, now)
+        self._maybe_commit()
         return entry.index
 
     def read(self, now: float, ticket: int) -> None:
-        """Ask whether we lead at some moment from now on; comes out as a read, or as a lost one."""
-        self._must_lead(now)
-        self._reads.append((ticket, 0))
+        """Request a linearizable read (read index). The ticket appears in `Output.reads` once leadership is
+        confirmed by a later round, or in `Output.lost_reads`. Raises NotLeaderError."""
+        self._require_leadership(now)
+        self._pending_reads.append((ticket, 0))
 
     def change_members(self, now: float, members: Members) -> int:
-        """Begin to change one member; the index of the new list. One change at a time."""
-        self._must_lead(now)
+        """Start to add, remove or promote one member; returns the index of the membership entry. Raises
+        NotLeaderError, or BusyError if a change is pending or the new list differs in more than one member.
+        """
+        self._require_leadership(now)
         if self.members_at[-1][0] > self.commit_index:
-            raise BusyError("another change of members is under way")
+            raise BusyError("another membership change is pending")
         if not one_apart(self.members, members):
-            raise BusyError("one member is changed at a time")
+            raise BusyError("only one member can be changed at a time")
         if not any(m.voter for m in members):
-            raise BusyError("one voter has to stay")
-        entry = self._append(MEMBERS, encode(members))
+            raise BusyError("at least one voter must remain")
+        entry = self._append_entry(MEMBERS, encode(members))
         for name in self.peers:
-            self._tell(name, now)
-        self._may_commit()
+            self._replicate_to(name, now)
+        self._maybe_commit()
         return entry.index
 
     def transfer_leadership(self, now: float, name: str) -> None:
-        """Hand leadership to a voter, before a planned stop: nothing new is taken until that is done or its
-        time has passed."""
-        self._must_lead(now)
+        """Transfer leadership to another voter, for example before a planned stop. Proposals are refused
+        until the transfer is complete or the election timeout has passed. Raises NotLeaderError, BusyError.
+        """
+        self._require_leadership(now)
         if name not in self.peers or name not in self.voters():
-            raise BusyError(f"{name} is no other voter")
-        self._handing = name, now + self.settings.election_ms
-        self._hand_over(name, now)
+            raise BusyError(f"{name} is not another voter")
+        self._leadership_transfer = name, now + self.settings.election_ms
+        self._send_timeout_now(name, now)
 
-    def _hand_over(self, name: str, now: float) -> None:
+    def _send_timeout_now(self, name: str, now: float) -> None:
         if (
             self.role == LEADER
-            and self._handing is not None
-            and self._handing[0] == name
+            and self._leadership_transfer is not None
+            and self._leadership_transfer[0] == name
             and name in self.peers
             and self.peers[name].match == self.last
         ):
-            self._send(StandNow(self.own_id, name, self.term))
+            self._send_when_durable(TimeoutNow(self.own_id, name, self.term))
 
-    def _must_lead(self, now: float) -> None:
-        self.tick(now)  # who was paused finds out first
+    def _require_leadership(self, now: float) -> None:
+        self.tick(now)  # a replica that was paused notices first that it may no longer lead
         if not self.leading():
-            known = self.leader if self.role == FOLLOWER else ""
+            leader = self.leader if self.role == FOLLOWER else ""
             raise NotLeaderError(
-                known, "leads, but does not know all yet" if self.role == LEADER else "not the leader"
+                leader,
+                "leader, but has not committed an entry of its term yet"
+                if self.role == LEADER
+                else "not the leader",
             )
-        if self._handing is not None:
-            raise NotLeaderError(self._handing[0], "hands leadership over")
+        if self._leadership_transfer is not None:
+            raise NotLeaderError(self._leadership_transfer[0], "leadership transfer in progress")
 
     # --- Snapshots ----------------------------------------------------------------------------------------
 
     def compact(self, index: int, data: bytes) -> None:
-        """The state after an index that was committed: entries far enough below it go."""
-        if not self.snapshot.index < index <= self._emitted:
-            raise ValueError(f"index {index} is not between the snapshot's and what is committed")
+        """Store the state after a committed index as a snapshot and drop all but the last `kept_entries`
+        entries up to it. Raises ValueError if the index is not between the snapshot's and the last committed
+        one."""
+        if not self.snapshot.index < index <= self._delivered_index:
+            raise ValueError(f"index {index} is not between the snapshot index and the last committed index")
         members = next(members for at, members in reversed(self.members_at) if at <= index)
         term = self.term_at(index)
-        self.entries = self._from(index + 1 - self.settings.kept_entries)
+        self.entries = self._entries_from(index + 1 - self.settings.kept_entries)
         self.snapshot = Snapshot(index, term, members, data, zlib.crc32(data))
         self.members_at = [(at, m) for at, m in self.members_at if at > index]
         self.members_at.insert(0, (index, members))
-        self._write(snapshot=self.snapshot)
+        self._queue_write(snapshot=self.snapshot)
 
-    def _part_to(self, name: str, now: float) -> None:
+    def _send_snapshot_part(self, name: str, now: float) -> None:
         peer = self.peers[name]
-        snapshot, end = peer.snapshot, peer.offset + self.settings.batch_bytes
-        peer.waits = not self._pace.may(now)
-        if peer.waits:
+        snapshot, end = peer.pending_snapshot, peer.snapshot_offset + self.settings.batch_bytes
+        peer.awaits_rate_limit = not self._copy_limiter.may_send(now)
+        if peer.awaits_rate_limit:
             return
-        self._pace.take(now, len(snapshot.data[peer.offset : end]))
-        peer.part_at = now
-        self._emit(
-            Install(
+        self._copy_limiter.record(now, len(snapshot.data[peer.snapshot_offset : end]))
+        peer.part_sent_at = now
+        self._send_now(
+            InstallSnapshot(
                 self.own_id,
                 name,
                 self.term,
@@ -824,75 +910,100 @@
                 snapshot.term,
                 snapshot.members,
                 len(snapshot.data),
-                snapshot.check,
-                peer.offset,
-                snapshot.data[peer.offset : end],
-                self._round,
+                snapshot.checksum,
+                peer.snapshot_offset,
+                snapshot.data[peer.snapshot_offset : end],
+                self._heartbeat_round,
             )
         )
 
-    def _on_install(self, m: Install, now: float) -> None:
-        if m.index <= self.commit_index:
-            self._send(
-                AppendReply(self.own_id, m.src, self.term, True, self.commit_index, m.index, m.round, now)
+    def _on_install_snapshot(self, message: InstallSnapshot, now: float) -> None:
+        if message.index <= self.commit_index:
+            self._send_when_durable(
+                AppendEntriesReply(
+                    self.own_id,
+                    message.src,
+                    self.term,
+                    True,
+                    self.commit_index,
+                    message.index,
+                    message.round,
+                    now,
+                )
             )
             return
-        key = m.index, m.snap_term, m.size, m.check
-        if self._part is None or self._part[0] != key:
-            self._part = key, bytearray()
-        have = self._part[1]
-        if m.offset == len(have):
-            have += m.data
-        if len(have) < m.size:
-            self._send(InstallReply(self.own_id, m.src, self.term, m.index, len(have), m.round))
+        key = message.index, message.snapshot_term, message.total_bytes, message.checksum
+        if self._incoming_snapshot is None or self._incoming_snapshot[0] != key:
+            self._incoming_snapshot = key, bytearray()
+        received = self._incoming_snapshot[1]
+        if message.offset == len(received):
+            received += message.data
+        if len(received) < message.total_bytes:
+            self._send_when_durable(
+                InstallSnapshotReply(
+                    self.own_id, message.src, self.term, message.index, len(received), message.round
+                )
+            )
             return
-        data, self._part = bytes(have), None
-        if zlib.crc32(data) != m.check:
-            self._send(InstallReply(self.own_id, m.src, self.term, m.index, 0, m.round))
+        data, self._incoming_snapshot = bytes(received), None
+        if zlib.crc32(data) != message.checksum:
+            self._send_when_durable(
+                InstallSnapshotReply(self.own_id, message.src, self.term, message.index, 0, message.round)
+            )
             return
-        self._restore(Snapshot(m.index, m.snap_term, m.members, data, m.check))
-        self._send(AppendReply(self.own_id, m.src, self.term, True, m.index, m.index, m.round, now))
-
-    def _restore(self, snapshot: Snapshot) -> None:
-        """Take a leader's snapshot in place of all that we have: it was committed, and is ahead of us."""
-        fits = self.term_at(snapshot.index) == snapshot.term
-        behind = self._from(snapshot.index + 1) if fits else []
-        newer = [(at, m) for at, m in self.members_at if at > snapshot.index] if fits else []
-        self._stable = max(min(self._stable, self.last), snapshot.index) if fits else snapshot.index
-        for write in self._writes:
-            write[1] = max(write[1], snapshot.index) if fits else snapshot.index
-        self.snapshot, self.entries = snapshot, behind
-        self.members_at = [(snapshot.index, snapshot.members), *newer]
-        self.commit_index = self._emitted = snapshot.index
+        self._restore_snapshot(
+            Snapshot(message.index, message.snapshot_term, message.members, data, message.checksum)
+        )
+        self._send_when_durable(
+            AppendEntriesReply(
+                self.own_id, message.src, self.term, True, message.index, message.index, message.round, now
+            )
+        )
+
+    def _restore_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the log with a leader's snapshot, which is committed and ahead of this replica. Later
+        entries are kept if the log matches the snapshot."""
+        is_consistent = self.term_at(snapshot.index) == snapshot.term
+        later_entries = self._entries_from(snapshot.index + 1) if is_consistent else []
+        later_members = [(at, m) for at, m in self.members_at if at > snapshot.index] if is_consistent else []
+        self._durable_index = (
+            max(min(self._durable_index, self.last), snapshot.index) if is_consistent else snapshot.index
+        )
+        for write in self._pending_writes:
+            write[1] = max(write[1], snapshot.index) if is_consistent else snapshot.index
+        self.snapshot, self.entries = snapshot, later_entries
+        self.members_at = [(snapshot.index, snapshot.members), *later_members]
+        self.commit_index = self._delivered_index = snapshot.index
         self.out.install, self.out.committed = snapshot, []
-        self._write(entries=tuple(behind), snapshot=snapshot, reset=True)
+        self._queue_write(entries=tuple(later_entries), snapshot=snapshot, reset=True)
 
-    def _on_install_reply(self, m: InstallReply, now: float) -> None:
-        peer = self.peers.get(m.src)
+    def _on_install_snapshot_reply(self, message: InstallSnapshotReply, now: float) -> None:
+        peer = self.peers.get(message.src)
         if self.role != LEADER or peer is None:
             return
-        self._heard_from(peer, m.round, now)
+        self._on_peer_contact(peer, message.round, now)
         if (
-            peer.snapshot is not None
-            and peer.snapshot.index == m.index
-            and m.offset <= len(peer.snapshot.data)
-            and m.offset != peer.offset
+            peer.pending_snapshot is not None
+            and peer.pending_snapshot.index == message.index
+            and message.offset <= len(peer.pending_snapshot.data)
+            and message.offset != peer.snapshot_offset
         ):
-            peer.offset = m.offset
-            self._part_to(m.src, now)
+            peer.snapshot_offset = message.offset
+            self._send_snapshot_part(message.src, now)
 
 
 def first_state(members: Members, data: bytes) -> DurableState:
-    """What every disk of a new group begins with. All begin with the same: they agree on their members."""
+    """The initial state of every disk of a new group. It is identical on all of them, so they agree on the
+    members."""
     return DurableState(1, "", Snapshot(1, 1, members, data, zlib.crc32(data)))
 
 
-def parse(data: bytes) -> AnyMessage:
-    """A message from the wire; ValueError where it is none."""
+def parse_message(data: bytes) -> AnyMessage:
+    """Decode a message received from the network; raises ValueError if it is malformed."""
     try:
-        return _messages.decode(data)
+        return _message_decoder.decode(data)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
 
 
-_messages = msgspec.msgpack.Decoder(AnyMessage)
+_message_decoder = msgspec.msgpack.Decoder(AnyMessage)
--- a/yewstage/raft/disk.py
+++ b/yewstage/raft/disk.py
@@ -1,10 +1,10 @@
-"""The durable part of replicas: segments of records, each with its checksum, and a snapshot that they go on
+"""The durable state of a replica: log segments of checksummed records, and a snapshot that the log continues
 from.
 
-A segment begins with the term and vote in force, so that older segments may go whole. A record is 12 bytes
-of head (length, checksum of its body, checksum of those eight bytes) and a body in MessagePack. A crash can
-leave a last record that is not whole, which nobody was told of: it is cut off. Anything else that does not
-fit is damage, and a replica that forgets may vote twice: the start ends there.
+Each segment begins with the term and vote, so that older segments can be deleted whole. A record is a header
+of 12 bytes (length, checksum of the body, checksum of these eight bytes) and a body in MessagePack. A crash
+can leave a torn last record; it was never acknowledged and is cut off. Any other mismatch is damage and stops
+the start, because a replica that has lost state may vote twice in a term.
 """
 
 from __future__ import annotations
@@ -20,58 +20,58 @@
 from yewstage.raft.core import DurableState, Write
 from yewstage.raft.messages import Entry, Snapshot
 
-FORMAT = 1
-HEAD = struct.Struct("<III")
-MAGIC = b"plumwall raft %d\n" % FORMAT
+FORMAT_VERSION = 1
+RECORD_HEADER = struct.Struct("<III")
+FILE_HEADER = b"plumwall raft %d\n" % FORMAT_VERSION
 SEGMENT_BYTES = 4 * 1024 * 1024
-LONGEST = 256 * 1024 * 1024  # of a record's body: past that its head is not believed
+MAX_RECORD_BYTES = 256 * 1024 * 1024  # a header with a larger length is treated as invalid
 
 
 class DiskError(Exception):
-    """The folder cannot be used; the text says why and what to do, in one line."""
+    """The folder cannot be used. The text says why and what to do, in one line."""
 
 
 class FullError(Exception):
-    """What was to be written is not durable, and is not there; it may be tried again."""
+    """The write is not durable and has no effect. It may be retried unless `Disk.broken` is set."""
 
 
 class Record(msgspec.Struct, array_like=True):
-    """What one write left: term and vote, entries, and the snapshot's index that entries start again from."""
+    """One record of the log: term and vote, entries, and the index of a snapshot that replaced the log."""
 
-    hard: tuple[int, str] | None = None
+    hard_state: tuple[int, str] | None = None
     entries: tuple[Entry, ...] = ()
-    reset: int = 0  # all entries up to here and behind it went: a leader's snapshot took their place
+    reset: int = 0  # all earlier entries were dropped: a leader's snapshot up to this index replaced them
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_record = msgspec.msgpack.Decoder(Record)
-_snapshot = msgspec.msgpack.Decoder(Snapshot)
+_record_decoder = msgspec.msgpack.Decoder(Record)
+_snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 
 
 class Disk:
-    """The files of one replica. Used by one thread at a time; `write` is for a thread that may wait."""
+    """The files of one replica. Used by one thread at a time; `write` blocks on the disk."""
 
     def __init__(
         self, folder: Path, sync: Callable[[int], None] = os.fsync, segment_bytes: int = SEGMENT_BYTES
     ) -> None:
         self._folder, self._sync, self._segment_bytes = folder, sync, segment_bytes
-        self._segments: list[tuple[int, int]] = []  # number, index of the last entry in it
+        self._segments: list[tuple[int, int]] = []  # segment number and the index of the last entry in it
         self._fd = -1
         self._size = 0
-        self._hard = (0, "")
-        self._last = self._kept = 0  # index of the last entry, and of the snapshot
-        self.cut = 0  # bytes of a torn last record, at the load
-        self.broken = ""  # why nothing more can be written; empty: it can
+        self._hard_state = (0, "")
+        self._last_index = self._snapshot_index = 0  # index of the last entry, and of the snapshot
+        self.cut = 0  # bytes of a torn last record that `load` removed
+        self.broken = ""  # why writes are no longer possible; empty: they are
         self.syncs = 0
 
     # --- Loading ------------------------------------------------------------------------------------------
 
     def load(self) -> DurableState:
-        """What the folder holds; ready to write from here on. DiskError where it is damaged."""
+        """Read the folder and prepare it for writing. Raises DiskError if it is damaged or cannot be used."""
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
-            for part in self._folder.glob("*.new"):
-                part.unlink()
+            for file in self._folder.glob("*.new"):
+                file.unlink()
             return self._load()
         except OSError as error:
             raise DiskError(f"{self._folder}: {error}") from None
@@ -80,130 +80,132 @@
         saved, entries = DurableState(), {}
         path = self._folder / "snapshot"
         if path.exists():
-            bodies, whole = self._bodies(path, path.read_bytes())
-            if len(bodies) != 1 or not whole:
-                raise _damaged(path)
-            saved.snapshot = _decoded(path, _snapshot, bodies[0])
-            if zlib.crc32(saved.snapshot.data) != saved.snapshot.check:
-                raise _damaged(path)
-        numbers = self._numbers()
-        for at, number in enumerate(numbers):
-            if number != numbers[0] + at:
-                raise DiskError(f"{self._path(numbers[0] + at)}: is missing; {REMEDY}")
+            bodies, is_complete = self._record_bodies(path, path.read_bytes())
+            if len(bodies) != 1 or not is_complete:
+                raise _damaged_error(path)
+            saved.snapshot = _decode(path, _snapshot_decoder, bodies[0])
+            if zlib.crc32(saved.snapshot.data) != saved.snapshot.checksum:
+                raise _damaged_error(path)
+        numbers = self._segment_numbers()
+        for offset, number in enumerate(numbers):
+            if number != numbers[0] + offset:
+                raise DiskError(f"{self._segment_path(numbers[0] + offset)}: is missing; {RECOVERY_ADVICE}")
             self._read_segment(number, number == numbers[-1], saved, entries)
         snapshot = saved.snapshot
         saved.entries = [entries[index] for index in sorted(entries) if index > snapshot.index]
-        for at, entry in enumerate(saved.entries, snapshot.index + 1):
-            if entry.index != at:
-                raise DiskError(f"{self._folder}: entry {at} is missing; {REMEDY}")
+        for index, entry in enumerate(saved.entries, snapshot.index + 1):
+            if entry.index != index:
+                raise DiskError(f"{self._folder}: entry {index} is missing; {RECOVERY_ADVICE}")
         if not numbers:
             if snapshot.index:
-                raise DiskError(f"{self._folder}: a snapshot without a log; {REMEDY}")
-            self._roll(1)
+                raise DiskError(f"{self._folder}: has a snapshot but no log; {RECOVERY_ADVICE}")
+            self._start_segment(1)
         else:
-            self._fd = os.open(self._path(numbers[-1]), os.O_RDWR)
+            self._fd = os.open(self._segment_path(numbers[-1]), os.O_RDWR)
             os.ftruncate(self._fd, self._size)
             os.lseek(self._fd, self._size, os.SEEK_SET)
-        self._hard = saved.term, saved.vote
-        self._last = saved.entries[-1].index if saved.entries else snapshot.index
-        self._kept = snapshot.index
+        self._hard_state = saved.term, saved.vote
+        self._last_index = saved.entries[-1].index if saved.entries else snapshot.index
+        self._snapshot_index = snapshot.index
         return saved
 
-    def _numbers(self) -> list[int]:
+    def _segment_numbers(self) -> list[int]:
         return sorted(int(path.name[4:]) for path in self._folder.glob("log-*") if path.name[4:].isdigit())
 
-    def _path(self, number: int) -> Path:
+    def _segment_path(self, number: int) -> Path:
         return self._folder / f"log-{number:08}"
 
     def _read_segment(
-        self, number: int, newest: bool, saved: DurableState, entries: dict[int, Entry]
+        self, number: int, is_newest: bool, saved: DurableState, entries: dict[int, Entry]
     ) -> None:
-        path = self._path(number)
+        path = self._segment_path(number)
         data = path.read_bytes()
-        bodies, whole = self._bodies(path, data)
-        if not whole and not newest:
-            raise _damaged(path)
-        top = last = max(entries, default=0)
+        bodies, is_complete = self._record_bodies(path, data)
+        if not is_complete and not is_newest:
+            raise _damaged_error(path)
+        end_index = highest_index = max(entries, default=0)
         for body in bodies:
-            record = _decoded(path, _record, body)
-            if record.hard is not None:
-                saved.term, saved.vote = record.hard
+            record = _decode(path, _record_decoder, body)
+            if record.hard_state is not None:
+                saved.term, saved.vote = record.hard_state
             if record.reset:
                 entries.clear()
-                top = record.reset
+                end_index = record.reset
             for entry in record.entries:
-                for index in range(entry.index + 1, top + 1):
+                for index in range(entry.index + 1, end_index + 1):
                     entries.pop(index, None)
                 entries[entry.index] = entry
-                top = entry.index
-            last = max(last, top)
-        self._segments.append((number, last))
-        self._size = len(MAGIC) + sum(HEAD.size + len(body) for body in bodies)
+                end_index = entry.index
+            highest_index = max(highest_index, end_index)
+        self._segments.append((number, highest_index))
+        self._size = len(FILE_HEADER) + sum(RECORD_HEADER.size + len(body) for body in bodies)
         self.cut = len(data) - self._size
 
-    def _bodies(self, path: Path, data: bytes) -> tuple[list[bytes], bool]:
-        """The bodies of a file's records, and whether they are all of it: else the last one is torn."""
-        if not data.startswith(MAGIC):
-            if data.startswith(MAGIC[:14]):
+    def _record_bodies(self, path: Path, data: bytes) -> tuple[list[bytes], bool]:
+        """The bodies of a file's records, and whether the file is complete; if it is not, its last record is
+        torn."""
+        if not data.startswith(FILE_HEADER):
+            if data.startswith(FILE_HEADER[:14]):
                 version = data[14 : data.find(b"\n", 0, 24)].decode("ascii", "replace")
                 raise DiskError(
-                    f"{path}: is of format {version}, this program reads {FORMAT}: start the program "
+                    f"{path}: is of format {version}, this program reads {FORMAT_VERSION}: start the program "
                     "that wrote it, or a later one"
                 )
-            raise _damaged(path)
-        bodies, at = [], len(MAGIC)
-        while at < len(data):
-            rest = len(data) - at
-            if rest < HEAD.size:
+            raise _damaged_error(path)
+        bodies, offset = [], len(FILE_HEADER)
+        while offset < len(data):
+            remaining = len(data) - offset
+            if remaining < RECORD_HEADER.size:
                 return bodies, False
-            length, check, of_head = HEAD.unpack_from(data, at)
-            if zlib.crc32(data[at : at + 8]) != of_head or length > LONGEST:
-                if any(data[at:]):
-                    raise _damaged(path)  # a torn head is short, or nothing but zeros
+            length, body_checksum, header_checksum = RECORD_HEADER.unpack_from(data, offset)
+            if zlib.crc32(data[offset : offset + 8]) != header_checksum or length > MAX_RECORD_BYTES:
+                if any(data[offset:]):
+                    raise _damaged_error(path)  # a torn header is incomplete or all zeros
                 return bodies, False
-            body = data[at + HEAD.size : at + HEAD.size + length]
+            body = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
             if len(body) < length:
                 return bodies, False
-            if zlib.crc32(body) != check:
-                if at + HEAD.size + length < len(data):
-                    raise _damaged(path)
+            if zlib.crc32(body) != body_checksum:
+                if offset + RECORD_HEADER.size + length < len(data):
+                    raise _damaged_error(path)
                 return bodies, False
             bodies.append(body)
-            at += HEAD.size + length
+            offset += RECORD_HEADER.size + length
         return bodies, True
 
     # --- Writing ------------------------------------------------------------------------------------------
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Make all of these durable, with one sync for all records; FullError where that failed: nothing of
-        what was not durable before counts then, and all may be tried again."""
+        """Make all writes durable, with one sync for all records. Raises FullError if that fails: none of the
+        writes that are not durable yet takes effect, and all may be retried."""
         if self.broken:
             raise FullError(self.broken)
-        before = self._hard, self._last
-        parts = []
+        previous = self._hard_state, self._last_index
+        records = []
         for write in writes:
-            if write.snapshot is not None and (parts or write.reset):
-                self._append(parts)  # what stands before a snapshot is on the disk before it
-                parts, before = [], (self._hard, self._last)
-            self._hard = write.hard or self._hard
+            if write.snapshot is not None and (records or write.reset):
+                self._append(records)  # everything before a snapshot is on disk before it
+                records, previous = [], (self._hard_state, self._last_index)
+            self._hard_state = write.hard_state or self._hard_state
             if write.snapshot is not None and not write.reset:
-                self._keep_snapshot(write.snapshot)
+                self._write_snapshot(write.snapshot)
             elif write.snapshot is not None:
-                # The snapshot first: a crash in between leaves entries below it, which go unread.
-                self._keep_snapshot(write.snapshot)
-                parts.append(Record(write.hard, write.entries, write.snapshot.index))
-            elif write.hard is not None or write.entries:
-                parts.append(Record(write.hard, write.entries))
+                # The snapshot goes first: a crash in between leaves entries below it, which are ignored when
+                # loading.
+                self._write_snapshot(write.snapshot)
+                records.append(Record(write.hard_state, write.entries, write.snapshot.index))
+            elif write.hard_state is not None or write.entries:
+                records.append(Record(write.hard_state, write.entries))
             if write.entries:
-                self._last = write.entries[-1].index
+                self._last_index = write.entries[-1].index
             elif write.reset:
-                self._last = write.snapshot.index
+                self._last_index = write.snapshot.index
         try:
-            self._append(parts)
+            self._append(records)
         except FullError:
-            self._hard, self._last = before
+            self._hard_state, self._last_index = previous
             raise
-        self._drop()
+        self._delete_old_segments()
 
     def _append(self, records: list[Record]) -> None:
         if not records:
@@ -211,17 +213,17 @@
         data = b"".join(framed(_encode(record)) for record in records)
         try:
             if self._size >= self._segment_bytes:
-                self._roll(self._segments[-1][0] + 1)
+                self._start_segment(self._segments[-1][0] + 1)
             _write_all(self._fd, data)
         except OSError as error:
-            self._undo(error)
-        self._flush(self._fd)
+            self._truncate_partial_write(error)
+        self._sync_or_fail(self._fd)
         self._size += len(data)
         number, last = self._segments[-1]
-        self._segments[-1] = number, max(last, self._last)
+        self._segments[-1] = number, max(last, self._last_index)
 
-    def _undo(self, error: OSError) -> None:
-        """Take a part of a record off again, so that what comes next does not stand behind it."""
+    def _truncate_partial_write(self, error: OSError) -> None:
+        """Remove a partial record, so that the next record does not follow it."""
         try:
             os.ftruncate(self._fd, self._size)
             os.lseek(self._fd, self._size, os.SEEK_SET)
@@ -229,72 +231,75 @@
             self.broken = f"write: {error}"
         raise FullError(f"write: {error}") from None
 
-    def _flush(self, fd: int) -> None:
+    def _sync_or_fail(self, fd: int) -> None:
         try:
             self.syncs += 1
             self._sync(fd)
         except OSError as error:
-            # Danger: after a sync that failed nobody knows what is on the disk; a second one may lie.
+            # After a failed sync the content of the disk is unknown, and a second sync may report success
+            # without having written anything.
             self.broken = f"sync: {error}"
             raise FullError(self.broken) from None
 
-    def _roll(self, number: int) -> None:
-        """A new segment; it begins with the term and vote, whole or not at all."""
-        data = MAGIC + framed(_encode(Record(self._hard)))
-        self._replace(f"log-{number:08}", data)
-        fresh = os.open(self._path(number), os.O_RDWR)
+    def _start_segment(self, number: int) -> None:
+        """Start a new segment, created atomically with the term and vote in its first record."""
+        data = FILE_HEADER + framed(_encode(Record(self._hard_state)))
+        self._replace_file(f"log-{number:08}", data)
+        fresh = os.open(self._segment_path(number), os.O_RDWR)
         os.lseek(fresh, 0, os.SEEK_END)
         if self._fd >= 0:
             os.close(self._fd)
         self._fd, self._size = fresh, len(data)
         self._segments.append((number, 0))
 
-    def _keep_snapshot(self, snapshot: Snapshot) -> None:
+    def _write_snapshot(self, snapshot: Snapshot) -> None:
         try:
-            self._replace("snapshot", MAGIC + framed(_encode(snapshot)))
+            self._replace_file("snapshot", FILE_HEADER + framed(_encode(snapshot)))
         except OSError as error:
             raise FullError(f"snapshot: {error}") from None
-        self._kept = snapshot.index
+        self._snapshot_index = snapshot.index
 
-    def _drop(self) -> None:
-        """Segments whose entries the snapshot holds go; not the one that is written."""
-        while len(self._segments) > 1 and self._segments[0][1] <= self._kept:
+    def _delete_old_segments(self) -> None:
+        """Delete the segments whose entries are all in the snapshot, except the current one."""
+        while len(self._segments) > 1 and self._segments[0][1] <= self._snapshot_index:
             try:
-                self._path(self._segments[0][0]).unlink(missing_ok=True)
+                self._segment_path(self._segments[0][0]).unlink(missing_ok=True)
             except OSError:
-                return  # the next time
+                return  # retried after the next write
             self._segments.pop(0)
 
-    def _replace(self, name: str, data: bytes) -> None:
+    def _replace_file(self, name: str, data: bytes) -> None:
         path = self._folder / f"{name}.new"
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             _write_all(fd, data)
-            self._flush(fd)
+            self._sync_or_fail(fd)
         except OSError:
-            path.unlink(missing_ok=True)  # a full disk wants its room back
+            path.unlink(missing_ok=True)  # frees the space on a full disk
             raise
         finally:
             os.close(fd)
         path.rename(self._folder / name)
-        sync_folder(self._folder, self._flush)
+        sync_folder(self._folder, self._sync_or_fail)
 
     def bytes(self) -> int:
-        """What the files take."""
+        """Total size of the files in bytes."""
         return sum(path.stat().st_size for path in self._folder.iterdir() if path.is_file())
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the current segment. Nothing can be written afterwards."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
 
 
-REMEDY = "give the process an empty folder: it comes back as a new member and is told all by the others"
+RECOVERY_ADVICE = (
+    "give the process an empty folder: it returns as a new member and receives all entries from the others"
+)
 
 
 def sync_folder(folder: Path, sync: Callable[[int], None] = os.fsync) -> None:
-    """Make the names in a folder durable."""
+    """Make the entries of a directory (created and renamed files) durable."""
     fd = os.open(folder, os.O_RDONLY)
     try:
         sync(fd)
@@ -302,19 +307,19 @@
         os.close(fd)
 
 
-def _damaged(path: Path) -> DiskError:
-    return DiskError(f"{path}: is damaged; {REMEDY}")
+def _damaged_error(path: Path) -> DiskError:
+    return DiskError(f"{path}: is damaged; {RECOVERY_ADVICE}")
 
 
-def _decoded(path: Path, decoder: msgspec.msgpack.Decoder, body: bytes) -> object:
+def _decode(path: Path, decoder: msgspec.msgpack.Decoder, body: bytes) -> object:
     try:
         return decoder.decode(body)
     except msgspec.MsgspecError:
-        raise _damaged(path) from None
+        raise _damaged_error(path) from None
 
 
 def framed(body: bytes) -> bytes:
-    """A record as it stands in a file."""
+    """A record as stored in a file: header and body."""
     head = struct.pack("<II", len(body), zlib.crc32(body))
     return head + struct.pack("<I", zlib.crc32(head)) + body
 
--- a/yewstage/raft/messages.py
+++ b/yewstage/raft/messages.py
@@ -1,32 +1,32 @@
-"""What replicas of a group tell one another, and what they keep: plain values, in MessagePack on the wire.
+"""Messages between the replicas of a group and the values that they store, in MessagePack.
 
-Arrays without names: a later version may add fields at the end, with defaults, and each side passes over
-what it does not know.
+Structs are encoded as arrays without field names. A later version may add fields with defaults at the end; a
+receiver ignores fields that it does not know.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-NOOP, DATA, MEMBERS = 0, 1, 2  # kinds of entries
+NOOP, DATA, MEMBERS = 0, 1, 2  # kinds of log entries
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A replica: one disk of one machine. A machine whose disk is lost comes back as another member."""
+    """A replica: one disk of one machine. A machine that lost its disk returns as a new member."""
 
     id: str  # of the disk: NAME.RANDOM
     name: str  # of the machine
     zone: str
-    peer: str  # HOST:PORT where replicas reach it
-    call: str  # HOST:PORT where clients reach it
-    voter: bool = True  # else a learner: it is told all, and counts for nothing
+    peer: str  # HOST:PORT for the other replicas
+    call: str  # HOST:PORT for clients
+    voter: bool = True  # otherwise a learner: it receives all entries and does not count towards a majority
 
 
 Members = tuple[Member, ...]
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place in the log."""
+    """One entry of the log."""
 
     index: int
     term: int
@@ -34,22 +34,22 @@
     data: bytes = b""
 
     def size(self) -> int:
-        """Bytes that it takes, near enough for bounds on memory."""
+        """Approximate memory of the entry in bytes, for limits on buffered entries."""
         return len(self.data) + 24
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state after an index, in place of all entries up to it."""
+    """The state after an index, which replaces all entries up to it."""
 
     index: int
     term: int
     members: Members
     data: bytes
-    check: int = 0  # CRC-32 of the data: parts from two leaders fit together only where it is the same
+    checksum: int = 0  # CRC-32 of the data: parts sent by two leaders are combined only if it is the same
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """The part that all messages have."""
+    """The fields that all messages have."""
 
     src: str
     dst: str
@@ -57,95 +57,104 @@
 
 
 class PreVote(Message, frozen=True, array_like=True, tag=1):
-    """Would you vote for me, were I to stand in this term? Nothing is changed by asking."""
+    """Asks whether the receiver would grant its vote in this term. Changes no state of the receiver."""
 
     last_index: int
     last_term: int
 
 
 class PreVoteReply(Message, frozen=True, array_like=True, tag=2):
-    """With the term that was asked about if granted, else with the replica's own."""
+    """`term` is the requested term if the pre-vote is granted, otherwise the replica's own term."""
 
     granted: bool
 
 
 class Vote(Message, frozen=True, array_like=True, tag=3):
-    """Vote for me in this term."""
+    """Requests a vote in this term."""
 
     last_index: int
     last_term: int
-    handed: bool = False  # the leader asked for it: those who hear that leader still may vote
+    # the leader initiated it: replicas that still hear that leader may grant it
+    is_leadership_transfer: bool = False
 
 
 class VoteReply(Message, frozen=True, array_like=True, tag=4):
-    """Durable before it is sent."""
+    """Sent only once the vote is durable."""
 
     granted: bool
 
 
-class Append(Message, frozen=True, array_like=True, tag=5):
-    """Entries behind `prev`; without entries, a sign of life that finds out what is missing."""
+class AppendEntries(Message, frozen=True, array_like=True, tag=5):
+    """Entries after `prev_index`; without entries, a heartbeat that also finds out where the logs match."""
 
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
-    commit: int
-    round: int  # of leadership asked to be confirmed; the reply has it again
-    echo: float = -1.0  # the receiver's own clock as we last heard it, ms; under 0: nothing to tell
-    lag: float = 0.0  # ms for which, before this was sent, our leadership is not confirmed
+    commit_index: int
+    round: int  # heartbeat round that the answer confirms; the reply repeats it
+    echoed_clock_ms: float = -1.0  # the receiver's own clock as last reported; below 0: unknown
+    unconfirmed_ms: float = 0.0  # time between the last confirmation of leadership and this message, in ms
 
 
-class AppendReply(Message, frozen=True, array_like=True, tag=6):
-    """Up to where the log is as the leader's and durable, or where to look for that."""
+class AppendEntriesReply(Message, frozen=True, array_like=True, tag=6):
+    """Up to which index the log matches the leader's and is durable, or where to look for the match."""
 
     ok: bool
-    match: int  # ok: durable and matching up to here; else the highest index that may match
-    prev_index: int  # of the question
+    match: int  # if ok: matching and durable up to here; otherwise the highest index that may match
+    prev_index: int  # of the request
     round: int
-    clock: float = -1.0  # the sender's own, to be echoed
+    clock_ms: float = -1.0  # the sender's clock, to be echoed
 
 
-class Install(Message, frozen=True, array_like=True, tag=7):
-    """A part of a snapshot."""
+class InstallSnapshot(Message, frozen=True, array_like=True, tag=7):
+    """One part of a snapshot."""
 
     index: int
-    snap_term: int
+    snapshot_term: int
     members: Members
-    size: int
-    check: int
+    total_bytes: int
+    checksum: int
     offset: int
     data: bytes
     round: int
 
 
-class InstallReply(Message, frozen=True, array_like=True, tag=8):
-    """From where on parts are wanted."""
+class InstallSnapshotReply(Message, frozen=True, array_like=True, tag=8):
+    """The offset at which the follower expects the next part."""
 
     index: int
     offset: int
     round: int
 
 
-class StandNow(Message, frozen=True, array_like=True, tag=9):
-    """Leadership is handed to you: stand at once."""
+class TimeoutNow(Message, frozen=True, array_like=True, tag=9):
+    """Leadership transfer: the receiver starts an election at once."""
 
 
 AnyMessage = (
-    PreVote | PreVoteReply | Vote | VoteReply | Append | AppendReply | Install | InstallReply | StandNow
+    PreVote
+    | PreVoteReply
+    | Vote
+    | VoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
 )
-_members = msgspec.msgpack.Decoder(Members)
+_members_decoder = msgspec.msgpack.Decoder(Members)
 encode = msgspec.msgpack.Encoder().encode
 
 
 def decode_members(data: bytes) -> Members:
-    """The members in an entry's data."""
-    return _members.decode(data)
+    """Decode the members in the data of a membership entry."""
+    return _members_decoder.decode(data)
 
 
 def one_apart(old: Members, new: Members) -> bool:
-    """Whether two lists of members differ in one member at the most.
+    """Whether two lists of members differ in at most one member.
 
-    Danger: majorities of lists that differ in two voters need not share a replica; two leaders could be.
+    Majorities of lists that differ in two voters need not overlap, so each could elect a leader.
     """
     before, after = {m.id: m.voter for m in old}, {m.id: m.voter for m in new}
     return sum(before.get(name) != after.get(name) for name in {*before, *after}) <= 1
--- a/yewstage/raft/rate_limiter.py
+++ b/yewstage/raft/rate_limiter.py
@@ -1,26 +1,27 @@
-"""One bound on all copying out of a process: whole copies must not take the links from what keeps them."""
+"""A limit on all copying out of a process, so that copying groups does not starve replication."""
 
 from __future__ import annotations
 
 
 class CopyRateLimiter:
-    """Bytes a second, shared by all groups of a process. Pure: the caller's clock, ms.
+    """A limit in bytes per second, shared by all groups of a process. Reads no clock: times are the caller's,
+    in ms.
 
-    In any time T no more than `bytes_per_s` x T bytes leave, and one part besides. What is on its way to
-    every copy anyhow (new entries, signs of life) is not copying and does not wait here.
+    In any period T, at most `bytes_per_s` x T bytes plus one part are sent. New entries and heartbeats, which
+    go to every replica anyway, do not count as copying and are not delayed.
     """
 
     def __init__(self, bytes_per_s: float = 0.0) -> None:
-        self.bytes_per_s = bytes_per_s  # 0: no bound
+        self.bytes_per_s = bytes_per_s  # 0: no limit
         self.free_at = float("-inf")
         self.copied = 0
 
-    def may(self, now: float) -> bool:
-        """Whether a part may leave now."""
+    def may_send(self, now: float) -> bool:
+        """Whether a part may be sent now."""
         return now >= self.free_at
 
-    def take(self, now: float, size: int) -> None:
-        """A part leaves."""
+    def record(self, now: float, size: int) -> None:
+        """Account for a part that is sent."""
         self.copied += size
         if self.bytes_per_s:
             self.free_at = max(now, self.free_at) + size / self.bytes_per_s * 1000
