--- a/yewstage/registry/store.py
+++ b/yewstage/registry/store.py
@@ -48,7 +48,7 @@
     revision: int = 0  # of the last change
 
     def same_registration(self, other: Record) -> bool:
-        """Whether a registration changes nothing."""
+        """Whether `other` registers the same values."""
         own = (self.address, self.zone, self.kind, self.cell, self.weight, self.started_at_ms, self.ttl_ms)
         return own == (
             other.address,
