--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -496,7 +496,7 @@
         async def drips(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na")
-            while attempt.begun_at is None:
+            while attempt.head_received_at is None:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.3)
             writer.write(b"b")
@@ -504,11 +504,11 @@
         server = await asyncio.start_server(drips, LOOP, 0)
         owner = Owner()
         hosts = AttemptRunner(asyncio.get_running_loop(), 8, 250, 15000, owner)
-        hosts.pool.update({"s": server.sockets[0].getsockname()}, set())
+        hosts.pool.update_servers({"s": server.sockets[0].getsockname()}, set())
         attempt = Attempt("r", 0, "s", b"GET / HTTP/1.1\r\n\r\n", time.monotonic())
         hosts.send(attempt, 60)
         await owner.over.wait()
-        assert attempt.took_s - (attempt.begun_at - attempt.sent_at) > 0.2
+        assert attempt.took_s - (attempt.head_received_at - attempt.sent_at) > 0.2
         hosts.pool.stop()
         server.close()
 
@@ -521,11 +521,11 @@
     def __init__(self) -> None:
         self.over = asyncio.Event()
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         return True
 
-    def sent(self, attempt: Attempt) -> None:
+    def on_sent(self, attempt: Attempt) -> None:
         pass
 
-    def ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+    def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
         self.over.set()
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -110,8 +110,8 @@
         }
     )
     core = Core(config, asyncio.get_running_loop())
-    core._apply(config.fallback_listing, "kept")
-    core._loop.call_soon(core._beat)
+    core._apply_list(config.fallback_listing, "kept")
+    core._loop.call_soon(core._heartbeat)
     return core, core._gateway
 
 
@@ -350,13 +350,13 @@
     def __init__(self, note: Callable[[str], None]) -> None:
         self._note = note
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         return True
 
-    def sent(self, attempt: Attempt) -> None:
+    def on_sent(self, attempt: Attempt) -> None:
         pass
 
-    def ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+    def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
         self._note(result)
 
 
@@ -384,7 +384,7 @@
         host = await Fake(lambda seen: reply(b"served")).start()
         ended: asyncio.Queue[str] = asyncio.Queue()
         hosts = AttemptRunner(BreakingLoop(1), 8, 250, 15000, Told(ended.put_nowait))
-        hosts.pool.update({"s-0": (LOOP, host.port)}, set())
+        hosts.pool.update_servers({"s-0": (LOOP, host.port)}, set())
         for result in (api.CONNECT_FAILED, api.OK):
             hosts.send(Attempt("r1", 0, "s-0", an_order().head + b"\r\n", 0.0), 60)
             assert await ended.get() == result
@@ -427,7 +427,7 @@
     async def scenario() -> None:
         ended: asyncio.Queue[str] = asyncio.Queue()
         hosts = AttemptRunner(asyncio.get_running_loop(), 0, 25, 15000, Told(ended.put_nowait))
-        hosts.pool.update({"s-0": (LOOP, 1)}, set())
+        hosts.pool.update_servers({"s-0": (LOOP, 1)}, set())
         hosts.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
         assert await ended.get() == api.START_EXPIRED  # after a wait for room
 
@@ -465,7 +465,7 @@
         )
         core.reconfigure(config)
         assert open_before == 8 and core._pool.metrics()["links_idle"] == 3
-        assert core._pool.wait_s() == 0.03
+        assert core._pool.max_wait_s() == 0.03
         host.stop()
 
     on_loop(scenario)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -42,7 +42,7 @@
             IDLE_MS,
             self,
             self.use,
-            bound=self.bound,
+            max_links_to=self.bound,
             clock_ms=lambda: self.loop.now * 1000,
             rng=random.Random(1),
         )
@@ -50,15 +50,17 @@
         self.pool.start()
 
     def server(self, port: int = 1, **how: object) -> VirtualServer:
-        self.pool.update({f"s{port}": ("h", port)}, set())
+        self.pool.update_servers({f"s{port}": ("h", port)}, set())
         return VirtualServer(self.loop, port, **how)
 
-    def send(self, rid: str, port: int = 1, timeout_s: float = 60, kind: str = "") -> Attempt:
-        attempt = Attempt(rid, 0, f"s{port}", f"GET /{rid} HTTP/1.1\r\n\r\n".encode(), 0.0, kind=kind)
+    def send(self, rid: str, port: int = 1, timeout_s: float = 60, class_name: str = "") -> Attempt:
+        attempt = Attempt(
+            rid, 0, f"s{port}", f"GET /{rid} HTTP/1.1\r\n\r\n".encode(), 0.0, class_name=class_name
+        )
         self.attempt_runner.send(attempt, timeout_s)
         return attempt
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, attempt: Attempt) -> bool:
         return True
 
     def after(self, seconds: float) -> Fleet:
@@ -70,15 +72,15 @@
 
     def closed(self) -> dict[str, int]:
         """Links closed, by reason."""
-        return {reason: n for reason, n in self.pool.closed_by.items() if n}
+        return {reason: n for reason, n in self.pool.close_counts.items() if n}
 
     def dialled(self) -> dict[str, int]:
-        return {result: n for result, n in self.pool.dialled.items() if n}
+        return {result: n for result, n in self.pool.dial_counts.items() if n}
 
-    def sent(self, attempt: Attempt) -> None:
+    def on_sent(self, attempt: Attempt) -> None:
         pass
 
-    def started(self, attempt: Attempt, answer: Reply, length: int | None, source: Source) -> Fleet:
+    def on_stream_started(self, attempt: Attempt, answer: Reply, length: int | None, source: Source) -> Fleet:
         return self
 
     def more(self, data: bytes) -> None:
@@ -87,7 +89,7 @@
     def may_repeat(self, attempt: Attempt) -> bool:
         return True
 
-    def ended(self, attempt: Attempt, result: str, answer: Reply | None) -> None:
+    def on_ended(self, attempt: Attempt, result: str, answer: Reply | None) -> None:
         self.ends.append((attempt.request, result))
 
 
@@ -110,7 +112,7 @@
 def test_a_refused_and_a_silent_dial_give_their_descriptors_back() -> None:
     fleet = Fleet()
     fleet.server(1).silent = True
-    fleet.pool.update({"s2": ("h", 2)}, set())  # nobody is there
+    fleet.pool.update_servers({"s2": ("h", 2)}, set())  # nobody is there
     fleet.send("slow")
     fleet.send("gone", port=2)
     assert fleet.descriptors.held == 2
@@ -239,13 +241,13 @@
     fleet = Fleet(bound=lambda name: 2)
     old = fleet.server(1, answer_s=0.1)
     idle, busy = fleet.send("idle"), fleet.send("busy")
-    assert not idle.done and not busy.done
+    assert not idle.is_done and not busy.is_done
     fleet.after(0.02)
     waits = fleet.send("waits")
     new = VirtualServer(fleet.loop, 2)
-    fleet.pool.update({"s1": ("h", 2)}, set())
+    fleet.pool.update_servers({"s1": ("h", 2)}, set())
     fleet.after(0.02)
-    assert waits.done and len(new.requests) == 1 and len(old.requests) == 2
+    assert waits.is_done and len(new.requests) == 1 and len(old.requests) == 2
     fleet.after(0.1)
     assert all(result == api.OK for _, result in fleet.ends) and len(fleet.ends) == 3
     assert fleet.closed() == {"server_gone": 2} and not old.links  # when done, they are not kept
@@ -260,7 +262,9 @@
     fleet.send("a")
     fleet.after(0.1)
     assert fleet.figure("links_idle") == 1
-    fleet.pool.update({"s1": ("h", 1)}, set(), {"s1": 2000.0})  # told before we have dialled its new life
+    fleet.pool.update_servers(
+        {"s1": ("h", 1)}, set(), {"s1": 2000.0}
+    )  # told before we have dialled its new life
     fleet.after(0.01)
     assert ("lost", api.RESET) in fleet.ends and fleet.figure("links_open") == 0
     assert fleet.closed() == {"server_restarted": 1, "server_gone": 1}
@@ -271,7 +275,7 @@
     fleet.server(1, answer_s=0.5)
     fleet.after(3)
     fleet.send("a")
-    fleet.after(0.1).pool.update({"s1": ("h", 1)}, set(), {"s1": 2000.0})
+    fleet.after(0.1).pool.update_servers({"s1": ("h", 1)}, set(), {"s1": 2000.0})
     assert fleet.after(1).ends == [("a", api.OK)]
 
 
@@ -284,11 +288,11 @@
     fleet.send("b")
     fleet.send("c")
     fleet.after(0.05)
-    fleet.pool.update({"s1": ("h", 1)}, set(), leaving={"s1"})
+    fleet.pool.update_servers({"s1": ("h", 1)}, set(), draining={"s1"})
     fleet.after(0.5)
     assert [result for _, result in fleet.ends] == [api.OK] * 3
     assert fleet.closed() == {"server_drains": 2} and not server.links
-    fleet.pool.update({"s1": ("h", 1)}, set())  # it stays after all
+    fleet.pool.update_servers({"s1": ("h", 1)}, set())  # it stays after all
     fleet.send("d")
     assert fleet.after(0.5).figure("links_idle") == 1
 
@@ -303,7 +307,7 @@
     for rid in "cde":
         fleet.send(rid, timeout_s=10)
     fleet.after(0.15)
-    fleet.attempt_runner.cancel(next(iter(fleet.pool._links)).job)
+    fleet.attempt_runner.cancel(next(iter(fleet.pool._links)).exchange)
     fleet.after(0.2)
     assert fleet.dialled() == {"up": 2, "timed_out": 1} and ("e", api.CONNECT_FAILED) in fleet.ends
 
@@ -323,9 +327,9 @@
     server = fleet.server(1, answer_s=0.2)
     first, second, third = (fleet.send(rid) for rid in "abc")
     fleet.after(0.21)
-    assert first.done and not second.done and fleet.figure("links_awaited") == 1
+    assert first.is_done and not second.is_done and fleet.figure("links_awaited") == 1
     fleet.after(0.1)
-    assert third.result == api.START_EXPIRED and third.cause == "no free link" and not second.done
+    assert third.result == api.START_EXPIRED and third.cause == "no free link" and not second.is_done
     fleet.after(0.2)
     assert second.result == api.OK and server.most_links == 1
     assert fleet.figure("link_waits_total") == 2 and fleet.figure("links_awaited") == 0
@@ -345,20 +349,23 @@
     fleet = Fleet(bound=lambda name: 1, dial_ms=5000)
     server = fleet.server(1, answer_s=0.05)
     for n in range(6):
-        fleet.send(f"view{n}", kind="view")
+        fleet.send(f"view{n}", class_name="view")
     for n in range(2):
-        fleet.send(f"post{n}", kind="post")
+        fleet.send(f"post{n}", class_name="post")
     fleet.after(1)
     order = [data.split()[1][1:5].decode() for data in server.requests]
     assert order == ["view", "post", "view", "post", "view", "view", "view", "view"]
 
 
 def test_who_leaves_a_line_is_not_served_and_keeps_nobody_back() -> None:
-    lines, waiters = WaiterQueue(), [Attempt(str(n), 0, "s", b"", 0.0, kind="ab"[n % 2]) for n in range(4)]
+    lines, waiters = (
+        WaiterQueue(),
+        [Attempt(str(n), 0, "s", b"", 0.0, class_name="ab"[n % 2]) for n in range(4)],
+    )
     for waiter in waiters:
         lines.add(waiter)
     assert lines.discard(waiters[0]) and not lines.discard(waiters[0]) and lines.count == 3
-    assert [lines.next() for _ in range(4)] == [waiters[2], waiters[1], waiters[3], None]
+    assert [lines.pop() for _ in range(4)] == [waiters[2], waiters[1], waiters[3], None]
 
 
 def test_idle_links_retire_spread_out_and_before_their_server_would_close_them() -> None:
@@ -379,7 +386,7 @@
         fleet.send(f"q{n}", port=1)
         fleet.send(f"s{n}", port=2)
     fleet.after(0.1)
-    fleet.pool.limit(2)
+    fleet.pool.set_max_links(2)
     fleet.after(0.01)
     assert len(quick.links) == 0 and len(slow.links) == 4
     fleet.after(1)
@@ -391,15 +398,15 @@
     loop = VirtualLoop()
     old, new = Fleet(loop, most=4), Fleet(loop, most=4)
     server = old.server(1, answer_s=0.05)
-    new.pool.update({"s1": ("h", 1)}, set())
+    new.pool.update_servers({"s1": ("h", 1)}, set())
     for fleet in (old, new):
-        fleet.pool.limit(2)
+        fleet.pool.set_max_links(2)
         for n in range(4):
             fleet.send(str(n))
     loop.run(1)
     assert server.most_links == 4 and all(len(fleet.ends) == 4 for fleet in (old, new))
     old.pool.stop()
-    new.pool.limit(4)
+    new.pool.set_max_links(4)
     for n in range(4):
         new.send(str(n))
     loop.run(2)
@@ -414,7 +421,7 @@
         gateway = Gateway(settings(fleet_size=40, gateway_index=me), seed=me)
         gateway.handle(1e6, api.ServerList("full", tuple(api.Server(f"s{port}") for port in range(6))))
         fleet.append(Fleet(loop, most=100, bound=gateway.links))
-        fleet[-1].pool.update({f"s{port}": ("h", port) for port in range(6)}, set())
+        fleet[-1].pool.update_servers({f"s{port}": ("h", port) for port in range(6)}, set())
     for gateway in fleet:
         for n in range(24):
             gateway.send(str(n), port=n % 6)
@@ -432,13 +439,15 @@
     fleet.server(2, answer_s=0.05)
     out, waits = fleet.send("out", port=2), fleet.send("waits", port=2)
     fleet.after(0.01)
-    fleet.pool.update({}, {"s2"})
-    assert waits.result == api.CONNECT_FAILED and waits.cause == "server gone"
+    fleet.pool.update_servers({}, {"s2"})
+    assert waits.result == api.CONNECT_FAILED and waits.cause == "server removed from the list"
     fleet.send("late", port=2)
     assert fleet.ends[-1] == ("late", api.CONNECT_FAILED)
     fleet.send("other", port=1)
     fleet.after(0.1)
-    assert out.result == api.OK and fleet.ends[-1] == ("other", api.OK) and fleet.pool.names() == {"s1"}
+    assert (
+        out.result == api.OK and fleet.ends[-1] == ("other", api.OK) and fleet.pool.server_names() == {"s1"}
+    )
 
 
 PROCESS = (
--- a/yewstage/net/attempts.py
+++ b/yewstage/net/attempts.py
@@ -1,4 +1,7 @@
-"""Attempts: each sent over a link of the pool, each with its one outcome."""
+"""Runs attempts: each request that is sent to a server over a link of the pool, with exactly one outcome.
+
+A link is a connection to a server.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +15,33 @@
 from yewstage.net.pool import ABANDONED, Link, Pool, Source, Stream
 from yewstage.net.stats import DescriptorUse
 
-GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before a time-out counts
+# After a time-out the loop gets one or two turns to read data that has arrived, before the time-out counts.
+READ_GRACE_S = 0.002
 
 
-class Owner(Protocol):
-    """Who is told what becomes of attempts."""
+class AttemptOwner(Protocol):
+    """Receives the events of attempts."""
 
-    def wanted(self, attempt: Attempt) -> bool:
-        """Whether it may begin: somebody waits for its answer."""
+    def is_wanted(self, attempt: Attempt) -> bool:
+        """Whether the attempt may be written: its client still waits for the answer."""
 
-    def sent(self, attempt: Attempt) -> None:
-        """Its last byte was written."""
+    def on_sent(self, attempt: Attempt) -> None:
+        """Called when the last byte of the attempt was written."""
 
-    def started(self, attempt: Attempt, reply: Reply, length: int | None, source: Source) -> Stream | None:
-        """A long answer has begun; None if nobody is there to read it."""
+    def on_stream_started(
+        self, attempt: Attempt, reply: Reply, length: int | None, source: Source
+    ) -> Stream | None:
+        """Called when a streamed answer begins. Returns its reader; None if nobody reads it any more."""
 
     def may_repeat(self, attempt: Attempt) -> bool:
-        """Whether the request could be sent again if its answer broke."""
+        """Whether the request could be retried if its answer broke off."""
 
-    def ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
-        """Its one end."""
+    def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+        """Called exactly once, when the attempt ends. `result` is a result of `yewstage.interface`."""
 
 
 class Attempt:
-    """One Send until its one outcome."""
+    """One `Send` action until its outcome."""
 
     __slots__ = (
         "request",
@@ -46,21 +52,21 @@
         "link",
         "timer",
         "wait_timer",
-        "done",
+        "is_done",
         "idle_s",
         "result",
         "took_s",
         "cause",
         "upload",
         "timeout_s",
-        "begun_at",
-        "kind",
+        "head_received_at",
+        "class_name",
         "attempt_runner",
-        "waiting",
-        "touched",
-        "streams",
+        "is_waiting",
+        "may_have_sent",
+        "is_streaming",
         "start_by",
-        "asked_at",
+        "requested_at",
         "body",
     )
 
@@ -72,27 +78,28 @@
         payload: bytes,
         sent_at: float,
         upload: Upload | None = None,
-        kind: str = "",
+        class_name: str = "",
         body: bytes | None = None,
     ) -> None:
-        self.request, self.number, self.server, self.kind = request, number, server, kind
-        # Where there is a body, `payload` lacks the time that is left: it is told when it is written.
+        self.request, self.number, self.server, self.class_name = request, number, server, class_name
+        # If `body` is set, `payload` lacks X-Deadline and the body, which are added when it is written.
         self.payload, self.body, self.sent_at, self.upload = payload, body, sent_at, upload
-        self.timeout_s, self.asked_at = 0.0, 0.0
-        self.start_by = math.inf  # not begun by then, it does not begin
-        self.begun_at: float | None = None  # when its answer's head had come
+        self.timeout_s, self.requested_at = 0.0, 0.0
+        self.start_by = math.inf  # loop time after which the attempt is not written any more
+        self.head_received_at: float | None = None  # when the head of the answer was complete
         self.attempt_runner: AttemptRunner | None = None
         self.link: Link | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.wait_timer: asyncio.TimerHandle | None = None
-        self.waiting = self.touched = False  # for a link; something of it may have left
-        self.done = self.streams = False  # its answer is on its way to the client
-        # For the log: how long its link had stood idle (None: a new one), and how it ended.
+        # is_waiting: for a link. may_have_sent: bytes may have left this process.
+        self.is_waiting = self.may_have_sent = False
+        self.is_done = self.is_streaming = False  # is_streaming: the answer is being streamed to the client
+        # For the log: how long the link had been idle (None: a new connection), and how the attempt ended.
         self.idle_s: float | None = None
         self.result, self.took_s, self.cause = "out", 0.0, ""
 
     def fields(self) -> dict[str, object]:
-        """For the log: `idle_ms` None is a new connection."""
+        """Fields for the JSON log; `idle_ms` is None for a new connection."""
         return {
             "server": self.server,
             "result": self.result,
@@ -102,99 +109,102 @@
         }
 
     def __str__(self) -> str:
-        line = "new connection" if self.idle_s is None else f"idle for {self.idle_s * 1000:.0f} ms"
+        origin = "new connection" if self.idle_s is None else f"idle for {self.idle_s * 1000:.0f} ms"
         cause = f": {self.cause}" if self.cause else ""
-        return f"{self.server} {self.result} in {self.took_s * 1000:.0f} ms ({line}{cause})"
+        return f"{self.server} {self.result} in {self.took_s * 1000:.0f} ms ({origin}{cause})"
 
     def connection_ready(self, link: Link) -> None:
-        """There is a link for it."""
-        self.attempt_runner.linked(self, link)
+        """Called by the pool with a link for this attempt."""
+        self.attempt_runner.on_link(self, link)
 
-    def tell_time(self, now: float) -> None:
-        """Complete the head: how long this attempt will be waited for yet, 1 ms at the least."""
+    def complete_head(self, now: float) -> None:
+        """Add X-Deadline (how long the gateway will still wait, at least 1 ms) and the body."""
         if self.body is not None:
-            waited_s = 0.0 if self.upload is not None else now - self.asked_at  # a long body's starts later
+            # The time of a streamed body starts when it is complete.
+            waited_s = 0.0 if self.upload is not None else now - self.requested_at
             left_ms = max((self.timeout_s - waited_s) * 1000, 1)
             self.payload = b"%bX-Deadline: %dm\r\n\r\n%b" % (self.payload, left_ms, self.body)
             self.body = None
 
     def connection_failed(self, result: str, cause: str) -> None:
-        """There will be none."""
-        self.attempt_runner.unlinked(self, result, cause)
+        """Called by the pool when it has no link for this attempt."""
+        self.attempt_runner.on_link_failed(self, result, cause)
 
 
 class AttemptRunner:
-    """Sends attempts and reports how each one ended, exactly once."""
+    """Sends attempts and reports the end of each, exactly once."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        most: int,
-        dial_ms: float,
-        idle_ms: float,
-        owner: Owner,
-        use: DescriptorUse | None = None,
-        **how: object,
+        max_links: int,
+        dial_timeout_ms: float,
+        idle_limit_ms: float,
+        owner: AttemptOwner,
+        descriptor_use: DescriptorUse | None = None,
+        **options: object,
     ) -> None:
         self.loop, self._owner = loop, owner
-        self.pool = Pool(loop, most, dial_ms, idle_ms, self, use, **how)
+        self.pool = Pool(loop, max_links, dial_timeout_ms, idle_limit_ms, self, descriptor_use, **options)
 
-    def send(self, attempt: Attempt, timeout_s: float, start_s: float = math.inf) -> None:
-        """Write an attempt to an idle link, or to the first that is up or free; past `start_s` to none."""
-        attempt.attempt_runner, attempt.timeout_s, attempt.waiting = self, timeout_s, True
-        attempt.asked_at = self.loop.time()
-        attempt.start_by = attempt.asked_at + start_s
+    def send(self, attempt: Attempt, timeout_s: float, start_within_s: float = math.inf) -> None:
+        """Send an attempt over an idle link, or the first one connected or released in `start_within_s`."""
+        attempt.attempt_runner, attempt.timeout_s, attempt.is_waiting = self, timeout_s, True
+        attempt.requested_at = self.loop.time()
+        attempt.start_by = attempt.requested_at + start_within_s
         if attempt.upload is None:
-            attempt.timer = self.loop.call_later(timeout_s, self._overdue, attempt)
+            attempt.timer = self.loop.call_later(timeout_s, self._on_timeout, attempt)
         self.pool.acquire(attempt.server, attempt)
-        if attempt.waiting:
-            wait_s = min(self.pool.wait_s(), timeout_s) + 2 * GRACE_S  # a dial of its own ends before that
-            attempt.wait_timer = self.loop.call_later(min(wait_s, start_s), self._waited_enough, attempt)
+        if attempt.is_waiting:
+            wait_s = min(self.pool.max_wait_s(), timeout_s) + 2 * READ_GRACE_S  # a dial ends before this
+            attempt.wait_timer = self.loop.call_later(
+                min(wait_s, start_within_s), self._on_wait_timeout, attempt
+            )
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up by ending its link."""
-        if not attempt.done:
+        """Cancel an attempt by closing its link."""
+        if not attempt.is_done:
             self._abandon(attempt)
             self._end(attempt, api.CANCELLED)
 
-    def linked(self, attempt: Attempt, link: Link) -> None:
-        """Its link is there: write it."""
+    def on_link(self, attempt: Attempt, link: Link) -> None:
+        """Write an attempt to its link."""
         now = self.loop.time()
-        if now > attempt.start_by or not self._owner.wanted(attempt):
+        if now > attempt.start_by or not self._owner.is_wanted(attempt):
             self.pool.release(link, reusable=True)
-            self.unlinked(attempt, api.START_EXPIRED, "too late to begin")
+            self.on_link_failed(attempt, api.START_EXPIRED, "start deadline passed or client disconnected")
             return
         self._stop_waiting(attempt)
-        attempt.link, attempt.touched = link, True
+        attempt.link, attempt.may_have_sent = link, True
         attempt.idle_s = now - link.idle_since if link.idle_since else None
-        attempt.tell_time(now)
+        attempt.complete_head(now)
         link.begin(attempt)
 
-    def unlinked(self, attempt: Attempt, result: str, cause: str) -> None:
-        """It has no link and gets none."""
+    def on_link_failed(self, attempt: Attempt, result: str, cause: str) -> None:
+        """End an attempt for which there is no link."""
         self._stop_waiting(attempt)
         attempt.cause = cause
         self._end(attempt, result)
 
-    def _waited_enough(self, attempt: Attempt) -> None:
-        # Never sent for want of a free link, which says nothing of its host: another may have one.
-        self.pool.forget(attempt.server, attempt)
-        self.unlinked(attempt, api.START_EXPIRED, "no free link")
+    def _on_wait_timeout(self, attempt: Attempt) -> None:
+        # No link became free in time. This is not a failure of the server; another one may have a free link.
+        self.pool.cancel_wait(attempt.server, attempt)
+        self.on_link_failed(attempt, api.START_EXPIRED, "no free link")
 
     @staticmethod
     def _stop_waiting(attempt: Attempt) -> None:
-        attempt.waiting = False
+        attempt.is_waiting = False
         if attempt.wait_timer is not None:
             attempt.wait_timer.cancel()
 
-    def _overdue(self, attempt: Attempt) -> None:
-        # Guards against our own stall: the answer may be here and unread. Timers run before sockets are read,
-        # so the time-out itself waits for one more turn of the loop.
-        attempt.timer = self.loop.call_later(GRACE_S, self._time_out, attempt)
+    def _on_timeout(self, attempt: Attempt) -> None:
+        # After a stall of the event loop an answer may have arrived but not been read. Timers run before
+        # sockets are read, so the time-out waits for another turn of the loop.
+        attempt.timer = self.loop.call_later(READ_GRACE_S, self._end_timed_out, attempt)
 
-    def _time_out(self, attempt: Attempt) -> None:
+    def _end_timed_out(self, attempt: Attempt) -> None:
         result = api.CONNECT_FAILED
-        if attempt.waiting and not self.pool.reaching(attempt.server):
+        if attempt.is_waiting and not self.pool.is_dialling(attempt.server):
             result = api.START_EXPIRED
         elif attempt.link is not None and not attempt.link.has_unsent_data:
             result = api.TIMED_OUT
@@ -202,58 +212,61 @@
         self._end(attempt, result)
 
     def _abandon(self, attempt: Attempt) -> None:
-        """End the link of an attempt: it is never used again. A dial goes on, and its link is kept."""
-        if attempt.waiting:
-            self.pool.forget(attempt.server, attempt)
+        """Close the link of an attempt, as it cannot be reused. A dial continues, and its link is kept."""
+        if attempt.is_waiting:
+            self.pool.cancel_wait(attempt.server, attempt)
             self._stop_waiting(attempt)
         if attempt.link is not None:
-            attempt.link.job = None
+            attempt.link.exchange = None
             attempt.link.abort(ABANDONED)
 
     def _end(self, attempt: Attempt, result: str, reply: Reply | None = None) -> None:
-        if attempt.done:
+        if attempt.is_done:
             return
-        attempt.done, attempt.result, attempt.took_s = True, result, time.monotonic() - attempt.sent_at
+        attempt.is_done, attempt.result, attempt.took_s = True, result, time.monotonic() - attempt.sent_at
         attempt.link = None
         if attempt.timer is not None:
             attempt.timer.cancel()
-        if attempt.upload is not None and attempt.touched:  # else it is whole, and another host may have it
+        # A body of which nothing was sent is still complete and can be sent to another server.
+        if attempt.upload is not None and attempt.may_have_sent:
             attempt.upload.detach()
-        self._owner.ended(attempt, result, reply)
+        self._owner.on_ended(attempt, result, reply)
 
-    # From links
+    # --- Events of links ----------------------------------------------------------------------------------
 
-    def sent(self, attempt: Attempt) -> None:
-        """The last byte of an attempt has left; a long body's time runs from here."""
-        if attempt.upload is not None and not attempt.streams:
+    def on_sent(self, attempt: Attempt) -> None:
+        """Called when the last byte of an attempt was written; the time of a streamed body starts here."""
+        if attempt.upload is not None and not attempt.is_streaming:
             attempt.sent_at = time.monotonic()
-            attempt.timer = self.loop.call_later(attempt.timeout_s, self._overdue, attempt)
-        self._owner.sent(attempt)
-
-    def streams(self, link: Link, attempt: Attempt, reply: Reply, length: int | None) -> Stream | None:
-        """A long answer has begun: from here on the client owns the attempt, no time-out ends it."""
-        stream = self._owner.started(attempt, reply, length, link)
+            attempt.timer = self.loop.call_later(attempt.timeout_s, self._on_timeout, attempt)
+        self._owner.on_sent(attempt)
+
+    def on_stream_started(
+        self, link: Link, attempt: Attempt, reply: Reply, length: int | None
+    ) -> Stream | None:
+        """Called when a streamed answer begins; from now on no time-out ends the attempt."""
+        stream = self._owner.on_stream_started(attempt, reply, length, link)
         if stream is not None:
-            attempt.streams = True
-            if attempt.timer is not None:  # else its body is still on its way
+            attempt.is_streaming = True
+            if attempt.timer is not None:  # None while the body is still being sent
                 attempt.timer.cancel()
         return stream
 
     def may_repeat(self, attempt: Attempt) -> bool:
-        """Whether another host could have it if this one's answer broke: the module's word."""
+        """Whether another server could get the request if this answer broke off, by the decision module."""
         return attempt.upload is None and self._owner.may_repeat(attempt)
 
-    def replied(self, attempt: Attempt, reply: Reply) -> None:
-        """A whole answer: the attempt is over."""
-        self._end(attempt, _result(reply), reply)
+    def on_reply(self, attempt: Attempt, reply: Reply) -> None:
+        """Called with a complete answer, which ends the attempt."""
+        self._end(attempt, _result_of(reply), reply)
 
-    def broke(self, attempt: Attempt, unsent: bool, cause: str) -> None:
-        """Its link is gone: an attempt never ran unless its last byte was written."""
+    def on_link_lost(self, attempt: Attempt, is_unsent: bool, cause: str) -> None:
+        """Called when the link was lost. The request cannot have run unless its last byte was written."""
         attempt.cause = cause
-        self._end(attempt, api.CONNECT_FAILED if unsent else api.RESET)
+        self._end(attempt, api.CONNECT_FAILED if is_unsent else api.RESET)
 
 
-def _result(reply: Reply) -> str:
+def _result_of(reply: Reply) -> str:
     if reply.status == 200:
         return api.OK
     if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -1,4 +1,8 @@
-"""The core: owns the decision module, its clock, timers and open requests. Translation only."""
+"""Connects the sockets to the decision module (`yewstage.policy`), which makes every choice.
+
+`Core` owns the decision module, its clock, its timers and the open requests. It translates socket events into
+events of the module, and actions of the module into socket calls; it makes no decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -33,58 +37,60 @@
 
 log = logging.getLogger(__name__)
 
-UPSTREAM_SHARE = 0.3  # of the descriptors
-BODY_SHARE = 0.2  # of the memory that a fresh process has left: a byte that is held costs three to four
-LEAST_ROOM = 2 * 2**20
-TRANSIT_MS = 4.0  # what a request may have spent on its way to us and its answer may on its way back
-GUARD_MS = 8.0  # the guard answers this long before the client's time is up
-MODULE_MS = 20.0  # the module is told of an end this much earlier, so that it comes first
-BEAT_S = 0.05  # spacing of the heartbeat that measures our own lag
-LAG_MS = 5.0  # a heartbeat later than this is a stall
-LIST_WAIT_S = 1.0  # how long a start waits for discovery before it serves with the list it was given
+UPSTREAM_SHARE = 0.3  # of the descriptors may be connections to servers
+# Part of the memory left to a fresh process that buffered bodies may take. Each of their bytes costs three to
+# four bytes of memory.
+BODY_MEMORY_SHARE = 0.2
+MIN_BODY_BUDGET_BYTES = 2 * 2**20
+TRANSIT_MS = 4.0  # allowance for the network time of a request and its answer
+GUARD_MS = 8.0  # the deadline guard answers this long before the client's deadline
+MODULE_MS = 20.0  # the decision module gets a deadline this much earlier, so that it acts before the guard
+HEARTBEAT_INTERVAL_S = 0.05  # of the timer that measures event loop stalls
+LAG_MS = 5.0  # a heartbeat that is later than this counts as a stall
+DISCOVERY_WAIT_S = 1.0  # after a start, before serving with the configured list of servers
 
 
 class Clock:
-    """The module's clock: Unix time in milliseconds, which all gateways share, but never set back."""
+    """Monotonic clock of the decision module: Unix time in milliseconds, comparable between gateways."""
 
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
     def now_ms(self) -> float:
-        """The time now."""
+        """Current time in milliseconds since the Unix epoch, as of the start of this process."""
         return (self._offset + time.monotonic()) * 1000
 
 
 class Client(Protocol):
-    """Who is owed an answer."""
+    """Receives the answer to one request."""
 
     def has_disconnected(self) -> bool:
-        """Whether it has left, though its connection has not told yet."""
+        """Whether the client closed its connection, even if connection_lost has not been called yet."""
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """Pass the one final answer on."""
+        """Write the final answer, whose body is complete. Called at most once."""
 
     def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
-        """Begin a long answer, whose body comes in parts; None: its length is not known."""
+        """Start a streamed answer. `length` is that of the body in bytes, None if unknown."""
 
     def more(self, data: bytes) -> None:
-        """Pass a part of it on."""
+        """Write a part of the streamed body."""
 
     def finish(self) -> None:
-        """It is whole."""
+        """End the streamed answer, which is complete."""
 
     def cut(self) -> None:
-        """It will not become whole, and the client must see that."""
+        """End the streamed answer so that the client sees that it is truncated."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A valid request of a client: what the module is told, and what goes on to a host."""
+    """A valid request of a client: the input of the decision module, and the bytes for the server."""
 
-    client_id: str  # X-Request-Id, by which the log names it
-    cls: api.RequestClass  # as it was when the request came
+    client_id: str  # X-Request-Id, which identifies the request in the log
+    cls: api.RequestClass  # with the settings in force when the request arrived
     plan_name: str
     customer: str
     time_left_ms: float
@@ -92,44 +98,55 @@
     width: int
     first_gateway: int
     repeat: bool
-    head: bytes  # request line and headers for the host, but for X-Deadline
+    head: bytes  # request line and headers for the server, without X-Deadline
     body: bytes
-    upload: Upload | None = None  # a body too long to be kept
-    key: bytes = b""  # that a repeat comes with, too
+    upload: Upload | None = None  # a body that is streamed, as it is too long to be buffered
+    key: bytes = b""  # idempotency key, which a repeat of the request carries too
 
 
-class _Open:
-    """A request until it is answered and its last attempt is over."""
+class _OpenRequest:
+    """A request until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "id",
         "client",
-        "order",
-        "taken_at",
-        "end_at",
-        "guard",
+        "client_request",
+        "received_at",
+        "answer_by",
+        "guard_timer",
         "attempts",
-        "out",
-        "taken",
-        "streaming",
-        "most",
+        "running_attempts",
+        "is_received",
+        "streaming_attempt",
+        "max_attempts",
     )
 
     def __init__(
-        self, rid: str, client: Client, order: ClientRequest, taken_at: float, end_at: float, most: int
+        self,
+        request_id: str,
+        client: Client,
+        client_request: ClientRequest,
+        received_at: float,
+        answer_by: float,
+        max_attempts: int,
     ) -> None:
-        self.most = most  # attempts, as the settings had it when the request came
-        self.id, self.order, self.taken_at, self.end_at = rid, order, taken_at, end_at
-        self.client: Client | None = client  # None: answered, or gone
-        self.guard: asyncio.TimerHandle | None = None
-        self.attempts: list[Attempt | None] = []  # None: never sent
-        self.out = 0
-        self.taken = False  # its last byte has come, and it counts as open
-        self.streaming: Attempt | None = None  # whose answer is on its way to the client
+        self.max_attempts = max_attempts  # by the settings in force when the request arrived
+        self.id, self.client_request, self.received_at, self.answer_by = (
+            request_id,
+            client_request,
+            received_at,
+            answer_by,
+        )
+        self.client: Client | None = client  # None: answered, or disconnected
+        self.guard_timer: asyncio.TimerHandle | None = None
+        self.attempts: list[Attempt | None] = []  # None: a Send that was not carried out
+        self.running_attempts = 0
+        self.is_received = False  # the last byte has arrived, so the request counts as open
+        self.streaming_attempt: Attempt | None = None  # whose answer is being streamed to the client
 
 
 class Core:
-    """Events of the sockets in, actions of the module out."""
+    """Feeds socket events to the decision module and carries out its actions."""
 
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop) -> None:
         self.settings = config.settings
@@ -137,20 +154,22 @@
         self._clock = Clock()
         self._gateway = Gateway(config.settings, config.seed)
         self.stats = Stats(c.name for c in config.settings.classes)
-        self._most = int(UPSTREAM_SHARE * config.sockets)
-        own = self.stats.process.memory_bytes()[1]
-        self._room = max(int(BODY_SHARE * (config.memory_mb * 2**20 - own)), LEAST_ROOM)
-        self.budget = MemoryBudget(self._room, loop.time)
+        self._max_server_connections = int(UPSTREAM_SHARE * config.sockets)
+        used_bytes = self.stats.process.memory_bytes()[1]
+        self._body_budget_bytes = max(
+            int(BODY_MEMORY_SHARE * (config.memory_mb * 2**20 - used_bytes)), MIN_BODY_BUDGET_BYTES
+        )
+        self.budget = MemoryBudget(self._body_budget_bytes, loop.time)
         self.longest_upload = config.longest_upload
         uses = self.stats.descriptors.uses
         self._attempt_runner = AttemptRunner(
             loop,
-            self._most,
+            self._max_server_connections,
             config.dial_ms,
             config.idle_ms,
             self,
             uses["servers"],
-            bound=self._gateway.links,
+            max_links_to=self._gateway.links,
             clock_ms=self._clock.now_ms,
             rng=random.Random(config.seed),
             budget=self.budget,
@@ -159,7 +178,7 @@
         self._discovery = Discovery(
             loop,
             config.discovery,
-            self._listed,
+            self._on_list,
             config.fallback_listing.generation if config.fallback_listing.servers else None,
             config.settings.fleet_size,
             random.Random(config.seed),
@@ -172,65 +191,66 @@
             else None
         )
         self._config = config
-        self._record = self._recorded() if config.holding else None
-        self._shares: Shares | None = None  # made when the first one is asked for
-        self._known = config.fallback_listing
-        self._requests: dict[str, _Open] = {}
-        self._claims: dict[str, KeyClaim] = {}  # by request, where there is a record
-        self._owed = 0  # requests that are owed their answer
-        self._serial = 0
-        self._events: deque[api.Event] = deque()
-        self._handling = False
-        self._lag_ms = 0.0
-        self._started = 0.0
-        self._beat_due = time.monotonic() + BEAT_S
-        self._heard = False  # discovery has answered in this life
-        self.more_figures: Callable[[], Mapping[str, float]] = dict  # of parts beside this one
-        self.draining = self._over = False  # SIGTERM has come; all is answered, nothing is begun any more
-        self.shared = False  # with another process: each has half of the descriptors
-
-    def _recorded(self) -> ClaimRecord:
-        from yewstage.net.claim_record import ClaimRecord  # what it needs is paid only where there is one
-
-        return ClaimRecord(self._loop, self._lanes("record"), self._config.name)
-
-    def _lanes(self, use: str) -> HoldingClient:
+        self._claim_record = self._create_claim_record() if config.holding else None
+        self._shares: Shares | None = None  # created with the first request for a share
+        self._initial_listing = config.fallback_listing
+        self._requests: dict[str, _OpenRequest] = {}
+        self._claims: dict[str, KeyClaim] = {}  # by request id; empty without a claim record
+        self._unanswered = 0  # complete requests without an answer
+        self._request_count = 0
+        self._event_queue: deque[api.Event] = deque()
+        self._is_handling = False
+        self._stall_ms = 0.0
+        self._started_at = 0.0
+        self._heartbeat_due = time.monotonic() + HEARTBEAT_INTERVAL_S
+        self._discovery_answered = False  # since the start of this process
+        self.more_figures: Callable[[], Mapping[str, float]] = dict  # metrics of other components
+        # draining: SIGTERM was received. _is_ending: everything was answered, new requests are refused.
+        self.draining = self._is_ending = False
+        self.shared = False  # during an upgrade two processes have half of the descriptors each
+
+    def _create_claim_record(self) -> ClaimRecord:
+        from yewstage.net.claim_record import ClaimRecord  # imported only where it is used, to save memory
+
+        return ClaimRecord(self._loop, self._create_holding_client("record"), self._config.name)
+
+    def _create_holding_client(self, use: str) -> HoldingClient:
         from yewstage.net.holding_client import HoldingClient
 
-        held = self.stats.descriptors.uses[use] = DescriptorUse(self.stats.descriptors)
-        return HoldingClient(self._config.holding, random.Random(self._config.seed), held)
+        descriptor_use = self.stats.descriptors.uses[use] = DescriptorUse(self.stats.descriptors)
+        return HoldingClient(self._config.holding, random.Random(self._config.seed), descriptor_use)
 
-    def _share(self, act: api.Count) -> None:
-        """Units of a customer's quota that this gateway alone may spend."""
-        plan = next((plan for plan in self.settings.plans if plan.name == act.plan), None)
-        if plan is None or not self._config.holding:  # retuned away, or there was no holding at the start
-            self._post(api.CountReply(act.name, api.TIMED_OUT, 0.0))
+    def _acquire_share(self, action: api.Count) -> None:
+        """Acquire a share of a customer's quota, which only this gateway may spend."""
+        plan = next((plan for plan in self.settings.plans if plan.name == action.plan), None)
+        if plan is None or not self._config.holding:  # removed by a reload, or started without a holding
+            self._post(api.CountReply(action.name, api.TIMED_OUT, 0.0))
             return
         if self._shares is None:
             from yewstage.net.shares import Shares
 
-            self._shares = Shares(self._loop, self._lanes("shares"), self._config.name)
-        self._shares.take(act, plan, self._post)
+            self._shares = Shares(self._loop, self._create_holding_client("shares"), self._config.name)
+        self._shares.take(action, plan, self._post)
 
-    # --- Life ---------------------------------------------------------------------------------------------
+    # --- Lifecycle ----------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin with the known list, then listen to discovery and the counter."""
-        self._started = time.monotonic()
-        self._apply(self._known, "kept")
+        """Apply the configured list of servers, then connect to discovery and the counter."""
+        self._started_at = time.monotonic()
+        self._apply_list(self._initial_listing, "kept")
         self._pool.start()
         self._discovery.start()
         if self._counter is not None:
             self._counter.start()
-        self._beat_due = time.monotonic() + BEAT_S
-        self._loop.call_later(BEAT_S, self._beat)
+        self._heartbeat_due = time.monotonic() + HEARTBEAT_INTERVAL_S
+        self._loop.call_later(HEARTBEAT_INTERVAL_S, self._heartbeat)
 
     def reconfigure(self, config: Config) -> None:
-        """Go on by the new settings, and with discovery and the counter where they are now."""
-        self.settings = dataclasses.replace(config.settings, uses_claim_record=self._record is not None)
+        """Apply new settings, including new addresses of discovery and the counter."""
+        self.settings = dataclasses.replace(config.settings, uses_claim_record=self._claim_record is not None)
         self.stats.know(c.name for c in config.settings.classes)
-        self._pool.tune(config.dial_ms, config.idle_ms)
-        self._most = int(UPSTREAM_SHARE * config.sockets)
+        self._pool.set_timeouts(config.dial_ms, config.idle_ms)
+        self._max_server_connections = int(UPSTREAM_SHARE * config.sockets)
         self.longest_upload = config.longest_upload
         self.share_descriptors(self.shared)
         self._post(api.Retuned(self.settings))
@@ -239,61 +259,65 @@
             self._counter.move(config.counter, config.settings.count_wait_ms)
 
     def share_descriptors(self, shared: bool) -> None:
-        """Go on with half of the descriptors and of the room for bodies, or with all of them."""
+        """Use half of the descriptors and of the memory for bodies if `shared`, else all of them."""
         self.shared = shared
-        self._pool.limit(self._most // (2 if shared else 1))
-        self.budget.limit(self._room // (2 if shared else 1))
+        self._pool.set_max_links(self._max_server_connections // (2 if shared else 1))
+        self.budget.limit(self._body_budget_bytes // (2 if shared else 1))
 
     def hand_over(self) -> dict[str, object]:
-        """What the next process must know; from now on that process holds it."""
+        """State of the decision module for the next process, which owns it from now on."""
         return self._gateway.hand_over()
 
     def take_over(self, state: dict[str, object] | None) -> None:
-        """Go on from what the process before us left, if it left anything."""
+        """Continue from the state of the previous process; None if it left none."""
         self._post(api.TakenOver(state))
 
     def predecessor_exited(self) -> None:
-        """The process before us is gone."""
+        """Called when the previous process has exited: its descriptors and memory are free."""
         self.share_descriptors(False)
         self._post(api.PredecessorGone())
 
     def stop(self) -> None:
-        """Close everything towards the back end."""
+        """Close all connections to servers, discovery, the counter and the holding."""
         self._discovery.stop()
         self._pool.stop()
         if self._counter is not None:
             self._counter.stop()
-        for part in (self._record, self._shares):
-            if part is not None:
-                part.stop()
+        for component in (self._claim_record, self._shares):
+            if component is not None:
+                component.stop()
 
     def ready(self) -> bool:
-        """Whether requests can be served: hosts are known, by discovery's word if it speaks at all."""
-        if self.draining or not self._pool.names():
+        """Whether requests can be served: servers are known, and discovery answered or had time to."""
+        if self.draining or not self._pool.server_names():
             return False
-        return self._heard or time.monotonic() - self._started > LIST_WAIT_S
+        return self._discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
 
     def failing(self) -> dict[str, int]:
-        """Servers that this gateway finds failing: how often in a row each has."""
+        """Consecutive failures by server, of the servers that this gateway considers failing."""
         return self._gateway.failing()
 
     def metrics(self) -> str:
-        """What operators read."""
+        """Metrics in the text format of the operators' address."""
         return self.stats.text(
-            self._owed,
+            self._unanswered,
             *self._gateway.rotation(),
             self._pool.metrics(),
-            self._body_figures(),
-            self._ramp_figures(),
-            *(part.metrics() for part in (self._record, self._shares) if part is not None),
+            self._body_metrics(),
+            self._admission_metrics(),
+            *(
+                component.metrics()
+                for component in (self._claim_record, self._shares)
+                if component is not None
+            ),
             self.more_figures(),
         )
 
-    def _ramp_figures(self) -> dict[str, float]:
-        """How pressed the back end looks, and what part of new work is let in by that."""
+    def _admission_metrics(self) -> dict[str, float]:
+        """Admission control: estimated pressure on the servers, and the part of new work that is admitted."""
         return {"pressure": round(self._gateway.q, 4), "admitted_share": round(self._gateway.f, 4)}
 
-    def _body_figures(self) -> dict[str, float]:
+    def _body_metrics(self) -> dict[str, float]:
         budget = self.budget
         return {
             **{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
@@ -311,164 +335,166 @@
         }
 
     def farewell(self) -> str:
-        """What this life came to, for the log."""
-        return self.stats.farewell(self._pool.dials())
+        """Summary of this process for its last line in the log."""
+        return self.stats.farewell(self._pool.dial_count())
 
     def fail_all(self) -> None:
-        """Answer all that is open as failed: the process is about to end, and begins nothing more."""
-        self._over = True
+        """Answer all open requests with 504 and refuse new ones, as the process is about to exit."""
+        self._is_ending = True
         for request in list(self._requests.values()):
-            self._give_up(request)
+            self._answer_timed_out(request)
 
-    def _beat(self) -> None:
-        """Measure how far we run behind: what is read in this turn may have waited for us so long."""
+    def _heartbeat(self) -> None:
+        """Measure event loop stalls. Data read in this turn of the loop may have waited that long."""
         now = time.monotonic()
-        late = (now - self._beat_due) * 1000
-        if late > LAG_MS:
-            self._lag_ms = late
-            self._loop.call_later(0.001, self._caught_up)
-        self._beat_due = now + BEAT_S
-        self._loop.call_later(BEAT_S, self._beat)
+        late_ms = (now - self._heartbeat_due) * 1000
+        if late_ms > LAG_MS:
+            self._stall_ms = late_ms
+            self._loop.call_later(0.001, self._stall_ended)
+        self._heartbeat_due = now + HEARTBEAT_INTERVAL_S
+        self._loop.call_later(HEARTBEAT_INTERVAL_S, self._heartbeat)
 
-    def _caught_up(self) -> None:
-        self._lag_ms = 0.0
+    def _stall_ended(self) -> None:
+        self._stall_ms = 0.0
 
-    def _behind_ms(self, now: float) -> float:
-        """How long what is read now may have waited for us.
+    def _read_delay_ms(self, now: float) -> float:
+        """How long data that is read now may have waited because the event loop stalled.
 
-        Guards against a stall that is over before the heartbeat could tell: a loop that was stopped in its
-        poll reads sockets first and fires timers after.
+        The due time of the heartbeat is checked too: a loop that was stopped in its poll reads sockets before
+        it runs timers, so the heartbeat may not have recorded the stall yet.
         """
-        late = (now - self._beat_due) * 1000
-        return late if late > LAG_MS else self._lag_ms
+        late_ms = (now - self._heartbeat_due) * 1000
+        return late_ms if late_ms > LAG_MS else self._stall_ms
 
     # --- Clients ------------------------------------------------------------------------------------------
 
-    def request(self, client: Client, order: ClientRequest) -> str:
-        """Take a request; its id tells `left` which one is meant."""
-        self._serial += 1
-        rid = f"r{self._serial}"
-        # The client's time runs from when it sent the request, not from when we came to read it.
+    def request(self, client: Client, client_request: ClientRequest) -> str:
+        """Accept a request. Returns its id, which `client_disconnected` expects."""
+        self._request_count += 1
+        request_id = f"r{self._request_count}"
+        # The client's time limit runs from when it sent the request, not from when it was read here.
         now = time.monotonic()
-        left_ms = order.time_left_ms - TRANSIT_MS - self._behind_ms(now)
-        request = _Open(rid, client, order, now, math.inf, self.settings.try_limit)
-        self._requests[rid] = request
-        if self._over:  # danger: SIGKILL would find it unanswered
+        left_ms = client_request.time_left_ms - TRANSIT_MS - self._read_delay_ms(now)
+        request = _OpenRequest(request_id, client, client_request, now, math.inf, self.settings.try_limit)
+        self._requests[request_id] = request
+        if self._is_ending:  # otherwise SIGKILL could come before its answer
             retry_after_ms = self.settings.max_retry_after_ms * self.settings.retry_after
             self._answer(request, 503, retry_after_ms=retry_after_ms, why="ending")
-            return rid
-        if order.upload is None:
-            self._take(request, left_ms)
+            return request_id
+        if client_request.upload is None:
+            self._start_deadline(request, left_ms)
         self._post(
             api.Request(
-                rid,
-                order.cls.name,
-                order.plan_name,
-                order.customer,
+                request_id,
+                client_request.cls.name,
+                client_request.plan_name,
+                client_request.customer,
                 left_ms - MODULE_MS,
-                order.units,
-                order.width,
-                order.first_gateway,
-                order.repeat,
-                order.upload is None,
-                order.cls,
+                client_request.units,
+                client_request.width,
+                client_request.first_gateway,
+                client_request.repeat,
+                client_request.upload is None,
+                client_request.cls,
             )
         )
-        return rid
-
-    def _take(self, request: _Open, left_ms: float) -> None:
-        """The last byte of a request has come: its time runs from here."""
-        request.taken = True
-        self._owed += 1
-        request.end_at = time.monotonic() + (left_ms - GUARD_MS) / 1000
-        request.guard = self._loop.call_later(max(left_ms - GUARD_MS, 0.0) / 1000, self._guard, request)
-
-    def client_disconnected(self, rid: str) -> None:
-        """The client is gone."""
-        request = self._requests.get(rid)
+        return request_id
+
+    def _start_deadline(self, request: _OpenRequest, left_ms: float) -> None:
+        """The last byte of a request has arrived: its time limit runs from now."""
+        request.is_received = True
+        self._unanswered += 1
+        request.answer_by = time.monotonic() + (left_ms - GUARD_MS) / 1000
+        request.guard_timer = self._loop.call_later(
+            max(left_ms - GUARD_MS, 0.0) / 1000, self._on_deadline, request
+        )
+
+    def client_disconnected(self, request_id: str) -> None:
+        """Called when the client of a request has disconnected."""
+        request = self._requests.get(request_id)
         if request is not None and request.client is not None:
-            if request.streaming is not None or request.order.upload is not None:
+            if request.streaming_attempt is not None or request.client_request.upload is not None:
                 self.stats.cut_short("client")
-            bound = [
+            streamed = [
                 a
                 for a in request.attempts
-                if a is not None and (a is request.streaming or a.upload is not None)
+                if a is not None and (a is request.streaming_attempt or a.upload is not None)
             ]
-            self._close(request)
-            _tell_story(request, 0, "client left")
-            self._post(api.ClientLeft(rid))
-            for attempt in bound:  # nothing of it can go on without its client
+            self._close_request(request)
+            _log_unserved_request(request, 0, "client left")
+            self._post(api.ClientLeft(request_id))
+            for attempt in streamed:  # a stream cannot continue without its client
                 self._attempt_runner.cancel(attempt)
-            self._forget_claim(rid)
+            self._remove_claim(request_id)
 
-    def _guard(self, request: _Open) -> None:
-        # Guards the first rule: whatever the module or a socket does, the client gets its answer in time.
+    def _on_deadline(self, request: _OpenRequest) -> None:
+        # Answers in time even if the decision module or a socket fails to.
         log.warning(
             Event(
                 "guarded",
-                "a request ran to its deadline unanswered: failed by the guard",
-                request=request.order.client_id,
+                "request without an answer at its deadline: answered 504 by the deadline guard",
+                request=request.client_request.client_id,
             )
         )
-        self._give_up(request)
+        self._answer_timed_out(request)
 
-    def _give_up(self, request: _Open) -> None:
-        if request.client is not None and request.streaming is None:
+    def _answer_timed_out(self, request: _OpenRequest) -> None:
+        if request.client is not None and request.streaming_attempt is None:
             self._answer(request, 504, why="ran out")
             self._post(api.ClientLeft(request.id))
-            self._forget_claim(request.id)
+            self._remove_claim(request.id)
 
     def _answer(
         self,
-        request: _Open | None,
+        request: _OpenRequest | None,
         status: int,
         reply: Reply | None = None,
         retry_after_ms: float = 0.0,
         why: str = "",
     ) -> None:
-        """The one final answer; a second one is dropped."""
-        if request is None or request.client is None or request.streaming is not None:
+        """Send the final answer; a second one is dropped."""
+        if request is None or request.client is None or request.streaming_attempt is not None:
             return
         client = request.client
-        self._close(request)
-        self.stats.ended(request.order.cls.name, status)
+        self._close_request(request)
+        self.stats.ended(request.client_request.cls.name, status)
         if reply is None:
             if status in REFUSED:
                 self.stats.refused(why)
-            _tell_story(request, status, why)
+            _log_unserved_request(request, status, why)
             client.answer(status, retry_after_ms=retry_after_ms)
         else:
             client.answer(status, reply.body, reply.headers.get(b"content-type", b""))
 
-    def _close(self, request: _Open) -> None:
+    def _close_request(self, request: _OpenRequest) -> None:
         request.client = None
-        self._owed -= request.taken
-        if request.guard is not None:
-            request.guard.cancel()
+        self._unanswered -= request.is_received
+        if request.guard_timer is not None:
+            request.guard_timer.cancel()
         for attempt in request.attempts:
-            # What waits for its link has not begun, so no server need be asked to let go of it: settings that
-            # forbid that say nothing of this.
-            if attempt is not None and attempt.waiting:
+            # An attempt that waits for a connection was not sent to any server, so it may be cancelled even
+            # where the settings forbid cancelling requests at servers.
+            if attempt is not None and attempt.is_waiting:
                 self._attempt_runner.cancel(attempt)
-        self._forget(request)
+        self._remove_if_ended(request)
 
-    def _forget(self, request: _Open) -> None:
-        if request.client is None and not request.out:
+    def _remove_if_ended(self, request: _OpenRequest) -> None:
+        if request.client is None and not request.running_attempts:
             self._requests.pop(request.id, None)
 
-    # --- Hosts --------------------------------------------------------------------------------------------
+    # --- Servers ------------------------------------------------------------------------------------------
 
-    def _listed(self, listing: Listing) -> None:
-        self._heard = True
-        self._apply(listing, "full" if listing.is_full else "changes")
+    def _on_list(self, listing: Listing) -> None:
+        self._discovery_answered = True
+        self._apply_list(listing, "full" if listing.is_full else "changes")
 
-    def _apply(self, listing: Listing, kind: str) -> None:
-        gone = {s.name for s in listing.servers if s.status == "removed"}
-        if kind != "changes":  # a whole list replaces the old one
-            gone |= self._pool.names() - {s.name for s in listing.servers}
-        self._pool.update(
+    def _apply_list(self, listing: Listing, kind: str) -> None:
+        removed = {s.name for s in listing.servers if s.status == "removed"}
+        if kind != "changes":  # a full list replaces the old one
+            removed |= self._pool.server_names() - {s.name for s in listing.servers}
+        self._pool.update_servers(
             listing.addresses,
-            gone,
+            removed,
             {s.name: s.up_since_ms for s in listing.servers},
             {s.name for s in listing.servers if s.status == "draining"},
         )
@@ -477,197 +503,200 @@
             log.info(
                 Event(
                     "list",
-                    "list {generation}, {kind}: {states}; {dialled} hosts can be dialled",
+                    "server list {generation}, {kind}: {states}; {dialled} servers can be connected to",
                     generation=listing.generation,
                     kind=kind,
                     states=states,
-                    dialled=len(self._pool.names()),
+                    dialled=len(self._pool.server_names()),
                 )
             )
             self._post(api.ServerList(kind, listing.servers))
 
-    def _send(self, act: api.Send) -> None:
-        request = self._requests.get(act.request)
+    def _send(self, action: api.Send) -> None:
+        request = self._requests.get(action.request)
         number = len(request.attempts) if request is not None else 0
-        left_s = request.end_at - time.monotonic() if request is not None else 0.0
-        if request is None or request.client is None or left_s <= 0 or number >= request.most:
+        left_s = request.answer_by - time.monotonic() if request is not None else 0.0
+        if request is None or request.client is None or left_s <= 0 or number >= request.max_attempts:
             if request is not None:
                 request.attempts.append(None)
             self._post(
                 api.Outcome(
-                    act.request,
+                    action.request,
                     number,
-                    act.server,
+                    action.server,
                     api.START_EXPIRED,
                     0.0,
                     request is None or request.client is None,
                 )
             )
             return
-        order = request.order
-        left_s = min(left_s, order.time_left_ms / 1000)  # of a long body, whose time does not run yet
-        wait_s = min(act.timeout_ms / 1000, left_s) if act.timeout_ms else left_s
+        client_request = request.client_request
+        # The time limit of a request with a streamed body does not run yet.
+        left_s = min(left_s, client_request.time_left_ms / 1000)
+        wait_s = min(action.timeout_ms / 1000, left_s) if action.timeout_ms else left_s
         attempt = Attempt(
-            act.request,
+            action.request,
             number,
-            act.server,
-            order.head,
+            action.server,
+            client_request.head,
             time.monotonic(),
-            order.upload,
-            order.cls.name,
-            order.body,
+            client_request.upload,
+            client_request.cls.name,
+            client_request.body,
         )
         request.attempts.append(attempt)
-        request.out += 1
-        self._attempt_runner.send(attempt, max(wait_s, 0.0), act.start_deadline_ms / 1000)
+        request.running_attempts += 1
+        self._attempt_runner.send(attempt, max(wait_s, 0.0), action.start_deadline_ms / 1000)
 
-    def wanted(self, attempt: Attempt) -> bool:
-        """Whether its client is still there, as it is about to begin."""
+    def is_wanted(self, attempt: Attempt) -> bool:
+        """Whether the client is still connected when the attempt is about to be written."""
         client = self._requests[attempt.request].client
         return client is not None and not client.has_disconnected()
 
-    def sent(self, attempt: Attempt) -> None:
-        """An attempt's last byte was written."""
+    def on_sent(self, attempt: Attempt) -> None:
+        """Called when the last byte of an attempt was written."""
         self.stats.relayed += 1
         request = self._requests[attempt.request]
-        if attempt.upload is not None and request.streaming is not None:
-            request.taken = True  # its answer is on its way already: no guard
-            self._owed += 1
+        if attempt.upload is not None and request.streaming_attempt is not None:
+            request.is_received = True  # the answer is being streamed already, so no deadline guard is needed
+            self._unanswered += 1
         elif attempt.upload is not None and request.client is not None:
-            self._take(request, request.order.time_left_ms - TRANSIT_MS)
+            self._start_deadline(request, request.client_request.time_left_ms - TRANSIT_MS)
             self._post(api.Uploaded(request.id))
 
-    def started(self, attempt: Attempt, reply: Reply, length: int | None, source: Source) -> Client | None:
-        """A long answer has begun: it is the client's now, and no time-out of ours ends it."""
+    def on_stream_started(
+        self, attempt: Attempt, reply: Reply, length: int | None, source: Source
+    ) -> Client | None:
+        """Start streaming a long answer to the client. No time-out of the gateway ends it from now on."""
         request = self._requests[attempt.request]
-        if request.client is None or request.streaming is not None:
+        if request.client is None or request.streaming_attempt is not None:
             return None
-        request.streaming = attempt
-        if request.guard is not None:  # else its body is still on its way
-            request.guard.cancel()
+        request.streaming_attempt = attempt
+        if request.guard_timer is not None:  # None while the body is still being received
+            request.guard_timer.cancel()
         request.client.begin(length, reply.headers.get(b"content-type", b""), source)
         self._post(api.StreamStarted(request.id, attempt.number, self._took_ms(attempt)))
         return request.client
 
     def may_repeat(self, attempt: Attempt) -> bool:
-        """Whether the module could send the request again if this answer broke."""
+        """Whether the decision module could retry the request if this answer broke off."""
         return self._gateway.may_repeat(attempt.request)
 
-    def ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
-        """An attempt's one end."""
+    def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
+        """Called exactly once for each attempt, when it ends."""
         request = self._requests[attempt.request]
-        request.out -= 1
-        took = self._took_ms(attempt, reply is not None)
+        request.running_attempts -= 1
+        took_ms = self._took_ms(attempt, reply is not None)
         units = 0.0
-        report = _report(reply.headers.get(b"x-load", b"")) if reply is not None else {}
+        report = _parse_load_report(reply.headers.get(b"x-load", b"")) if reply is not None else {}
         if result == api.OK:
-            units = _number(reply.headers.get(b"billed-units"))
+            units = _parse_positive_number(reply.headers.get(b"billed-units"))
             if attempt.request in self._claims:
-                self._record.complete(self._claims[attempt.request], reply)
-        if attempt is request.streaming:
-            self._finish_stream(request, result)
+                self._claim_record.complete(self._claims[attempt.request], reply)
+        if attempt is request.streaming_attempt:
+            self._end_stream(request, result)
         elif result == api.OK:
             self._answer(request, 200, reply)
         final = request.client is None
-        self._forget(request)
+        self._remove_if_ended(request)
         self._post(
             api.Outcome(
                 attempt.request,
                 attempt.number,
                 attempt.server,
                 result,
-                took,
+                took_ms,
                 final,
                 billed_units=units,
                 load_report=report,
-                nothing_sent=not attempt.touched,
+                nothing_sent=not attempt.may_have_sent,
             )
         )
-        self._forget_claim(attempt.request)
+        self._remove_claim(attempt.request)
 
     def _took_ms(self, attempt: Attempt, answered: bool = True) -> float:
-        """What a host needed: to the head of its answer, however slowly the rest comes.
+        """Latency of a server up to the head of its answer, as the body may depend on the client's pace.
 
-        What lay unread while we stalled is not the host's latency.
+        The time that an answer lay unread during a stall of the event loop is not counted.
         """
         now = time.monotonic()
-        took = ((attempt.begun_at or now) - attempt.sent_at) * 1000
-        return max(took - self._behind_ms(now), 0.0) if answered else took
+        took_ms = ((attempt.head_received_at or now) - attempt.sent_at) * 1000
+        return max(took_ms - self._read_delay_ms(now), 0.0) if answered else took_ms
 
-    def _finish_stream(self, request: _Open, result: str) -> None:
+    def _end_stream(self, request: _OpenRequest, result: str) -> None:
         client = request.client
         if client is None:
             return
-        self._close(request)
+        self._close_request(request)
         if result == api.OK:
-            self.stats.ended(request.order.cls.name, 200)
+            self.stats.ended(request.client_request.cls.name, 200)
             client.finish()
         else:
-            self.stats.ended(request.order.cls.name, 502)
+            self.stats.ended(request.client_request.cls.name, 502)
             self.stats.cut_short("server")
-            _tell_story(request, 200, "cut short")
+            _log_unserved_request(request, 200, "cut short")
             client.cut()
 
-    def _claim(self, act: api.Claim) -> None:
-        request = self._requests.get(act.request)
+    def _claim(self, action: api.Claim) -> None:
+        request = self._requests.get(action.request)
         if request is None or request.client is None:
-            self._post(api.Claimed(act.request, "silent"))
+            self._post(api.Claimed(action.request, "silent"))
             return
-        order = request.order
-        self._claims[request.id] = self._record.claim(
-            order.customer,
-            order.cls.name,
-            order.key,
+        client_request = request.client_request
+        self._claims[request.id] = self._claim_record.claim(
+            client_request.customer,
+            client_request.cls.name,
+            client_request.key,
             request.id,
-            act.window_ms,
-            act.wait_ms,
+            action.window_ms,
+            action.wait_ms,
             lambda result: self._claimed(request.id, result),
         )
 
-    def _claimed(self, rid: str, result: str) -> None:
-        self._post(api.Claimed(rid, result))
-        self._forget_claim(rid)
+    def _claimed(self, request_id: str, result: str) -> None:
+        self._post(api.Claimed(request_id, result))
+        self._remove_claim(request_id)
 
-    def _forget_claim(self, rid: str) -> None:
-        """What is over needs its claim no more; the module has said by now whether it may have run."""
-        if rid not in self._requests:
-            self._claims.pop(rid, None)
+    def _remove_claim(self, request_id: str) -> None:
+        """Drop the claim of a request that has ended. The module has released it by now if it did not run."""
+        if request_id not in self._requests:
+            self._claims.pop(request_id, None)
 
-    def _release(self, rid: str) -> None:
-        claim = self._claims.get(rid)
+    def _release(self, request_id: str) -> None:
+        claim = self._claims.get(request_id)
         if claim is not None:
-            self._record.release(claim)
+            self._claim_record.release(claim)
 
-    def _cancel(self, act: api.Cancel) -> None:
-        request = self._requests.get(act.request)
-        if request is not None and act.attempt < len(request.attempts):
-            attempt = request.attempts[act.attempt]
+    def _cancel(self, action: api.Cancel) -> None:
+        request = self._requests.get(action.request)
+        if request is not None and action.attempt < len(request.attempts):
+            attempt = request.attempts[action.attempt]
             if attempt is not None:
                 self._attempt_runner.cancel(attempt)
 
-    # --- The module ---------------------------------------------------------------------------------------
+    # --- Decision module ----------------------------------------------------------------------------------
 
     def _post(self, event: api.Event) -> None:
-        """Hand events to the module in their order, also those that its own actions give rise to."""
-        self._events.append(event)
-        if self._handling:
+        """Pass an event to the module. Events that its own actions cause are queued to keep the order."""
+        self._event_queue.append(event)
+        if self._is_handling:
             return
-        self._handling = True
+        self._is_handling = True
         try:
-            while self._events:
-                self._handle(self._events.popleft())
+            while self._event_queue:
+                self._handle(self._event_queue.popleft())
         finally:
-            self._handling = False
+            self._is_handling = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self._gateway.handle(self._clock.now_ms(), event)
         except Exception:
-            # Guards all other requests against one that the module breaks on.
+            # An event that the module cannot handle must not affect other requests.
             log.exception(
                 Event(
                     "module_failed",
-                    "the module failed on {on}",
+                    "decision module failed on {on}",
                     on=type(event).__name__,
                     request=getattr(event, "request", getattr(event, "id", "")),
                 )
@@ -675,66 +704,69 @@
             if isinstance(event, api.Request):
                 self._answer(self._requests.get(event.id), 500, why="module")
             return
-        for act in actions:
+        for action in actions:
             try:
-                self._act(act)
+                self._carry_out(action)
             except Exception:
                 log.exception(
                     Event(
                         "action_failed",
                         "an action failed: {action}",
-                        action=type(act).__name__,
-                        request=getattr(act, "request", ""),
+                        action=type(action).__name__,
+                        request=getattr(action, "request", ""),
                     )
                 )
 
-    def _act(self, act: api.Action) -> None:
-        match act:
+    def _carry_out(self, action: api.Action) -> None:
+        match action:
             case api.Send():
-                self._send(act)
+                self._send(action)
             case api.Refuse():
                 self._answer(
-                    self._requests.get(act.request), 503, retry_after_ms=act.retry_after_ms, why=act.reason
+                    self._requests.get(action.request),
+                    503,
+                    retry_after_ms=action.retry_after_ms,
+                    why=action.reason,
                 )
             case api.Fail():
-                self._answer(self._requests.get(act.request), 502, why="failed")
+                self._answer(self._requests.get(action.request), 502, why="failed")
             case api.Claim():
-                self._claim(act)
+                self._claim(action)
             case api.Release():
-                self._release(act.request)
+                self._release(action.request)
             case api.Recall():
-                self._answer(self._requests.get(act.request), 200, self._claims[act.request].answer)
+                self._answer(self._requests.get(action.request), 200, self._claims[action.request].answer)
             case api.Cancel():
-                self._cancel(act)
+                self._cancel(action)
             case api.Timer():
-                self._loop.call_later(max(act.delay_ms, 0.0) / 1000, self._post, api.TimerDue(act.name))
-            case api.Count() if act.plan:
-                self._share(act)
+                self._loop.call_later(max(action.delay_ms, 0.0) / 1000, self._post, api.TimerDue(action.name))
+            case api.Count() if action.plan:
+                self._acquire_share(action)
             case api.Count():
                 if self._counter is None:
-                    self._post(api.CountReply(act.name, api.CONNECT_FAILED, 0.0))
+                    self._post(api.CountReply(action.name, api.CONNECT_FAILED, 0.0))
                 else:
-                    self._counter.call(act)
+                    self._counter.call(action)
             case api.Subscribe():
-                pass  # the watch is always on
+                pass  # the watch on the list of servers is always active
             case api.Log():
-                log.info(Event("decision", "{text}", text=act.text))
+                log.info(Event("decision", "{text}", text=action.text))
 
 
-def _tell_story(request: _Open, status: int, why: str) -> None:
-    """A badly ended request in one line: what it was, why it ended so, and each attempt on the way."""
-    order, took_ms = request.order, (time.monotonic() - request.taken_at) * 1000
+def _log_unserved_request(request: _OpenRequest, status: int, why: str) -> None:
+    """Log a request that was not served: its properties, the reason, and each of its attempts."""
+    client_request, took_ms = request.client_request, (time.monotonic() - request.received_at) * 1000
     log.info(
         Event(
             "request",
             "{request} {class} {plan} of {customer} ({units:g} units, {left_ms:.0f} ms left): "
             "{status} {why} after {took_ms:.0f} ms; attempts: {attempts:; }",
-            request=order.client_id,
-            **{"class": order.cls.name},
-            plan=order.plan_name,
-            customer=order.customer,
-            units=order.units,
-            left_ms=round(order.time_left_ms, 3),
+            request=client_request.client_id,
+            **{"class": client_request.cls.name},
+            plan=client_request.plan_name,
+            customer=client_request.customer,
+            units=client_request.units,
+            left_ms=round(client_request.time_left_ms, 3),
             status=status,
             why=why,
             took_ms=round(took_ms, 3),
@@ -743,16 +775,16 @@
     )
 
 
-def _report(text: bytes) -> dict[str, float]:
-    """A server's load report; nothing where it makes no sense."""
+def _parse_load_report(text: bytes) -> dict[str, float]:
+    """Parse a server's load report; an empty dict if it is malformed."""
     try:
         return wire.parse_load_report(text.decode("ascii").replace(" ", "").replace("=", ":") or "-")
     except ValueError:
         return {}
 
 
-def _number(text: bytes | None) -> float:
-    """A header's positive number; 0 where there is none."""
+def _parse_positive_number(text: bytes | None) -> float:
+    """Parse a positive number of a header; 0 if it is missing or invalid."""
     try:
         value = float(text or 0)
     except ValueError:
--- a/yewstage/net/pool.py
+++ b/yewstage/net/pool.py
@@ -1,4 +1,8 @@
-"""Links to servers: dialled, used for one request at a time, kept while good, closed for a reason."""
+"""Connection pool for servers.
+
+A link is a connection to a server. It is dialled on demand, carries one request at a time, and is kept idle
+for the next one while it is reusable. Every close has a reason, by which the metrics count it.
+"""
 
 from __future__ import annotations
 
@@ -25,305 +29,343 @@
 )
 from yewstage.net.stats import DescriptorUse
 
-IDLE_SHARES = 0.5, 0.8  # idle links are retired between these parts of the server's idle limit
+# An idle link is closed after a random part, in this range, of the server's idle limit.
+IDLE_SHARES = 0.5, 0.8
 SWEEP_S = 1.0
-DIALS = 64  # dials under way at once
-HOLD_S = 0.1  # how long an answer of unknown length is held: it may end yet, and be whole
-STALL_S = 5.0  # a long body of which nothing moves for so long is not going to
-# What dials come to, and why links are closed, as the figures name them.
-UP, FAILED, TIMED_OUT, NO_FILES, UNWANTED = "up", "failed", "timed_out", "no_descriptor", "given_up"
-RETIRED, NO_ROOM, UNLISTED, OUTLIVED = "idle_limit", "no_room", "server_gone", "server_restarted"
-DRAINED, UNUSABLE, ABANDONED, SILENT = "server_drains", "not_reusable", "given_up", "server_silent"
+MAX_CONCURRENT_DIALS = 64
+# How long an answer of unknown length is buffered: it may end in this time, and a retry is possible until a
+# part of it was passed on.
+UNKNOWN_LENGTH_HOLD_S = 0.1
+STREAM_STALL_S = 5.0  # a streamed body without progress for so long is given up
+# Results of dials and reasons of closes, as labels of the metrics.
+UP, FAILED, TIMED_OUT, DIAL_NO_DESCRIPTOR, CANCELLED = (
+    "up",
+    "failed",
+    "timed_out",
+    "no_descriptor",
+    "given_up",
+)
+IDLE_LIMIT, NO_ROOM, SERVER_GONE, SERVER_RESTARTED = (
+    "idle_limit",
+    "no_room",
+    "server_gone",
+    "server_restarted",
+)
+SERVER_DRAINS, NOT_REUSABLE, ABANDONED, SERVER_SILENT = (
+    "server_drains",
+    "not_reusable",
+    "given_up",
+    "server_silent",
+)
 DIED_IDLE, BROKE, STALLED, STOPPED = "died_idle", "broke", "stalled", "stopped"
-DIAL_RESULTS = (UP, FAILED, TIMED_OUT, NO_FILES, UNWANTED)
+DIAL_RESULTS = (UP, FAILED, TIMED_OUT, DIAL_NO_DESCRIPTOR, CANCELLED)
 CLOSE_REASONS = (
-    RETIRED,
+    IDLE_LIMIT,
     NO_ROOM,
-    UNLISTED,
-    OUTLIVED,
-    DRAINED,
-    UNUSABLE,
+    SERVER_GONE,
+    SERVER_RESTARTED,
+    SERVER_DRAINS,
+    NOT_REUSABLE,
     ABANDONED,
-    SILENT,
+    SERVER_SILENT,
     DIED_IDLE,
     BROKE,
     STALLED,
     STOPPED,
 )
-NONE: Mapping[str, float] = MappingProxyType({})
+NO_START_TIMES: Mapping[str, float] = MappingProxyType({})
 
 
 class Stream(Protocol):
-    """Who reads a long answer while it comes."""
+    """Reader of a streamed answer."""
 
     def more(self, data: bytes) -> None:
-        """A part of its body."""
+        """Called with each part of the body."""
 
 
 class Source(Protocol):
-    """Where a long answer comes from."""
+    """Sender of a streamed answer."""
 
-    def pause(self, held: bool) -> None:
-        """Stop reading, or go on."""
+    def pause(self, paused: bool) -> None:
+        """Stop reading from the server if `paused`, else resume."""
 
 
 class Exchange(Protocol):
-    """What a link carries: one request and its answer."""
+    """One request and its answer, as a link carries them."""
 
     payload: bytes
     upload: Upload | None
-    begun_at: float | None
+    head_received_at: float | None
 
 
-class Ends(Protocol):
-    """Who is told what becomes of the jobs on links."""
+class ExchangeObserver(Protocol):
+    """Receives the events of exchanges."""
 
-    def sent(self, job: Exchange) -> None:
-        """Its last byte was written."""
+    def on_sent(self, exchange: Exchange) -> None:
+        """Called when the last byte of the request was written."""
 
-    def streams(self, link: Link, job: Exchange, reply: Reply, length: int | None) -> Stream | None:
-        """A long answer has begun; None if nobody reads it."""
+    def on_stream_started(
+        self, link: Link, exchange: Exchange, reply: Reply, length: int | None
+    ) -> Stream | None:
+        """Called when a streamed answer begins. Returns its reader; None if nobody reads it."""
 
-    def may_repeat(self, job: Exchange) -> bool:
-        """Whether another server could have it if this answer broke."""
+    def may_repeat(self, exchange: Exchange) -> bool:
+        """Whether the request could be retried at another server if this answer broke off."""
 
-    def replied(self, job: Exchange, reply: Reply) -> None:
-        """Its whole answer has come."""
+    def on_reply(self, exchange: Exchange, reply: Reply) -> None:
+        """Called with the complete answer."""
 
-    def broke(self, job: Exchange, unsent: bool, cause: str) -> None:
-        """Its link is gone, before its last byte was written or after."""
+    def on_link_lost(self, exchange: Exchange, is_unsent: bool, cause: str) -> None:
+        """Called when the link was lost; `is_unsent` if the last byte of the request was not written."""
 
 
 class Waiter(Protocol):
-    """Who wants a link."""
+    """Waits for a link."""
 
-    kind: str  # waiters of different kinds take turns
+    class_name: str  # waiters of different classes take turns
 
     def connection_ready(self, link: Link) -> None:
-        """Here it is."""
+        """Called with a link, which now belongs to the waiter."""
 
     def connection_failed(self, result: str, cause: str) -> None:
-        """There is none to be had: the server could not be reached, or there was no room."""
+        """Called when the server could not be reached, or no descriptor was left."""
 
 
 class WaiterQueue:
-    """Waiters for one server: in the order in which they came, the kinds by turns."""
+    """Waiters for links to one server: first in, first out within a class, the classes in turn."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, dict[Waiter, None]] = {}  # the kind whose turn is next comes first
+        self._queues: dict[str, dict[Waiter, None]] = {}  # by class; the class whose turn is next comes first
         self.count = 0
 
     def add(self, waiter: Waiter) -> None:
-        """At the end of its kind's line."""
+        """Append a waiter to the queue of its class."""
         self.count += 1
-        self._lines.setdefault(waiter.kind, {})[waiter] = None
+        self._queues.setdefault(waiter.class_name, {})[waiter] = None
 
     def discard(self, waiter: Waiter) -> bool:
-        """Take one out wherever it stands; False if it does not wait here."""
-        line = self._lines.get(waiter.kind, {})
-        if waiter not in line:
+        """Remove a waiter; False if it is not queued here."""
+        queue = self._queues.get(waiter.class_name, {})
+        if waiter not in queue:
             return False
-        del line[waiter]
+        del queue[waiter]
         self.count -= 1
-        if not line:
-            del self._lines[waiter.kind]
+        if not queue:
+            del self._queues[waiter.class_name]
         return True
 
-    def next(self) -> Waiter | None:
-        """Take out the one whose turn it is."""
-        if not self._lines:
+    def pop(self) -> Waiter | None:
+        """Remove and return the next waiter; None if there is none."""
+        if not self._queues:
             return None
-        kind, line = next(iter(self._lines.items()))
-        waiter = next(iter(line))
+        class_name, queue = next(iter(self._queues.items()))
+        waiter = next(iter(queue))
         self.discard(waiter)
-        if kind in self._lines:  # the other kinds come first now
-            self._lines[kind] = self._lines.pop(kind)
+        if class_name in self._queues:  # move the class behind the others
+            self._queues[class_name] = self._queues.pop(class_name)
         return waiter
 
-    def oldest(self) -> Waiter | None:
-        """Take out the one whose kind has the longest line."""
-        if not self._lines:
+    def pop_of_longest(self) -> Waiter | None:
+        """Remove and return the first waiter of the class with the longest queue; None if there is none."""
+        if not self._queues:
             return None
-        waiter = next(iter(max(self._lines.values(), key=len)))
+        waiter = next(iter(max(self._queues.values(), key=len)))
         self.discard(waiter)
         return waiter
 
 
 class _Server:
-    """One life of one server at one address."""
-
-    __slots__ = ("name", "address", "born_ms", "idle", "links", "long", "dialling", "lines", "leaving")
-
-    def __init__(self, name: str, address: tuple[str, int], born_ms: float) -> None:
-        self.name, self.address, self.born_ms = name, address, born_ms
-        self.idle: list[Link] = []  # the freshest last
+    """One process of a server at one address. A restart or an address change creates a new one."""
+
+    __slots__ = (
+        "name",
+        "address",
+        "started_ms",
+        "idle",
+        "links",
+        "streaming",
+        "dialling",
+        "waiters",
+        "is_draining",
+    )
+
+    def __init__(self, name: str, address: tuple[str, int], started_ms: float) -> None:
+        self.name, self.address, self.started_ms = name, address, started_ms
+        self.idle: list[Link] = []  # the most recently used last
         self.links: set[Link] = set()
-        self.long: set[Link] = set()  # those that carry a long body, at its client's pace
+        self.streaming: set[Link] = set()  # links that carry a streamed body at the client's pace
         self.dialling = 0
-        self.lines = WaiterQueue()
-        self.leaving = False  # it drains: what it holds goes on, nothing is kept for later
+        self.waiters = WaiterQueue()
+        self.is_draining = False  # links in use continue, none is kept idle
 
 
 class Pool:
-    """All links of this gateway.
+    """All connections of this gateway to servers.
 
-    Who wants a link gets the freshest idle one. If there is none a dial begins, as long as the server's bound
-    and our descriptors allow; whoever is first in line gets the link that comes up or is given back first. A
-    dial belongs to nobody: a link that comes up when nobody waits any more is kept.
+    `acquire` hands out the most recently used idle link. If there is none it dials, as far as the server's
+    limit and the descriptors allow; the first waiter gets the link that is connected or released first.
+    Dials are not tied to a waiter: a link that is connected when nobody waits any more is kept idle.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        most: int,
-        dial_ms: float,
-        idle_ms: float,
-        ends: Ends,
-        use: DescriptorUse | None = None,
-        bound: Callable[[str], int] | None = None,
+        max_links: int,
+        dial_timeout_ms: float,
+        idle_limit_ms: float,
+        observer: ExchangeObserver,
+        descriptor_use: DescriptorUse | None = None,
+        max_links_to: Callable[[str], int] | None = None,
         clock_ms: Callable[[], float] = lambda: time.time() * 1000,
         rng: random.Random | None = None,
         budget: MemoryBudget | None = None,
     ) -> None:
-        self.loop, self.ends, self.clock_ms = loop, ends, clock_ms
+        self.loop, self.observer, self.clock_ms = loop, observer, clock_ms
         self.budget = budget or MemoryBudget(2**30, loop.time)
-        self._use, self._rng = use or DescriptorUse(), rng or random.Random()
-        self._bound = bound or (lambda name: most)  # links to one server, dials included
-        self._most = most
+        self._descriptor_use, self._rng = descriptor_use or DescriptorUse(), rng or random.Random()
+        # Limit on links and dials of one server.
+        self._max_links_to = max_links_to or (lambda name: max_links)
+        self._max_links = max_links
         self._servers: dict[str, _Server] = {}
         self._links: set[Link] = set()
-        self._thirsty: dict[_Server, None] = {}  # servers for which more wait than are dialled, in turn
+        self._underserved: dict[_Server, None] = {}  # servers with more waiters than dials, in turn
         self._dials: set[ConnectAttempt] = set()
         self._stopped = False
         self.reuses = self.waits = 0
-        self.dialled = dict.fromkeys(DIAL_RESULTS, 0)
-        self.closed_by = dict.fromkeys(CLOSE_REASONS, 0)
-        self.tune(dial_ms, idle_ms)
+        self.dial_counts = dict.fromkeys(DIAL_RESULTS, 0)
+        self.close_counts = dict.fromkeys(CLOSE_REASONS, 0)
+        self.set_timeouts(dial_timeout_ms, idle_limit_ms)
 
     def start(self) -> None:
-        """Begin to retire idle links."""
+        """Start the periodic check of idle and stalled links."""
         self.loop.call_later(SWEEP_S, self._sweep)
 
     def stop(self) -> None:
-        """Close all links, end all dials."""
+        """Close all links and cancel all dials."""
         self._stopped = True
         for dial in list(self._dials):
             dial.cancel()
         for link in list(self._links):
             link.abort(STOPPED)
 
-    def tune(self, dial_ms: float, idle_ms: float) -> None:
-        """Go by other limits from now on."""
-        self._dial_s, self._idle_s = dial_ms / 1000, idle_ms / 1000
+    def set_timeouts(self, dial_timeout_ms: float, idle_limit_ms: float) -> None:
+        """Set the time-out of dials and the idle limit of servers, in milliseconds, for links from now on."""
+        self._dial_timeout_s, self._idle_limit_s = dial_timeout_ms / 1000, idle_limit_ms / 1000
 
-    def limit(self, most: int) -> None:
-        """Hold so many links at the most, of all servers together; idle ones beyond that go at once."""
-        self._most = most
-        while len(self._links) + len(self._dials) > most and self._give_way():
+    def set_max_links(self, max_links: int) -> None:
+        """Set the limit on links and dials of all servers; idle links beyond it are closed at once."""
+        self._max_links = max_links
+        while len(self._links) + len(self._dials) > max_links and self._evict_idle():
             pass
-        self._go_on()
+        self._dial_for_waiters()
 
-    def wait_s(self) -> float:
-        """How long a link is worth waiting for: as long as a dial may take."""
-        return self._dial_s
+    def max_wait_s(self) -> float:
+        """Longest useful wait for a link, in seconds: the time-out of a dial."""
+        return self._dial_timeout_s
 
-    def update(
+    def update_servers(
         self,
         addresses: dict[str, tuple[str, int]],
-        gone: set[str],
-        born_ms: Mapping[str, float] = NONE,
-        leaving: Collection[str] = (),
+        removed: set[str],
+        started_ms: Mapping[str, float] = NO_START_TIMES,
+        draining: Collection[str] = (),
     ) -> None:
-        """Where to dial each server, since when it runs, which drain, and which to dial no more."""
-        for name in gone:
+        """Apply changes of the list of servers.
+
+        `addresses` and `started_ms` (Unix time) are by server name. Links that are older than their server's
+        process are closed. Waiters of `removed` servers fail.
+        """
+        for name in removed:
             server = self._servers.pop(name, None)
             if server is not None:
-                self._leave(server)
-                self._turn_away(server, "server gone")
+                self._retire_server(server)
+                self._fail_waiters(server, "server removed from the list")
         for name, address in addresses.items():
-            old, born = self._servers.get(name), born_ms.get(name, 0.0)
-            if old is None or old.address != address or born > old.born_ms:
-                self._servers[name] = _Server(name, address, born)
+            old, started = self._servers.get(name), started_ms.get(name, 0.0)
+            if old is None or old.address != address or started > old.started_ms:
+                self._servers[name] = _Server(name, address, started)
                 if old is not None:
-                    self._move(old, self._servers[name])
-            self._servers[name].leaving = name in leaving
-            if name in leaving:
-                self._close_idle(self._servers[name], DRAINED)
+                    self._replace_server(old, self._servers[name])
+            self._servers[name].is_draining = name in draining
+            if name in draining:
+                self._close_idle(self._servers[name], SERVER_DRAINS)
 
-    def names(self) -> set[str]:
-        """The servers that can be dialled."""
+    def server_names(self) -> set[str]:
+        """Names of the servers that can be dialled."""
         return set(self._servers)
 
     def metrics(self) -> dict[str, float]:
-        """What operators read of links and dials."""
+        """Metrics of links and dials by name."""
         idle = sum(len(server.idle) for server in self._servers.values())
         return {
             "links_open": len(self._links),
             "links_idle": idle,
             "links_dialling": len(self._dials),
-            "links_awaited": sum(server.lines.count for server in self._servers.values()),
+            "links_awaited": sum(server.waiters.count for server in self._servers.values()),
             "link_reuses_total": self.reuses,
             "link_waits_total": self.waits,
-            **{f'dials_total{{result="{result}"}}': n for result, n in self.dialled.items()},
-            **{f'links_closed_total{{reason="{reason}"}}': n for reason, n in self.closed_by.items()},
+            **{f'dials_total{{result="{result}"}}': n for result, n in self.dial_counts.items()},
+            **{f'links_closed_total{{reason="{reason}"}}': n for reason, n in self.close_counts.items()},
         }
 
-    def dials(self) -> int:
-        """Dials that have ended."""
-        return sum(self.dialled.values())
+    def dial_count(self) -> int:
+        """Number of dials that have ended."""
+        return sum(self.dial_counts.values())
 
     def acquire(self, name: str, waiter: Waiter) -> None:
-        """Get a link to a server: at once, or when one is up or free."""
+        """Call the waiter with a link to a server, at once or when one is connected or released."""
         server = self._servers.get(name)
         if server is None:
-            waiter.connection_failed(api.CONNECT_FAILED, "not listed")
+            waiter.connection_failed(api.CONNECT_FAILED, "server not in the list")
             return
-        link = self._freshest(server)
+        link = self._take_idle(server)
         if link is not None:
             self.reuses += 1
             waiter.connection_ready(link)
             return
-        server.lines.add(waiter)
-        if not self._grow(server):
+        server.waiters.add(waiter)
+        if not self._dial_if_needed(server):
             self.waits += 1
-            self._thirsty[server] = None
+            self._underserved[server] = None
 
-    def forget(self, name: str, waiter: Waiter) -> bool:
-        """Wait no longer. What is being dialled goes on: its link is kept. False if it was not waiting."""
+    def cancel_wait(self, name: str, waiter: Waiter) -> bool:
+        """Remove a waiter; False if it did not wait. Dials continue, and their links are kept."""
         server = self._servers.get(name)
-        return server is not None and server.lines.discard(waiter)
+        return server is not None and server.waiters.discard(waiter)
 
-    def reaching(self, name: str) -> bool:
-        """Whether a dial to a server is under way."""
+    def is_dialling(self, name: str) -> bool:
+        """Whether a dial to a server is in progress."""
         server = self._servers.get(name)
         return server is not None and server.dialling > 0
 
-    def _freshest(self, server: _Server) -> Link | None:
+    def _take_idle(self, server: _Server) -> Link | None:
         now = self.loop.time()
         while server.idle:
             link = server.idle.pop()
             if link.transport.is_closing():
                 continue
-            if now < link.retires_at:
+            if now < link.close_idle_at:
                 return link
-            link.abort(RETIRED)  # danger: its server may be closing it at this moment
+            link.abort(IDLE_LIMIT)  # the server may be closing it at this moment
         return None
 
-    def _grow(self, server: _Server) -> bool:
-        """Dial for whoever waits, if anybody does for whom no dial is under way, and there is room."""
-        if server.lines.count <= server.dialling or self._stopped:
+    def _dial_if_needed(self, server: _Server) -> bool:
+        """Dial if there are more waiters than dials and the limits allow it; returns whether it did."""
+        if server.waiters.count <= server.dialling or self._stopped:
             return False
-        if len(server.links) - len(server.long) + server.dialling >= max(1, self._bound(server.name)):
+        if len(server.links) - len(server.streaming) + server.dialling >= max(
+            1, self._max_links_to(server.name)
+        ):
             return False
-        if len(self._dials) >= DIALS or not self._room():  # guards the descriptors
+        if len(self._dials) >= MAX_CONCURRENT_DIALS or not self._has_room():  # limits the use of descriptors
             return False
         server.dialling += 1
         dial = ConnectAttempt(
             self.loop,
             lambda: Link(self, server),
             server.address,
-            self._dial_s,
-            self._use,
+            self._dial_timeout_s,
+            self._descriptor_use,
             lambda link, cause: self._dialled(server, dial, link, cause),
         )
         self._dials.add(dial)
@@ -335,313 +377,327 @@
         result = (
             UP
             if link is not None
-            else {TOO_LATE: TIMED_OUT, GIVEN_UP: UNWANTED, NO_DESCRIPTOR: NO_FILES}.get(cause, FAILED)
+            else {TOO_LATE: TIMED_OUT, GIVEN_UP: CANCELLED, NO_DESCRIPTOR: DIAL_NO_DESCRIPTOR}.get(
+                cause, FAILED
+            )
         )
-        self.dialled[result] += 1
+        self.dial_counts[result] += 1
         if link is not None:
-            self._offer(link)
+            self._hand_out(link)
             return
         if result == TIMED_OUT:
-            # Danger: a machine that is cut off leaves its links open and silent: a request would find out.
-            self._close_idle(server, SILENT)
-        if self._servers.get(server.name) is server and server.lines.count > server.dialling:
-            waiter = server.lines.oldest()
-            waiter.connection_failed(api.START_EXPIRED if result == NO_FILES else api.CONNECT_FAILED, cause)
-        self._go_on()
-
-    def _offer(self, link: Link) -> None:
-        """A link is free: for who is first in line, else for later."""
+            # The idle links to an unreachable machine stay open but silent. A request would time out on each.
+            self._close_idle(server, SERVER_SILENT)
+        if self._servers.get(server.name) is server and server.waiters.count > server.dialling:
+            waiter = server.waiters.pop_of_longest()
+            waiter.connection_failed(
+                api.START_EXPIRED if result == DIAL_NO_DESCRIPTOR else api.CONNECT_FAILED, cause
+            )
+        self._dial_for_waiters()
+
+    def _hand_out(self, link: Link) -> None:
+        """Pass a free link to the next waiter, or keep it idle, or close it if it must not be kept."""
         server = link.server
         if self._stopped:
             link.abort(STOPPED)
         elif self._servers.get(server.name) is not server:
-            link.abort(UNLISTED)
-        elif len(self._links) + len(self._dials) > self._most:
+            link.abort(SERVER_GONE)
+        elif len(self._links) + len(self._dials) > self._max_links:
             link.abort(NO_ROOM)
         else:
-            waiter = server.lines.next()
+            waiter = server.waiters.pop()
             if waiter is not None:
                 waiter.connection_ready(link)
-            elif server.leaving:
-                link.abort(DRAINED)
+            elif server.is_draining:
+                link.abort(SERVER_DRAINS)
             else:
                 link.idle_since = self.loop.time()
-                link.retires_at = link.idle_since + self._idle_s * link.share
+                link.close_idle_at = link.idle_since + self._idle_limit_s * link.idle_share
                 server.idle.append(link)
-        if server.lines.count > server.dialling:
-            self._thirsty[server] = None  # the link that was on its way could not be had
-        if self._thirsty:
-            self._go_on()
-
-    def _go_on(self) -> None:
-        """Dial for those who wait, as far as there is room now; the servers by turns."""
-        for server in list(self._thirsty):
-            grown = self._grow(server)
-            if grown or server.lines.count <= server.dialling:
-                del self._thirsty[server]
-            if server.lines.count > server.dialling:
-                self._thirsty[server] = None  # at the end: the others come first
-
-    def _room(self) -> bool:
-        return len(self._links) + len(self._dials) < self._most or self._give_way()
-
-    def _give_way(self) -> bool:
-        """Close the link that has stood idle longest."""
+        if server.waiters.count > server.dialling:
+            self._underserved[server] = None  # a dial failed or its link was closed, so another may be needed
+        if self._underserved:
+            self._dial_for_waiters()
+
+    def _dial_for_waiters(self) -> None:
+        """Start dials for waiters as far as the limits allow, the servers in turn."""
+        for server in list(self._underserved):
+            has_dialled = self._dial_if_needed(server)
+            if has_dialled or server.waiters.count <= server.dialling:
+                del self._underserved[server]
+            if server.waiters.count > server.dialling:
+                self._underserved[server] = None  # moved to the end, behind the other servers
+
+    def _has_room(self) -> bool:
+        return len(self._links) + len(self._dials) < self._max_links or self._evict_idle()
+
+    def _evict_idle(self) -> bool:
+        """Close the link that has been idle longest; returns whether there was one."""
         idle = [server for server in self._servers.values() if server.idle]
         if idle:
             min(idle, key=lambda server: server.idle[0].idle_since).idle.pop(0).abort(NO_ROOM)
         return bool(idle)
 
-    def _leave(self, server: _Server) -> None:
-        """A server's entry is replaced or gone: nothing new goes over its links."""
-        self._close_idle(server, UNLISTED)
-        self._thirsty.pop(server, None)
+    def _retire_server(self, server: _Server) -> None:
+        """Close the idle links of a replaced or removed server. Links in use finish their request."""
+        self._close_idle(server, SERVER_GONE)
+        self._underserved.pop(server, None)
 
-    def _move(self, old: _Server, new: _Server) -> None:
-        """The same instance elsewhere, or in its next life: what waits goes on there.
+    def _replace_server(self, old: _Server, new: _Server) -> None:
+        """Move the waiters of a server to its new address or its restarted process.
 
-        A process that has started since a link was opened does not know of it: what is out on such a link is
-        lost, and is better told now than by its time-out.
+        A process does not know of links that were opened before it started. Requests on them are lost, and
+        fail at once rather than by their time-out.
         """
-        self._leave(old)
-        for link in [link for link in old.links if link.opened_ms < new.born_ms]:
-            link.abort(OUTLIVED)
-        while (waiter := old.lines.next()) is not None:
+        self._retire_server(old)
+        for link in [link for link in old.links if link.opened_at_ms < new.started_ms]:
+            link.abort(SERVER_RESTARTED)
+        while (waiter := old.waiters.pop()) is not None:
             self.acquire(new.name, waiter)
 
-    def _turn_away(self, server: _Server, cause: str) -> None:
-        while (waiter := server.lines.next()) is not None:
+    def _fail_waiters(self, server: _Server, cause: str) -> None:
+        while (waiter := server.waiters.pop()) is not None:
             waiter.connection_failed(api.CONNECT_FAILED, cause)
 
-    # From links
+    # --- Events of links ----------------------------------------------------------------------------------
 
-    def opened(self, link: Link) -> None:
-        """A link is up."""
-        link.opened_ms = self.clock_ms()
-        # Danger: links that went idle together, over a whole fleet, would be dialled anew together.
-        link.share = self._rng.uniform(*IDLE_SHARES)
+    def on_opened(self, link: Link) -> None:
+        """Called when a link is connected."""
+        link.opened_at_ms = self.clock_ms()
+        # Random, as links that became idle together in a whole fleet would otherwise be redialled together.
+        link.idle_share = self._rng.uniform(*IDLE_SHARES)
         self._links.add(link)
         link.server.links.add(link)
 
-    def lengthy(self, link: Link) -> None:
-        """A link carries a long body: that is no work of its server's, so another link may take its place."""
-        link.server.long.add(link)
-        self._go_on()
+    def mark_streaming(self, link: Link) -> None:
+        """Exclude a link with a streamed body from its server's limit, as it is no work for the server."""
+        link.server.streaming.add(link)
+        self._dial_for_waiters()
 
-    def dropped(self, link: Link) -> None:
-        """A link has no place here any more; its loss is told in a moment."""
+    def remove(self, link: Link) -> None:
+        """Stop counting a link that is about to close; `on_closed` follows."""
         self._links.discard(link)
         link.server.links.discard(link)
-        link.server.long.discard(link)
+        link.server.streaming.discard(link)
 
-    def closed(self, link: Link) -> None:
-        """A link is gone."""
-        self.dropped(link)
+    def on_closed(self, link: Link) -> None:
+        """Called when a link is closed."""
+        self.remove(link)
         if link in link.server.idle:
             link.server.idle.remove(link)
-        job, link.job = link.job, None
-        self.closed_by[link.why or (DIED_IDLE if job is None else BROKE)] += 1
-        if job is not None:
-            self.ends.broke(job, link.has_unsent_data, link.close_cause)
-        if self._thirsty:
-            self._go_on()
+        exchange, link.exchange = link.exchange, None
+        self.close_counts[link.close_reason or (DIED_IDLE if exchange is None else BROKE)] += 1
+        if exchange is not None:
+            self.observer.on_link_lost(exchange, link.has_unsent_data, link.close_cause)
+        if self._underserved:
+            self._dial_for_waiters()
 
     def release(self, link: Link, reusable: bool) -> None:
-        """A link has done its job: it is the next one's, if it is clean."""
-        link.server.long.discard(link)
+        """Return a link to the pool. It is closed unless it is reusable and everything was written."""
+        link.server.streaming.discard(link)
         if reusable and not link.has_unsent_data:
-            self._offer(link)
+            self._hand_out(link)
         else:
-            link.abort(UNUSABLE)
+            link.abort(NOT_REUSABLE)
 
-    def _close_idle(self, server: _Server, why: str) -> None:
+    def _close_idle(self, server: _Server, reason: str) -> None:
         idle, server.idle = server.idle, []
         for link in idle:
-            link.abort(why)
+            link.abort(reason)
 
     def _sweep(self) -> None:
-        # Guards against writing to a link that the server is about to close: that ends as a reset, after
-        # which the request may have run.
+        # Idle links are closed before their server closes them: a request written at that moment would be
+        # reset, and it would be unknown whether it ran.
         if self._stopped:
             return
         now = self.loop.time()
         for server in self._servers.values():
-            for link in [link for link in server.idle if link.retires_at <= now]:
+            for link in [link for link in server.idle if link.close_idle_at <= now]:
                 server.idle.remove(link)
-                link.abort(RETIRED)
+                link.abort(IDLE_LIMIT)
         for link in list(self._links):
-            link.check(now)
+            link.check_progress(now)
         self.loop.call_later(SWEEP_S, self._sweep)
 
 
 class Link(ReplyProtocol):
-    """One connection to a server; carries one job at a time."""
+    """One connection to a server, which carries one exchange at a time."""
 
     def __init__(self, pool: Pool, server: _Server) -> None:
         super().__init__()
         self._pool, self.server = pool, server
-        self.job: Exchange | None = None
-        self.idle_since = self.retires_at = 0.0
-        self.share = 0.0  # of the server's idle limit, after which we retire it
-        self.opened_ms = 0.0  # by the clock that all machines share
-        self._kept = pool.budget.open_account("answers")  # what has come of an answer that is kept whole
-        self._answer: tuple[Exchange, Reply, bool] | None = None
-        self._stream: Stream | None = None  # who reads the answer that is coming
-        self._held = False  # by a client that reads slowly
+        self.exchange: Exchange | None = None
+        self.idle_since = self.close_idle_at = 0.0
+        self.idle_share = 0.0  # part of the server's idle limit after which the idle link is closed
+        self.opened_at_ms = 0.0  # Unix time in milliseconds
+        self._memory_account = pool.budget.open_account("answers")  # of the answer that is being buffered
+        self._pending_reply: tuple[Exchange, Reply, bool] | None = None
+        self._stream: Stream | None = None  # reader of the answer, if it is streamed
+        self._is_paused = False  # because the client reads slowly
         self._hold_timer: asyncio.TimerHandle | None = None
-        self._moved, self._moved_at = (0, 0), 0.0  # of a long body: what has moved, and when that was seen
-        self._read = 0
-        self.why = ""  # we closed it; empty: its server did, or the way there
-
-    def abort(self, why: str = "") -> None:
-        """End the link at once."""
-        self.why = self.why or why
-        self._pool.dropped(self)
+        # Of a streamed body: reads and unwritten bytes, and when either changed last.
+        self._progress, self._progress_at = (0, 0), 0.0
+        self._read_count = 0
+        self.close_reason = ""  # why the gateway closed the link; empty if the server or the network did
+
+    def abort(self, reason: str = "") -> None:
+        """Close the link at once, for one of CLOSE_REASONS."""
+        self.close_reason = self.close_reason or reason
+        self._pool.remove(self)
         super().abort()
 
-    def begin(self, job: Exchange) -> None:
-        """Write a job's request."""
-        self.job = job
-        self._moved_at = self._pool.loop.time()
-        if job.upload is not None:
+    def begin(self, exchange: Exchange) -> None:
+        """Write the request of an exchange."""
+        self.exchange = exchange
+        self._progress_at = self._pool.loop.time()
+        if exchange.upload is not None:
             self.has_unsent_data = True
-            self._pool.lengthy(self)
-            job.upload.attach(self, job.payload)
+            self._pool.mark_streaming(self)
+            exchange.upload.attach(self, exchange.payload)
             return
-        self.write(job.payload)
-        job.payload = b""  # held by the transport, as far as it is not gone
+        self.write(exchange.payload)
+        exchange.payload = b""  # the transport holds what is not written yet
         if not self.has_unsent_data:
-            self._pool.ends.sent(job)
+            self._pool.observer.on_sent(exchange)
 
     def flushed(self) -> None:
-        """Tell once when the last byte of a request has left."""
-        job = self.job
-        if not self.has_unsent_data or job is None or self.transport.get_write_buffer_size():
+        """Report once when the last byte of a request was written."""
+        exchange = self.exchange
+        if not self.has_unsent_data or exchange is None or self.transport.get_write_buffer_size():
             return
-        if job.upload is None or job.upload.is_complete:
+        if exchange.upload is None or exchange.upload.is_complete:
             self.has_unsent_data = False
-            self._pool.ends.sent(job)
+            self._pool.observer.on_sent(exchange)
 
     def resume_writing(self) -> None:
         self.flushed()
-        if self.job is not None and self.job.upload is not None:
-            self.job.upload.drained()
+        if self.exchange is not None and self.exchange.upload is not None:
+            self.exchange.upload.drained()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._pool.opened(self)
+        self._pool.on_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.job is None:
-            self.abort(UNUSABLE)  # nobody asked: it would be taken for the next request's answer
+        if self.exchange is None:
+            self.abort(NOT_REUSABLE)  # unsolicited data would be taken for the answer to the next request
             return
-        self._read += 1
+        self._read_count += 1
         super().data_received(data)
-        if self._in_body and self._hold_timer is None and self._stream is None and self._length() is None:
-            # To hold it back helps only where another server could have the request if this one broke.
-            hold_s = HOLD_S if self.job is not None and self._pool.ends.may_repeat(self.job) else 0.0
-            self._hold_timer = self._pool.loop.call_later(hold_s, self._held_enough)
-        self._hand_on()
-        self._kept.set(0 if self._stream is not None else self._size)
-
-    def _hand_on(self) -> None:
-        """Hand an answer on once all that came with it is read.
-
-        The module may use the link again at once: what came behind the answer would be taken for the
-        next request's answer.
+        if (
+            self._in_body
+            and self._hold_timer is None
+            and self._stream is None
+            and self._body_length() is None
+        ):
+            # Buffering only helps where the request could be retried if this answer broke off.
+            hold_s = (
+                UNKNOWN_LENGTH_HOLD_S
+                if self.exchange is not None and self._pool.observer.may_repeat(self.exchange)
+                else 0.0
+            )
+            self._hold_timer = self._pool.loop.call_later(hold_s, self._on_hold_timeout)
+        self._deliver_reply()
+        self._memory_account.set(0 if self._stream is not None else self._size)
+
+    def _deliver_reply(self) -> None:
+        """Deliver a complete answer after all data that was read together with it is parsed.
+
+        The link may be reused at once, and data that follows the answer would then be taken for the answer to
+        the next request.
         """
-        if self._answer is not None:
-            (job, reply, reusable), self._answer = self._answer, None
-            clean = not self.begun and not self.transport.is_closing()
-            self._pool.release(self, reusable and clean)
-            self._pool.ends.replied(job, reply)
+        if self._pending_reply is not None:
+            (exchange, reply, reusable), self._pending_reply = self._pending_reply, None
+            is_clean = not self.begun and not self.transport.is_closing()
+            self._pool.release(self, reusable and is_clean)
+            self._pool.observer.on_reply(exchange, reply)
 
     def replied(self, reply: Reply, reusable: bool) -> None:
-        job, self.job = self.job, None
+        exchange, self.exchange = self.exchange, None
         self._stream = None
-        self._stop_holding()
-        if job is None:
-            self.abort(UNUSABLE)  # a second answer to one request
+        self._cancel_hold()
+        if exchange is None:
+            self.abort(NOT_REUSABLE)  # a second answer to one request
         else:
-            self._answer = (job, reply, reusable)
+            self._pending_reply = (exchange, reply, reusable)
 
-    # Long answers
+    # --- Streamed answers ---------------------------------------------------------------------------------
 
     def on_headers_complete(self) -> None:
         super().on_headers_complete()
-        if self.job is not None and self._parser.get_status_code() >= 200:
-            self.job.begun_at = time.monotonic()
-        if (self._length() or 0) > LONGEST_BODY:
+        if self.exchange is not None and self._parser.get_status_code() >= 200:
+            self.exchange.head_received_at = time.monotonic()
+        if (self._body_length() or 0) > LONGEST_BODY:
             self._begin_stream()
 
     def on_body(self, data: bytes) -> None:
-        if self._stream is None and self._answer is None and self._size + len(data) > LONGEST_BODY:
+        if self._stream is None and self._pending_reply is None and self._size + len(data) > LONGEST_BODY:
             self._begin_stream()
         if self._stream is not None:
             self._stream.more(data)
-        elif self._answer is None:  # else its result is known already
+        elif self._pending_reply is None:  # otherwise the result is known already
             super().on_body(data)
 
-    def _length(self) -> int | None:
+    def _body_length(self) -> int | None:
         length = self._headers.get(b"content-length")
         return int(length) if length is not None else None
 
-    def _held_enough(self) -> None:
+    def _on_hold_timeout(self) -> None:
         self._hold_timer = None
         if self._in_body and self._stream is None:
             self._begin_stream()
-            self._hand_on()
+            self._deliver_reply()
 
     def _begin_stream(self) -> None:
-        """Pass a good answer on as it comes; of any other one its head is enough."""
+        """Stream an answer of status 200; any other one is complete with its head."""
         status = self._parser.get_status_code()
-        if self.job is None or status < 200:
-            self.abort(UNUSABLE)
+        if self.exchange is None or status < 200:
+            self.abort(NOT_REUSABLE)
             return
         if status != 200:
             self._complete(reusable=False)
             return
         body, self._body = b"".join(self._body), []
         limit_socket_buffer(self.transport, socket.SO_RCVBUF)
-        self._pool.lengthy(self)
+        self._pool.mark_streaming(self)
         reply = Reply(status, self._headers, b"")
-        self._stream = self._pool.ends.streams(self, self.job, reply, self._length())
+        self._stream = self._pool.observer.on_stream_started(self, self.exchange, reply, self._body_length())
         if self._stream is None:
-            self.abort(ABANDONED)  # its client is gone
+            self.abort(ABANDONED)  # the client has disconnected
         elif body:
             self._stream.more(body)
 
-    def pause(self, held: bool) -> None:
-        """Stop reading while the client cannot take more."""
-        if held == self._held:
+    def pause(self, paused: bool) -> None:
+        """Stop reading while the client's buffer is full, or resume."""
+        if paused == self._is_paused:
             return
-        self._held = held
-        self._moved_at = self._pool.loop.time()
-        (self.transport.pause_reading if held else self.transport.resume_reading)()
+        self._is_paused = paused
+        self._progress_at = self._pool.loop.time()
+        (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
-    def _stop_holding(self) -> None:
+    def _cancel_hold(self) -> None:
         self.pause(False)
         if self._hold_timer is not None:
             self._hold_timer.cancel()
             self._hold_timer = None
 
-    def check(self, now: float) -> None:
-        """End a long body that no longer moves: its server or the way to it is gone."""
-        loading = self.has_unsent_data and self.job is not None and self.job.upload is not None
-        if self._held or not (loading or self._stream is not None):
+    def check_progress(self, now: float) -> None:
+        """Close the link if its streamed body stalled, as its server is gone or unreachable."""
+        is_uploading = self.has_unsent_data and self.exchange is not None and self.exchange.upload is not None
+        if self._is_paused or not (is_uploading or self._stream is not None):
             return
-        moved = (self._read, self.transport.get_write_buffer_size())
-        if moved != self._moved or (loading and not moved[1]):
-            self._moved, self._moved_at = moved, now
-        elif now - self._moved_at > STALL_S:
-            self.close_cause = "nothing moves"
+        progress = (self._read_count, self.transport.get_write_buffer_size())
+        if progress != self._progress or (is_uploading and not progress[1]):
+            self._progress, self._progress_at = progress, now
+        elif now - self._progress_at > STREAM_STALL_S:
+            self.close_cause = "streamed body stalled"
             self.abort(STALLED)
 
     def eof_received(self) -> None:
         super().eof_received()
-        self._hand_on()
+        self._deliver_reply()
 
     def lost(self) -> None:
-        self._stop_holding()
-        self._kept.end()
-        self._pool.closed(self)
+        self._cancel_hold()
+        self._memory_account.end()
+        self._pool.on_closed(self)
