--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -110,10 +110,10 @@
 def read_fields() -> list[str]:
     """The paths of all fields that a gateway reads."""
     return [
-        *fields.OWN,
-        *(f"{group}.{key}" for group, keys in fields.GROUPS.items() for key in keys),
-        *(f"grades[1].{key}" for key in fields.CLASS),
-        *(f"packages[0].{key}" for key in fields.PLAN),
+        *fields.TOP_LEVEL_FIELDS,
+        *(f"{group}.{key}" for group, keys in fields.GROUP_FIELDS.items() for key in keys),
+        *(f"grades[1].{key}" for key in fields.CLASS_FIELDS),
+        *(f"packages[0].{key}" for key in fields.PLAN_FIELDS),
     ]
 
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -36,7 +36,7 @@
 from yewstage.net.config import parse
 from yewstage.net.core import ClientRequest, Core
 from yewstage.net.counter import Counter
-from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing, WatchTimeouts
+from yewstage.net.discovery import ON_REQUEST_TIMEOUTS, PUSHED_TIMEOUTS, Discovery, Listing, WatchTimeouts
 from yewstage.net.http1 import Reply, ReplyProtocol
 
 
@@ -490,7 +490,9 @@
         agent = Directory([instance("s-0", 1)])
         await agent.fake.start()
         told: asyncio.Queue[Listing] = asyncio.Queue()
-        discovery = Discovery(asyncio.get_running_loop(), (LOOP, agent.fake.port), told.put_nowait, known=7)
+        discovery = Discovery(
+            asyncio.get_running_loop(), (LOOP, agent.fake.port), told.put_nowait, known_generation=7
+        )
         discovery.start()
         await agent.answer_watch(lambda: reply(status=503))
         await agent.answer_watch(lambda: reply(b'{"generation":9,"reset":false,"instances":[]}'))
@@ -532,28 +534,32 @@
         Discovery(Noting(loop, dials[n]), (LOOP, 1), lambda listing: None, 1, size, random.Random(n)).start()
     loop.run(30.0)
     gaps = [later - at for own in dials for at, later in itertools.pairwise([*own, 30.0])]
-    assert ASKED.silent_s + max(gaps) < 5.1  # a call that hangs as discovery returns, then the longest rest
-    rate = size / (ASKED.backoff_s / 2)  # of the whole fleet: each rests half of the longest, in the mean
+    assert (
+        ON_REQUEST_TIMEOUTS.silent_s + max(gaps) < 5.1
+    )  # a call that hangs as discovery returns, then the longest rest
+    rate = size / (
+        ON_REQUEST_TIMEOUTS.backoff_s / 2
+    )  # of the whole fleet: each rests half of the longest, in the mean
     late = sorted(at for own in dials for at in own if at >= 3)
     assert len(late) <= 27 * 1.1 * rate
     together = max(sum(at <= dial < at + 0.1 for dial in late) for at in late)
     assert together <= max(0.1 * rate + 5 * (0.1 * rate) ** 0.5, 4)  # chance, in thousands of such spans
 
 
-@pytest.mark.parametrize(("patience", "within_s"), [(ASKED, 2.0 + 1.0), (PUSHED, 1.0)])
+@pytest.mark.parametrize(("timeouts", "within_s"), [(ON_REQUEST_TIMEOUTS, 2.0 + 1.0), (PUSHED_TIMEOUTS, 1.0)])
 def test_a_silent_watch_is_opened_anew_before_what_it_misses_has_to_be_known(
-    patience: WatchTimeouts, within_s: float
+    timeouts: WatchTimeouts, within_s: float
 ) -> None:
     """Told 2 s after the wait is over; after that the settings leave a second and more for the last sends."""
     for n in range(40):
         loop = VirtualLoop()
         agent = VirtualServer(loop, 1, answer_s=None)  # takes calls and says nothing more
-        Discovery(loop, ("h", 1), lambda listing: None, 7, 200, random.Random(n), patience=patience).start()
+        Discovery(loop, ("h", 1), lambda listing: None, 7, 200, random.Random(n), timeouts=timeouts).start()
         loop.run(30.0)
         first, second = loop.dials[:2]
         assert len(agent.requests) >= 2 and second - first - 0.05 <= within_s
-        rests = [later - at - 0.05 - patience.silent_s for at, later in itertools.pairwise(loop.dials)]
-        assert max(rests) <= patience.backoff_s + 0.1
+        rests = [later - at - 0.05 - timeouts.silent_s for at, later in itertools.pairwise(loop.dials)]
+        assert max(rests) <= timeouts.backoff_s + 0.1
 
 
 class Noting:
--- a/yewstage/net/__init__.py
+++ b/yewstage/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on real sockets: everything round the decision module."""
+"""Network code of the gateway: sockets, timers and configuration around the decision module."""
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -24,7 +24,7 @@
 from yewstage.net.budget import MemoryBudget
 from yewstage.net.config import Config
 from yewstage.net.counter import Counter
-from yewstage.net.discovery import ASKED, PUSHED, Discovery, Listing
+from yewstage.net.discovery import ON_REQUEST_TIMEOUTS, PUSHED_TIMEOUTS, Discovery, Listing
 from yewstage.net.http1 import Reply, Upload
 from yewstage.net.pool import Source
 from yewstage.net.stats import REFUSED, DescriptorUse, Stats
@@ -183,7 +183,7 @@
             config.settings.fleet_size,
             random.Random(config.seed),
             uses["discovery"],
-            ASKED if config.settings.server_list_on_request else PUSHED,
+            ON_REQUEST_TIMEOUTS if config.settings.server_list_on_request else PUSHED_TIMEOUTS,
         )
         self._counter = (
             Counter(loop, config.counter, config.settings.count_wait_ms, self._post, uses["counter"])
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: a watch on the list of hosts that outlives whatever the agent does."""
+"""Service discovery: keeps the list of servers up to date by long polls to a discovery agent.
+
+The watch is retried after refusals, bad answers, silence and lost connections. The last list is kept
+meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -17,33 +21,36 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_MS = 20000
-LOOK_MS = 50  # the first watch of a list that is known: what is new is wanted now
-GRACE_S = 0.002  # a turn of the loop or two, in which what has arrived is read before silence counts
-BACKOFF_S = 0.1  # for each gateway of the fleet: all may be turned away at one moment
-STATES = {"ready": "up", "draining": "draining", "gone": "removed"}
+LONG_POLL_MS = 20000
+FIRST_POLL_MS = 50  # of the first poll with a configured list, whose changes are wanted soon
+# After a time-out the loop gets one or two turns to read data that has arrived, before silence counts.
+READ_GRACE_S = 0.002
+BACKOFF_PER_GATEWAY_S = 0.1  # per gateway of the fleet, as all may be refused at the same time
+STATUS_BY_LIFECYCLE = {"ready": "up", "draining": "draining", "gone": "removed"}
 
 
 @dataclass(slots=True, frozen=True)
 class WatchTimeouts:
-    """How long discovery may keep us without word, in seconds."""
+    """Time-out and backoffs of a watch, in seconds."""
 
-    silent_s: float  # how long an answer or a connection may be overdue before it is given up
-    first_backoff_s: float  # the longest backoff after a first failure
-    backoff_s: float  # and after those that follow
+    silent_s: float  # how long an answer or a connection may be overdue before the connection is closed
+    first_backoff_s: float  # longest backoff after a first failure
+    backoff_s: float  # longest backoff after consecutive failures
 
 
-# A change counts as told 6 s after discovery had it and could be reached: `silent_s` and `backoff_s` leave a
-# second of that. What a silent watch misses counts as told 2 s after its wait: it is opened anew soon after.
-ASKED = WatchTimeouts(silent_s=2.0, first_backoff_s=0.5, backoff_s=3.0)
-# An agent on our own machine answers at once and at no cost, and what it has counts as told: both together
-# are under the second that the settings leave for the last sends to a server that drains.
-PUSHED = WatchTimeouts(silent_s=0.75, first_backoff_s=0.2, backoff_s=0.2)
+# Where the settings have the list requested: a change must be known 6 s after discovery had it and was
+# reachable. `silent_s` and `backoff_s` leave a second of that. What a silent long poll misses must be known
+# 2 s after its end, so the watch is opened again soon after.
+ON_REQUEST_TIMEOUTS = WatchTimeouts(silent_s=2.0, first_backoff_s=0.5, backoff_s=3.0)
+# Where the list is pushed to an agent on the same machine: the agent answers at once and at no cost, and what
+# it has must be known. Both values together are below the second that the settings leave for the last
+# requests to a draining server.
+PUSHED_TIMEOUTS = WatchTimeouts(silent_s=0.75, first_backoff_s=0.2, backoff_s=0.2)
 
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """One answer of discovery: hosts by instance id, and where to dial them."""
+    """One answer of discovery: a full list of servers or a delta, and the addresses by instance id."""
 
     generation: int
     is_full: bool
@@ -52,33 +59,33 @@
 
 
 def parse_listing(raw: object) -> Listing:
-    """Discovery's JSON as a `Listing`; ValueError where it is not one."""
+    """Convert discovery's JSON to a `Listing`; ValueError if it is malformed."""
     if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-        raise ValueError("is no list of instances")
+        raise ValueError("no list of instances")
     generation = raw.get("generation")
     if not isinstance(generation, int) or isinstance(generation, bool):
         raise ValueError(f"generation {generation!r} is not a whole number")
     servers, addresses = [], {}
     for entry in raw["instances"]:
-        server, address = _instance(entry)
+        server, address = _parse_instance(entry)
         servers.append(server)
         if address is not None:
             addresses[server.name] = address
     return Listing(generation, bool(raw.get("reset")), tuple(servers), addresses)
 
 
-def _instance(entry: object) -> tuple[api.Server, tuple[str, int] | None]:
+def _parse_instance(entry: object) -> tuple[api.Server, tuple[str, int] | None]:
     if not isinstance(entry, dict) or not isinstance(entry.get("instanceId"), str) or not entry["instanceId"]:
-        raise ValueError("an instance without instanceId")
+        raise ValueError("an instance has no instanceId")
     name = entry["instanceId"]
-    # Guards against a state that a later discovery may add: what is not known to be ready gets no new work.
+    # Later versions of discovery may add states. A server in an unknown state gets no new requests.
     lifecycle = entry.get("lifecycle")
-    status = STATES.get(lifecycle, "draining") if isinstance(lifecycle, str) else "draining"
+    status = STATUS_BY_LIFECYCLE.get(lifecycle, "draining") if isinstance(lifecycle, str) else "draining"
     host, _, port = str(entry.get("hostPort", "")).rpartition(":")
     if status != "removed" and not (host and port.isascii() and port.isdigit() and int(port) < 65536):
         raise ValueError(f"{name}: hostPort {entry.get('hostPort')!r} is not HOST:PORT")
     try:
-        # The module's clock is Unix time in milliseconds, so startedAtMs needs no more than reading.
+        # startedAtMs needs no conversion, as the decision module's clock is Unix time in milliseconds too.
         server = api.Server(
             name,
             str(entry.get("zone", "")),
@@ -95,41 +102,41 @@
 
 
 class Discovery:
-    """Keeps one watch going and hands on each answer.
+    """Keeps one watch open and passes each answer to `on_listing`.
 
-    Guards a service that serves the whole fleet, most of which may start or be turned away at one moment:
-    what is known is not asked for again, and all come back at times of their own, spread over what `Patience`
-    allows.
+    Discovery serves the whole fleet, most of which may start or be refused at the same time. To limit its
+    load, a known list is not requested again, and retries are spread at random over the backoff of
+    `WatchTimeouts`.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        told: Callable[[Listing], None],
-        known: int | None = None,
+        on_listing: Callable[[Listing], None],
+        known_generation: int | None = None,
         fleet_size: int = 1,
         rng: random.Random | None = None,
-        use: DescriptorUse | None = None,
-        patience: WatchTimeouts = ASKED,
+        descriptor_use: DescriptorUse | None = None,
+        timeouts: WatchTimeouts = ON_REQUEST_TIMEOUTS,
     ) -> None:
-        self._use, self._patience = use or DescriptorUse(), patience
-        self._loop, self._address, self._told = loop, address, told
-        self._generation = known  # of the list that we have; None: the whole list is wanted
-        self._heard = False
+        self._descriptor_use, self._timeouts = descriptor_use or DescriptorUse(), timeouts
+        self._loop, self._address, self._on_listing = loop, address, on_listing
+        self._generation = known_generation  # of the known list; None: request the full list
+        self._has_answered = False
         self._fleet_size, self._rng = fleet_size, rng or random.Random()
         self._connection: _Watch | None = None
         self._dial: ConnectAttempt | None = None
-        self._timer: asyncio.TimerHandle | None = None  # the end of our patience, or of a backoff
+        self._timer: asyncio.TimerHandle | None = None  # of the time-out, or of a backoff
         self._failures = 0
         self._stopped = False
 
     def start(self) -> None:
-        """Ask for what changes in the list that is known, or for the whole list and then for what changes."""
-        self._ask()
+        """Start watching: request deltas to the known list, or first the full list if there is none."""
+        self._request_list()
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """Stop watching and close the connection."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
@@ -139,7 +146,7 @@
             self._connection.abort()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch at another address from now on, beginning with the whole list; what is known stays."""
+        """Watch at another address, starting with the full list. The current one stays in use until then."""
         self._address, self._generation, self._failures = address, None, 0
         if self._timer is not None:
             self._timer.cancel()
@@ -147,18 +154,23 @@
         if connection is not None:
             connection.abort()
         if self._dial is not None:
-            self._dial.cancel()  # its callback asks again
+            self._dial.cancel()  # its callback opens the watch again
         else:
-            self._ask()
+            self._request_list()
 
-    def _ask(self) -> None:
+    def _request_list(self) -> None:
         if self._stopped:
             return
         if self._connection is not None:
-            self._write(self._connection)
+            self._send_request(self._connection)
             return
         self._dial = ConnectAttempt(
-            self._loop, lambda: _Watch(self), self._address, self._patience.silent_s, self._use, self._dialled
+            self._loop,
+            lambda: _Watch(self),
+            self._address,
+            self._timeouts.silent_s,
+            self._descriptor_use,
+            self._dialled,
         )
 
     def _dialled(self, connection: _Watch | None, cause: str) -> None:
@@ -168,42 +180,49 @@
                 log.warning(
                     Event(
                         "discovery_unreachable",
-                        "discovery: cannot be reached, asking again; the list is kept",
+                        "discovery: connecting timed out, retrying; the list of servers is kept",
                     )
                 )
             self._retry()
             return
         self._connection = connection
-        self._ask()
+        self._request_list()
 
-    def _write(self, connection: _Watch) -> None:
-        wait_ms = 0 if self._generation is None else WAIT_MS if self._heard else LOOK_MS
-        query = "" if self._generation is None else f"?after={self._generation}&wait_ms={wait_ms}"
-        self._watch_silence(wait_ms / 1000 + self._patience.silent_s)
-        connection.waiting = True
+    def _send_request(self, connection: _Watch) -> None:
+        poll_ms = 0 if self._generation is None else LONG_POLL_MS if self._has_answered else FIRST_POLL_MS
+        query = "" if self._generation is None else f"?after={self._generation}&wait_ms={poll_ms}"
+        self._start_timeout(poll_ms / 1000 + self._timeouts.silent_s)
+        connection.is_waiting = True
         connection.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
 
-    def _watch_silence(self, seconds: float) -> None:
+    def _start_timeout(self, seconds: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_later(seconds, self._overdue)
+        self._timer = self._loop.call_later(seconds, self._on_timeout)
 
-    def _overdue(self) -> None:
-        # Guards against our own stall: the answer may be here and unread.
-        self._timer = self._loop.call_later(GRACE_S, self._given_up)
+    def _on_timeout(self) -> None:
+        # After a stall of the event loop the answer may have arrived but not been read.
+        self._timer = self._loop.call_later(READ_GRACE_S, self._close_silent)
 
-    def _given_up(self) -> None:
-        # Guards against an agent that is silent for good: without this the watch would hang on one socket.
-        log.warning(Event("discovery_silent", "discovery: no answer, asking again; the list is kept"))
+    def _close_silent(self) -> None:
+        # Otherwise the watch would wait forever on the connection of an agent that stays silent.
+        log.warning(
+            Event("discovery_silent", "discovery: no answer in time, retrying; the list of servers is kept")
+        )
         if self._connection is not None:
             self._connection.abort()
 
     def replied(self, connection: _Watch, reply: Reply, reusable: bool) -> None:
-        """An answer: hand it on and ask for what comes next at once."""
+        """Called with an answer: request the next one at once, then pass this one on."""
         if connection is not self._connection:
-            return  # from an address that was left
+            return  # from the address before a move
         if reply.status == 503:
-            log.warning(Event("discovery_turned_away", "discovery: turned away, the list is kept"))
+            log.warning(
+                Event(
+                    "discovery_turned_away",
+                    "discovery: request refused, retrying; the list of servers is kept",
+                )
+            )
             connection.abort()
             return
         try:
@@ -211,27 +230,27 @@
                 raise ValueError(f"status {reply.status}")
             listing = parse_listing(json.loads(reply.body))
             if not listing.is_full and (self._generation is None or listing.generation < self._generation):
-                raise ValueError("changes to a list that was never sent")
+                raise ValueError("delta to a list that was not received")
         except (ValueError, RecursionError) as error:
             log.warning(
                 Event(
                     "discovery_bad_answer",
-                    "discovery: bad answer, the list is kept: {error}",
+                    "discovery: bad answer, the list of servers is kept: {error}",
                     error=str(error),
                 )
             )
-            self._generation = None  # whatever was missed comes with the whole list
+            self._generation = None  # the full list includes what was missed
             connection.abort()
             return
-        self._failures, self._generation, self._heard = 0, listing.generation, True
+        self._failures, self._generation, self._has_answered = 0, listing.generation, True
         if not reusable:
             self._connection = None
             connection.abort()
-        self._ask()  # before the list is acted on: a late watch is a new one
-        self._told(listing)
+        self._request_list()  # before the list is applied, as discovery takes a late request for a new watch
+        self._on_listing(listing)
 
     def lost(self, connection: _Watch) -> None:
-        """The agent closed or reset the connection."""
+        """Called when the connection is lost."""
         if connection is self._connection:
             self._connection = None
             self._retry()
@@ -242,28 +261,28 @@
         if self._stopped:
             return
         self._failures += 1
-        self._timer = self._loop.call_later(self._backoff_s(), self._ask)
+        self._timer = self._loop.call_later(self._backoff_s(), self._request_list)
 
     def _backoff_s(self) -> float:
-        """Full jitter over a span that grows with the fleet and with failures, as far as patience allows."""
-        span = BACKOFF_S * self._fleet_size * 2 ** min(self._failures - 1, 10)
-        longest = self._patience.first_backoff_s if self._failures == 1 else self._patience.backoff_s
-        return self._rng.random() * min(span, longest)
+        """Backoff with full jitter over a span that grows with the fleet size and consecutive failures."""
+        span_s = BACKOFF_PER_GATEWAY_S * self._fleet_size * 2 ** min(self._failures - 1, 10)
+        max_backoff_s = self._timeouts.first_backoff_s if self._failures == 1 else self._timeouts.backoff_s
+        return self._rng.random() * min(span_s, max_backoff_s)
 
 
 class _Watch(ReplyProtocol):
-    """The connection to the agent."""
+    """Connection to the agent."""
 
     def __init__(self, owner: Discovery) -> None:
         super().__init__(LONGEST_LIST)
         self._owner = owner
-        self.waiting = False
+        self.is_waiting = False
 
     def replied(self, reply: Reply, reusable: bool) -> None:
-        if not self.waiting:
-            self.abort()  # an answer that nobody asked for
+        if not self.is_waiting:
+            self.abort()  # an unsolicited answer
             return
-        self.waiting = False
+        self.is_waiting = False
         self._owner.replied(self, reply, reusable)
 
     def lost(self) -> None:
--- a/yewstage/net/peers.py
+++ b/yewstage/net/peers.py
@@ -1,7 +1,7 @@
-"""This gateway among the others: datagrams in and out, a timer, what is known for operators.
+"""Membership of this gateway in the fleet: its datagram socket, its timer, and its status for operators.
 
-Loaded only where `peers` is configured. Over `membership` go the tables of `shared`: at first one, of the
-servers that each gateway finds failing.
+Loaded only where `peers` is configured. The tables of `yewstage.shared` are exchanged over
+`yewstage.membership`: currently one, of the servers that each gateway considers failing.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-# Told by a gateway of a server that fails for it, in a row so often. A gateway that was not heard of for
-# longer than the bound is not counted; more than so many servers at one gateway are its own trouble.
+# Consecutive failures by server, as published by each gateway. The entries of a gateway are ignored if it was
+# not heard of within the bound. The table limits the entries of a gateway, as more failures point to a fault
+# of its own.
 SERVERS = Table("servers", 10_000.0, 64)
-PUBLISH_MS = 500.0  # spacing of the look at what this gateway finds
+PUBLISH_INTERVAL_MS = 500.0  # of this gateway's own entries
 
 
 class Peers(asyncio.DatagramProtocol):
-    """This process among the others."""
+    """This process as a member of the fleet."""
 
     def __init__(
         self,
@@ -42,49 +43,49 @@
         rng: random.Random,
         failing: Callable[[], Mapping[str, int]] = dict,
     ) -> None:
-        """`failing`: servers that this gateway finds so, and how often in a row."""
+        """`failing` returns the consecutive failures of the servers that this gateway considers failing."""
         self.config, self._name, self._loop, self._rng = config, name, loop, rng
         self._failing = failing
         self.keys = config.keys
         self.swim: Swim | None = None
         self.shared: SharedTables | None = None
-        self._publish_at = 0.0
+        self._next_publish_ms = 0.0
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._addresses: dict[str, Address] = {}
-        self.dropped: Counter[str] = Counter()  # datagrams, by reason
-        self.sent = self.sent_bytes = self.came = 0
+        self.dropped: Counter[str] = Counter()  # datagrams by reason
+        self.sent = self.sent_bytes = self.received = 0
         self._contested = False
 
-    # --- Life ---------------------------------------------------------------------------------------------
+    # --- Lifecycle ----------------------------------------------------------------------------------------
 
     async def open(self) -> Address:
-        """Take the address; nothing is said yet. OSError where it is taken."""
+        """Bind the socket without sending anything; returns its address. OSError if the address is in use."""
         self._transport, _ = await self._loop.create_datagram_endpoint(
             lambda: self, local_addr=self.config.listen
         )
         return self._transport.get_extra_info("sockname")[:2]
 
     def start(self) -> None:
-        """Say that we are there. A process that goes on for another one does so once that one leaves."""
+        """Join the fleet. During an upgrade the new process joins after the old one has left."""
         if self.swim is not None:
             return
         host, port = self._transport.get_extra_info("sockname")[:2]
         config = self.config
         me = MemberRow(self._name, secrets.randbits(62), f"{host}:{port}", config.zone, config.region, 1)
-        now = self._now()
+        now = self._now_ms()
         self.swim = Swim(me, config.settings, config.seeds, self._rng, now)
         self.shared = SharedTables(self.swim, (SERVERS,), Settings(), self._rng, now)
-        self._ring()
+        self._on_timer()
 
     def leave(self) -> None:
-        """Say that we go; what comes after that is not read."""
+        """Announce that this member leaves; later datagrams are ignored."""
         if self.swim is not None and not self.swim.left:
-            self.swim.leave(self._now())
-            self._pump()
+            self.swim.leave(self._now_ms())
+            self._flush_output()
 
     def stop(self) -> None:
-        """Leave and close."""
+        """Leave the fleet and close the socket."""
         self.leave()
         if self._timer is not None:
             self._timer.cancel()
@@ -92,98 +93,98 @@
             self._transport.close()
 
     def rekey(self, keys: tuple[bytes, ...]) -> None:
-        """Other keys: the first signs, each is taken."""
+        """Replace the keys: the first one signs, all of them are accepted."""
         self.keys = keys
 
     # --- Datagrams ----------------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.came += 1
+        self.received += 1
         if self.swim is None:
             return
         try:
-            letter = unseal(data, self.config.settings.cluster, self.keys)
+            datagram = unseal(data, self.config.settings.cluster, self.keys)
         except BadDatagramError as error:
             self.dropped[str(error)] += 1
             return
-        self.swim.handle(self._now(), letter)
-        self._pump()
+        self.swim.handle(self._now_ms(), datagram)
+        self._flush_output()
 
     def error_received(self, exc: OSError) -> None:
-        """Nobody is at an address that we sent to: its silence says so anyway."""
+        """Ignored: an unreachable member is found by its missing answers."""
 
-    def _now(self) -> float:
+    def _now_ms(self) -> float:
         return self._loop.time() * 1000
 
-    def _ring(self) -> None:
-        now = self._now()
+    def _on_timer(self) -> None:
+        now = self._now_ms()
         self.swim.tick(now)
         self._publish(now)
         self.shared.tick(now)
-        self._pump()
+        self._flush_output()
 
     def _publish(self, now: float) -> None:
-        """Bring our own entries to what we find now."""
-        if now < self._publish_at:
+        """Update this gateway's own entries of the shared table."""
+        if now < self._next_publish_ms:
             return
-        self._publish_at = now + PUBLISH_MS
-        found, tables = self._failing(), self.shared.tables
+        self._next_publish_ms = now + PUBLISH_INTERVAL_MS
+        failing, tables = self._failing(), self.shared.tables
         for (_, server), change in list(tables.own.entries.items()):
-            if change.value is not None and server not in found:
+            if change.value is not None and server not in failing:
                 tables.drop(SERVERS.name, server)
-        for server, times in found.items():
+        for server, times in failing.items():
             try:
                 tables.put(SERVERS.name, server, msgspec.msgpack.encode(times))
             except (FullTableError, ValueError):
-                break  # so many that it is ourselves
-
-    def _pump(self) -> None:
-        out = self.swim.take()
-        for sender, data in out.carried:
-            self.shared.handle(self._now(), sender, data)
-        if out.carried:
-            out.letters += self.swim.take().letters
-        for name, at, letter in out.letters:
-            data = seal(letter, self.keys[0])
+                break  # the table is full: so many failures point to a fault of this gateway
+
+    def _flush_output(self) -> None:
+        output = self.swim.take()
+        for sender, data in output.carried:
+            self.shared.handle(self._now_ms(), sender, data)
+        if output.carried:
+            output.letters += self.swim.take().letters
+        for name, at, datagram in output.letters:
+            data = seal(datagram, self.keys[0])
             self.sent += 1
             self.sent_bytes += len(data)
-            self._transport.sendto(data, self._where(name, at))
-        for row in out.changes:
-            self._tell(row)
+            self._transport.sendto(data, self._destination(name, at))
+        for row in output.changes:
+            self._log_change(row)
         if self.swim.contested != self._contested:
             self._contested = self.swim.contested
             if self._contested:
-                log.error(Event("name_used_twice", "another process goes by {name}", name=self._name))
+                log.error(Event("name_used_twice", "another process uses the name {name}", name=self._name))
         if self._timer is not None:
             self._timer.cancel()
-        due = min(self.swim.next_at(), self.shared.next_at()) if not self.swim.left else float("inf")
-        self._timer = self._loop.call_at(due / 1000, self._ring) if due != float("inf") else None
+        due_ms = min(self.swim.next_at(), self.shared.next_at()) if not self.swim.left else float("inf")
+        self._timer = self._loop.call_at(due_ms / 1000, self._on_timer) if due_ms != float("inf") else None
 
-    def _where(self, name: str, at: str) -> Address:
+    def _destination(self, name: str, at: str) -> Address:
         if name in self.config.reach:
             return self.config.reach[name]
         if at not in self._addresses:
-            if len(self._addresses) > 4096:  # of members that came and went
+            if len(self._addresses) > 4096:  # entries of former members accumulate
                 self._addresses.clear()
             self._addresses[at] = address({"at": at}, "at")
         return self._addresses[at]
 
     @staticmethod
-    def _tell(row: MemberRow) -> None:
-        words = {"member": row.name, "state": STATES[row.state], "zone": row.zone, "by": row.by}
-        text = "{member} of zone {zone} is {state}" + (", says {by}" if row.by else "")
-        log.log(logging.INFO if row.state == ALIVE else logging.WARNING, Event("member", text, **words))
+    def _log_change(row: MemberRow) -> None:
+        fields = {"member": row.name, "state": STATES[row.state], "zone": row.zone, "by": row.by}
+        text = "{member} of zone {zone} is {state}" + (", reported by {by}" if row.by else "")
+        log.log(logging.INFO if row.state == ALIVE else logging.WARNING, Event("member", text, **fields))
 
-    # --- What is known ------------------------------------------------------------------------------------
+    # --- Status and metrics -------------------------------------------------------------------------------
 
     def status(self) -> dict[str, object]:
-        """For `plumwall members`. Ages in ms, by this process's clock."""
+        """Status for `plumwall members`; ages in milliseconds by this process's clock."""
         swim = self.swim
         if swim is None:
             return {"name": self._name, "started": False, "members": []}
-        now = self._now()
-        rows = [self._row(swim.own_row, 0.0)]
-        rows += [self._row(other.row, now - other.since) for other in swim.peers.values()]
+        now = self._now_ms()
+        rows = [self._member_status(swim.own_row, 0.0)]
+        rows += [self._member_status(other.row, now - other.since) for other in swim.peers.values()]
         return {
             "name": self._name,
             "started": True,
@@ -194,25 +195,25 @@
             "falseSuspicions": swim.false_suspicions,
             "refuted": swim.refuted,
             "sentBytes": self.sent_bytes,
-            "dropped": dict(self._drops()),
+            "dropped": dict(self._dropped_by_reason()),
             "members": sorted(rows, key=lambda row: row["name"]),
-            "servers": self._servers(now),
+            "servers": self._server_reports(now),
         }
 
-    def _servers(self, now: float) -> dict[str, list[dict[str, object]]]:
-        """Who finds which server failing, as far as that is known here and new enough."""
-        found: dict[str, list[dict[str, object]]] = {}
+    def _server_reports(self, now: float) -> dict[str, list[dict[str, object]]]:
+        """Reports of failing servers by server, as far as they are known here and recent enough."""
+        reports: dict[str, list[dict[str, object]]] = {}
         zones = {row.name: row.zone for row in self.swim.rows()}
-        for told in self.shared.tables.read(SERVERS.name, now):
-            row = {"gateway": told.origin, "zone": zones.get(told.origin, ""), "ageMs": round(told.age_ms)}
-            found.setdefault(told.key, []).append({**row, "times": _times(told.value)})
-        return found
+        for entry in self.shared.tables.read(SERVERS.name, now):
+            row = {"gateway": entry.origin, "zone": zones.get(entry.origin, ""), "ageMs": round(entry.age_ms)}
+            reports.setdefault(entry.key, []).append({**row, "times": _parse_failures(entry.value)})
+        return reports
 
-    def _drops(self) -> Counter[str]:
+    def _dropped_by_reason(self) -> Counter[str]:
         return self.dropped + self.swim.dropped if self.swim is not None else self.dropped
 
     @staticmethod
-    def _row(row: MemberRow, since_ms: float) -> dict[str, object]:
+    def _member_status(row: MemberRow, since_ms: float) -> dict[str, object]:
         return {
             "name": row.name,
             "life": f"{row.start_id:x}",
@@ -226,10 +227,10 @@
         }
 
     def metrics(self) -> dict[str, float]:
-        """By name, as the gateway's figures are told."""
+        """Metrics by name."""
         if self.swim is None:
             return {}
-        swim, tables, now = self.swim, self.shared.tables, self._now()
+        swim, tables, now = self.swim, self.shared.tables, self._now_ms()
         states = Counter(row.state for row in swim.rows())
         ages = sorted(tables.age_ms(row.name, now) for row in swim.alive()) or [0.0]
         return {
@@ -241,24 +242,27 @@
             "members_refuted_total": swim.refuted,
             "members_sent_total": self.sent,
             "members_sent_bytes_total": self.sent_bytes,
-            "members_received_total": self.came,
-            'shared_age_seconds{quantile="0.5"}': _seconds(ages[len(ages) // 2]),
-            'shared_age_seconds{quantile="1"}': _seconds(ages[-1]),
+            "members_received_total": self.received,
+            'shared_age_seconds{quantile="0.5"}': _age_s(ages[len(ages) // 2]),
+            'shared_age_seconds{quantile="1"}': _age_s(ages[-1]),
             "shared_entries": sum(1 for _ in tables.read(SERVERS.name, now)),
             "shared_bound_bytes": tables.bound_bytes(len(ages) + 1),
             "shared_refused_total": tables.refused + self.shared.nonsense,
-            **{f'members_dropped_total{{reason="{why}"}}': n for why, n in sorted(self._drops().items())},
+            **{
+                f'members_dropped_total{{reason="{why}"}}': n
+                for why, n in sorted(self._dropped_by_reason().items())
+            },
         }
 
 
-def _times(value: bytes) -> int:
-    """How often in a row a server has failed, as another gateway tells it; 0 where that makes no sense."""
+def _parse_failures(value: bytes) -> int:
+    """Consecutive failures of a server as another gateway published them; 0 if the value is invalid."""
     try:
         return msgspec.msgpack.decode(value, type=int)
     except msgspec.MsgspecError:
         return 0
 
 
-def _seconds(age_ms: float) -> float:
-    """For a figure: -1 where nothing is known."""
+def _age_s(age_ms: float) -> float:
+    """An age for the metrics; -1 if it is unknown."""
     return round(age_ms / 1000, 3) if age_ms != float("inf") else -1.0
