--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways: passed on as they come, held back by the slow side, cut where they break."""
+"""Streamed bodies of requests and answers: flow control, early ends and connections that break."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from yewstage.net.attempts import Attempt, AttemptRunner
 from yewstage.net.http1 import Reply
 
-BIG = bytes(range(256)) * 4096 * 3  # 3 MB, more than all buffers on the way hold
+BIG = bytes(range(256)) * 4096 * 3  # 3 MB, more than all buffers between client and server hold
 CHUNKED = "Transfer-Encoding: chunked\r\n"
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
@@ -31,7 +31,7 @@
 
 
 async def body_of(head: bytes, reader: asyncio.StreamReader) -> bytes:
-    """A body by its framing."""
+    """Read a body by the framing that its head announces."""
     if b"transfer-encoding: chunked" not in head.lower():
         lengths = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
         return await reader.readexactly(int(lengths[0].split(b":")[1])) if lengths else await reader.read()
@@ -44,7 +44,7 @@
 
 
 class Scripted(Rig):
-    """A rig whose one host plays a script on each of its connections."""
+    """A rig whose only server runs a script on each of its connections."""
 
     def __init__(self, folder: Path, script: Script) -> None:
         super().__init__(folder)
@@ -71,7 +71,7 @@
 
 
 async def told(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A host that answers each request with the digest of its body."""
+    """A server that answers each request with the length and digest of its body."""
     while True:
         head = await reader.readuntil(b"\r\n\r\n")
         body = await body_of(head, reader) if head.startswith(b"POST") else b""
@@ -80,11 +80,11 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("piece", [1 << 20, 9973])
-def test_a_long_body_reaches_the_host_unchanged(tmp_path: Path, chunked: bool, piece: int) -> None:
+def test_a_streamed_body_reaches_the_server_unchanged(tmp_path: Path, chunked: bool, piece: int) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             reader, writer = await rig.connect()
-            for _ in range(2):  # the connection is kept
+            for _ in range(2):  # the connection is kept open
                 if chunked:
                     data = message("put", drop="Content-Length", more=CHUNKED) + in_chunks(BIG)
                 else:
@@ -100,8 +100,8 @@
     on_loop(scenario)
 
 
-def test_a_long_body_waits_for_a_host_that_reads_slowly(tmp_path: Path) -> None:
-    """What has not been read yet stays with the client: the gateway holds a few buffers of it."""
+def test_a_streamed_body_is_held_back_by_a_server_that_reads_slowly(tmp_path: Path) -> None:
+    """Unread data must stay with the client: the gateway holds a few buffers of it only."""
 
     async def scenario() -> None:
         go = asyncio.Event()
@@ -114,14 +114,14 @@
 
         async with Scripted(tmp_path, slow) as rig:
             reader, writer = await rig.connect()
-            many = BIG * 8
-            writer.write(message("put", body=many))
+            long_body = BIG * 8
+            writer.write(message("put", body=long_body))
             left = 0
             while left != (left := writer.transport.get_write_buffer_size()) or left == 0:
-                await asyncio.sleep(0.1)  # until nothing moves any more
-            assert left > len(many) / 2
+                await asyncio.sleep(0.1)  # until there is no more progress
+            assert left > len(long_body) / 2
             go.set()
-            assert (await read_message(reader, writer)).body.decode() == digest(many)
+            assert (await read_message(reader, writer)).body.decode() == digest(long_body)
 
     on_loop(scenario)
 
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("how", ["length", "chunked", "close"])
-def test_a_long_answer_reaches_the_client_unchanged(tmp_path: Path, how: str) -> None:
+def test_a_streamed_answer_reaches_the_client_unchanged(tmp_path: Path, how: str) -> None:
     async def scenario() -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -161,7 +161,7 @@
     on_loop(scenario)
 
 
-def test_a_long_answer_waits_for_a_client_that_reads_slowly(tmp_path: Path) -> None:
+def test_a_streamed_answer_is_held_back_by_a_client_that_reads_slowly(tmp_path: Path) -> None:
     async def scenario() -> None:
         writers = []
 
@@ -190,8 +190,8 @@
     return int(line.split()[1]) / 1024
 
 
-def test_many_long_bodies_at_once_take_a_few_buffers_each(tmp_path: Path) -> None:
-    """25 answers and 25 requests of 6 MB each, none of them read further: 300 MB if they were kept."""
+def test_many_streamed_bodies_take_a_few_buffers_each(tmp_path: Path) -> None:
+    """25 answers and 25 requests of 6 MB each, which nobody reads. Buffering them would take 300 MB."""
 
     async def scenario() -> None:
         begun: list[asyncio.StreamWriter] = []
@@ -201,11 +201,11 @@
             reader._transport.pause_reading()
             begun.append(writer)
             if head.startswith(b"GET"):
-                writer.write(reply(many))
+                writer.write(reply(long_body))
             await asyncio.Event().wait()
 
-        many = BIG * 2
-        upload = message("put", body=many)
+        long_body = BIG * 2
+        upload = message("put", body=long_body)
         async with Scripted(tmp_path, stuck) as rig:
             before = resident_mb(rig.process.pid)
             clients = [await rig.connect() for _ in range(50)]
@@ -217,8 +217,10 @@
             ends = [writer.transport for _, writer in clients[1::2]] + [writer.transport for writer in begun]
             left = -1
             while left != (left := sum(t.get_write_buffer_size() for t in ends)):
-                await asyncio.sleep(0.1)  # until nothing moves any more
-            assert left > 5 * len(many)  # it stays with those who send it, and in the system's buffers
+                await asyncio.sleep(0.1)  # until there is no more progress
+            assert left > 5 * len(
+                long_body
+            )  # it stays with its senders and in buffers of the operating system
             assert resident_mb(rig.process.pid) - before < 50
             for _, writer in clients:
                 writer.transport.abort()
@@ -227,7 +229,7 @@
 
 
 @pytest.mark.parametrize("how", ["length", "chunked"])
-def test_a_long_answer_that_breaks_shows_that_it_is_not_whole(tmp_path: Path, how: str) -> None:
+def test_a_streamed_answer_that_breaks_off_is_visibly_truncated(tmp_path: Path, how: str) -> None:
     async def scenario() -> None:
         async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -240,13 +242,13 @@
             head = await reader.readuntil(b"\r\n\r\n")
             with pytest.raises((asyncio.IncompleteReadError, ValueError)):
                 await body_of(head, reader)
-            assert rig.connections == 1  # what has begun is not tried again
+            assert rig.connections == 1  # an answer that has begun is not retried
             assert (await rig.metrics())['gateway_faulted_total{priority="read"}'] == 1
 
     on_loop(scenario)
 
 
-def test_an_unknown_length_is_not_held_back_for_long(tmp_path: Path) -> None:
+def test_an_answer_of_unknown_length_is_soon_streamed(tmp_path: Path) -> None:
     async def scenario() -> None:
         end = asyncio.Event()
 
@@ -268,7 +270,7 @@
     on_loop(scenario)
 
 
-def test_a_long_error_is_known_by_its_head(tmp_path: Path) -> None:
+def test_a_long_error_answer_is_complete_with_its_head(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def fails(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -284,8 +286,8 @@
 @pytest.mark.parametrize(
     ("answer", "status"), [(reply(b"", 503, b"X-Not-Run: 1\r\n"), 503), (b"", 503), (reply(b"", 500), 502)]
 )
-def test_a_body_that_is_gone_is_not_sent_again(tmp_path: Path, answer: bytes, status: int) -> None:
-    """The host answers, or breaks, in the middle of it; the client gets its answer, once, and may send on."""
+def test_a_body_that_was_partly_streamed_is_not_retried(tmp_path: Path, answer: bytes, status: int) -> None:
+    """The server answers or closes during the body. The client gets one answer and may continue sending."""
 
     async def scenario() -> None:
         async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -307,7 +309,7 @@
     on_loop(scenario)
 
 
-def test_a_client_that_leaves_in_the_middle_ends_its_attempt(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_during_its_upload_ends_the_attempt(tmp_path: Path) -> None:
     async def scenario() -> None:
         gone = asyncio.Event()
 
@@ -329,7 +331,7 @@
 
 
 @pytest.mark.parametrize("size", [100, 3_000_000])
-def test_a_body_that_waits_is_asked_for_once(tmp_path: Path, size: int) -> None:
+def test_expect_100_continue_is_answered_once(tmp_path: Path, size: int) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             reader, writer = await rig.connect()
@@ -344,7 +346,7 @@
     on_loop(scenario)
 
 
-def test_a_refused_body_that_waits_is_not_asked_for(tmp_path: Path) -> None:
+def test_a_refused_request_with_expect_gets_no_100_continue(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             size = 3_000_000
@@ -358,14 +360,14 @@
                     rest = await reader.readuntil(b"\r\n\r\n")
                     assert b"Connection: close" in rest
                     writer.write_eof()
-                    assert await reader.read() == b""  # and nothing behind the answer
+                    assert await reader.read() == b""  # nothing follows the answer
                 writer.transport.abort()
             assert b"503" in lines
 
     on_loop(scenario)
 
 
-def test_an_offer_to_upgrade_is_passed_over(tmp_path: Path) -> None:
+def test_an_upgrade_header_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             reader, writer = await rig.connect()
@@ -381,7 +383,7 @@
     on_loop(scenario)
 
 
-def test_a_trailer_says_nothing(tmp_path: Path) -> None:
+def test_trailers_are_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             data = message("put", drop="Content-Length", more=CHUNKED)
@@ -391,12 +393,12 @@
     on_loop(scenario)
 
 
-def test_a_body_may_come_at_its_rate_and_not_below(tmp_path: Path) -> None:
+def test_a_body_below_the_minimum_rate_is_refused(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             data = message("put", body=b"z" * 300_000)
             slow_reader, slow = await rig.connect()
-            slow.write(data[:100_000])  # and no more
+            slow.write(data[:100_000])  # the rest is never sent
             reader, writer = await rig.connect()
             for i in range(0, len(data), 20_000):
                 writer.write(data[i : i + 20_000])
@@ -407,7 +409,7 @@
     on_loop(scenario)
 
 
-def test_the_module_sends_a_body_that_is_not_kept_once() -> None:
+def test_the_decision_module_does_not_retry_a_streamed_body() -> None:
     d = Driver(counter_enabled=False)
     out = d.give(api.Request("r", "read", "open", "c", 4000, 1, 3, 0, False, False))
     (send,) = of(out, api.Send)
@@ -416,7 +418,7 @@
 
 
 @pytest.mark.parametrize("result", [api.CONNECT_FAILED, api.START_EXPIRED])
-def test_the_module_sends_a_long_body_elsewhere_while_none_of_it_has_left(result: str) -> None:
+def test_the_decision_module_retries_a_streamed_body_of_which_nothing_was_sent(result: str) -> None:
     d = Driver()
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
     first = of([act for _, act in d.log], api.Send)[0]
@@ -428,11 +430,11 @@
     )
 
 
-def test_a_long_body_whose_dial_failed_reaches_a_second_server_whole(tmp_path: Path) -> None:
+def test_a_streamed_body_whose_dial_failed_reaches_a_second_server_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"ok"), lambda seen: reply(b"ok")) as rig:
             gone, here = rig.hosts
-            gone.stop()  # the list has it still
+            gone.stop()  # it is still in the list
             body = bytes(range(256)) * 1000
             for n in range(8):
                 rid = b"body-%d" % n
@@ -443,34 +445,35 @@
     on_loop(scenario)
 
 
-def test_what_is_on_its_way_stays_out_of_the_ceilings_store() -> None:
-    """The store is asked for them once they are whole: until then our part must not fill up behind them."""
+def test_uploads_in_progress_do_not_refill_the_ceiling_bucket() -> None:
+    """The ceiling bucket must not refill for uploads that it has not been charged for yet."""
     d = Driver(counter_enabled=False)
-    d.sweep(100)  # 10 s: full, 20 units
+    d.sweep(100)  # 10 s, after which the bucket is full with 20 units
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
         assert of(d.give(upload), api.Send)
-    d.gateway.customer_quotas["c"].left = 1e6  # the quota is not what is looked at
+    d.gateway.customer_quotas["c"].left = 1e6  # so that the quota does not limit
     d.sweep(100)
     assert d.gateway.customer_quotas["c"].loading == 10
     d.gateway._ceiling_has(d.gateway.customer_quotas["c"], 0)
-    assert d.gateway.customer_quotas["c"].ceiling == 10  # with the 10 on their way, the store's 20
+    # With the 10 uploads in progress this makes 20, the size of the bucket.
+    assert d.gateway.customer_quotas["c"].ceiling == 10
     d.give(api.Uploaded("u0"))
     assert d.gateway.customer_quotas["c"].loading == 9
 
 
-def test_a_started_answer_is_no_load_on_its_server() -> None:
+def test_a_streamed_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     host = d.gateway.servers["h0"]
     assert host.open == 1
     d.give(api.StreamStarted(rid, 0))
     assert host.open == 0
-    assert not of(d.end(rid, api.RESET), api.Send)  # nor is it tried again
+    assert not of(d.end(rid, api.RESET), api.Send)  # and it is not retried
     assert host.open == 0 and not d.gateway.open_requests
 
 
-def test_a_body_on_its_way_is_no_load_on_its_server() -> None:
+def test_an_upload_in_progress_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
     host = d.gateway.servers["h0"]
@@ -481,17 +484,17 @@
     assert host.open == 0
 
 
-def test_what_a_server_needed_is_learnt_when_its_answer_begins() -> None:
+def test_the_latency_of_a_streamed_answer_is_recorded_when_it_begins() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     d.give(api.StreamStarted(rid, 0, 40), 40)
     assert (d.gateway.done, d.gateway.q_n) == (1, 1)
     d.give(api.Outcome(rid, 0, "h0", api.OK, 40, True), 9000)
-    assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # once
+    assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # counted once
     assert not d.gateway.open_requests
 
 
-def test_the_time_that_a_host_needed_ends_with_its_answers_head(tmp_path: Path) -> None:
+def test_the_latency_of_a_server_ends_with_the_head_of_its_answer(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def drips(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -502,24 +505,24 @@
             writer.write(b"b")
 
         server = await asyncio.start_server(drips, LOOP, 0)
-        owner = Owner()
-        hosts = AttemptRunner(asyncio.get_running_loop(), 8, 250, 15000, owner)
-        hosts.pool.update_servers({"s": server.sockets[0].getsockname()}, set())
+        owner = EndRecorder()
+        runner = AttemptRunner(asyncio.get_running_loop(), 8, 250, 15000, owner)
+        runner.pool.update_servers({"s": server.sockets[0].getsockname()}, set())
         attempt = Attempt("r", 0, "s", b"GET / HTTP/1.1\r\n\r\n", time.monotonic())
-        hosts.send(attempt, 60)
-        await owner.over.wait()
+        runner.send(attempt, 60)
+        await owner.ended.wait()
         assert attempt.took_s - (attempt.head_received_at - attempt.sent_at) > 0.2
-        hosts.pool.stop()
+        runner.pool.stop()
         server.close()
 
     on_loop(scenario)
 
 
-class Owner:
-    """Notes that an attempt is over."""
+class EndRecorder:
+    """Owner of an attempt that records its end."""
 
     def __init__(self) -> None:
-        self.over = asyncio.Event()
+        self.ended = asyncio.Event()
 
     def is_wanted(self, attempt: Attempt) -> bool:
         return True
@@ -528,4 +531,4 @@
         pass
 
     def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
-        self.over.set()
+        self.ended.set()
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -1,4 +1,4 @@
-"""Another deployment's settings: what is missing, of a wrong type or out of range is named by its path."""
+"""Validation of settings: missing, mistyped and out-of-range fields are reported with their path."""
 
 from __future__ import annotations
 
@@ -68,11 +68,11 @@
     "penalties": {"handshake": 0.08},
     "rules": {"cold_from": 0.26, "cold_ms": 17000.0, "fall_multiple": 3.0, "tip_after_ms": 1500.0},
 }
-WHOLE_FILE = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f", "counter": "127.0.0.1:9"}
-LISTED = {"instanceId": "s", "hostPort": "127.0.0.1:5", "zone": "a", "cell": 0, "lifecycle": "ready"}
-WRONG = ["", "x", "1", None, -1, -1e9, 1e300, float("nan"), float("inf"), 10**400, [], {}, [1], {"a": 1}]
-WHOLE = ("fleet_size", "me", "try_limit", "parallel")
-MISSING = [
+OTHER_FIELDS = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f", "counter": "127.0.0.1:9"}
+INSTANCE = {"instanceId": "s", "hostPort": "127.0.0.1:5", "zone": "a", "cell": 0, "lifecycle": "ready"}
+INVALID = ["", "x", "1", None, -1, -1e9, 1e300, float("nan"), float("inf"), 10**400, [], {}, [1], {"a": 1}]
+WHOLE_NUMBERS = ("fleet_size", "me", "try_limit", "parallel")
+REQUIRED = [
     "grades",
     "grades[0].name",
     "grades[1].objective_ms",
@@ -93,21 +93,21 @@
 ]
 
 
-def configured(settings: object) -> Config:
-    return parse({**WHOLE_FILE, "settings": settings})
+def config_of(settings: object) -> Config:
+    return parse({**OTHER_FIELDS, "settings": settings})
 
 
-def at(path: str) -> tuple[dict, dict, str]:
-    """A copy of the settings, the object in it that holds a field, and the field."""
-    tree = copy.deepcopy(SETTINGS)
-    *way, last = path.replace("[", ".").replace("]", "").split(".")
-    holder = tree
-    for key in way:
-        holder = holder[int(key)] if key.isdigit() else holder[key]
-    return tree, holder, last
+def copy_with_parent(path: str) -> tuple[dict, dict, str]:
+    """A copy of the settings, the object in it that contains a field, and the name of the field."""
+    changed = copy.deepcopy(SETTINGS)
+    *parents, last = path.replace("[", ".").replace("]", "").split(".")
+    parent = changed
+    for key in parents:
+        parent = parent[int(key)] if key.isdigit() else parent[key]
+    return changed, parent, last
 
 
-def read_fields() -> list[str]:
+def field_paths() -> list[str]:
     """The paths of all fields that a gateway reads."""
     return [
         *fields.TOP_LEVEL_FIELDS,
@@ -117,57 +117,57 @@
     ]
 
 
-@pytest.mark.parametrize("path", [*read_fields(), "grades", "packages"])
-def test_a_value_of_a_wrong_type_or_out_of_range_is_named(path: str) -> None:
-    tree, holder, last = at(path)
-    assert configured(tree).settings.fleet_size == 4
-    wrong = [value for value in WRONG if not (last == "name" and isinstance(value, str) and value)]
-    wrong += [7 if isinstance(holder[last], bool | str) else True, *([0.5] if last in WHOLE else [])]
+@pytest.mark.parametrize("path", [*field_paths(), "grades", "packages"])
+def test_a_value_of_a_wrong_type_or_out_of_range_is_refused_with_its_path(path: str) -> None:
+    changed, parent, last = copy_with_parent(path)
+    assert config_of(changed).settings.fleet_size == 4
+    wrong = [value for value in INVALID if not (last == "name" and isinstance(value, str) and value)]
+    wrong += [7 if isinstance(parent[last], bool | str) else True, *([0.5] if last in WHOLE_NUMBERS else [])]
     for value in wrong:
-        holder[last] = value
+        parent[last] = value
         with pytest.raises(ConfigError) as caught:
-            configured(tree)
+            config_of(changed)
         assert str(caught.value).startswith(f"settings: {path}: ") and "\n" not in str(caught.value)
 
 
-@pytest.mark.parametrize("path", MISSING)
-def test_what_has_no_safe_default_must_be_there(path: str) -> None:
-    tree, holder, last = at(path)
-    del holder[last]
+@pytest.mark.parametrize("path", REQUIRED)
+def test_fields_without_a_safe_default_are_required(path: str) -> None:
+    changed, parent, last = copy_with_parent(path)
+    del parent[last]
     with pytest.raises(ConfigError, match="is missing$") as caught:
-        configured(tree)
+        config_of(changed)
     assert str(caught.value) == f"settings: {path}: is missing"
 
 
-def test_names_are_told_apart_and_a_place_lies_in_its_fleet() -> None:
-    for path, value, said in (
+def test_names_must_differ_and_the_index_must_be_within_the_fleet() -> None:
+    for path, value, message in (
         ("grades[1].name", "view", "grades[1].name: two have the name 'view'"),
         ("me", 4, "me: must be under fleet_size, which is 4"),
         ("fleet_size", 1, "me: must be under fleet_size, which is 1"),
     ):
-        tree, holder, last = at(path)
-        holder[last] = value
+        changed, parent, last = copy_with_parent(path)
+        parent[last] = value
         with pytest.raises(ConfigError) as caught:
-            configured(tree)
-        assert str(caught.value) == f"settings: {said}"
+            config_of(changed)
+        assert str(caught.value) == f"settings: {message}"
 
 
-def test_a_bad_file_at_sighup_is_turned_down_by_the_same_words(tmp_path) -> None:
+def test_a_reload_of_an_invalid_file_is_refused_with_the_same_message(tmp_path) -> None:
     path = tmp_path / "config.json"
-    tree, holder, last = at("packages[0].refill")
-    path.write_text(json.dumps({**WHOLE_FILE, "settings": SETTINGS}))
+    changed, parent, last = copy_with_parent("packages[0].refill")
+    path.write_text(json.dumps({**OTHER_FIELDS, "settings": SETTINGS}))
     environ = {"ROUTER_CONFIG": str(path)}
     first = load(environ)
-    holder[last] = "plenty"
-    path.write_text(json.dumps({**WHOLE_FILE, "settings": tree}))
+    parent[last] = "plenty"
+    path.write_text(json.dumps({**OTHER_FIELDS, "settings": changed}))
     with pytest.raises(ConfigError) as caught:
         reload(environ, first)
     assert str(caught.value) == "settings: packages[0].refill: 'plenty' is not a number from 0 to 1e+12"
 
 
 @pytest.mark.parametrize("value", [[], {}, None, 1])
-def test_a_lifecycle_that_is_no_word_gets_no_new_work(value: object) -> None:
-    listing = parse_listing({"generation": 1, "reset": True, "instances": [{**LISTED, "lifecycle": value}]})
+def test_a_server_with_an_invalid_lifecycle_is_draining(value: object) -> None:
+    listing = parse_listing({"generation": 1, "reset": True, "instances": [{**INSTANCE, "lifecycle": value}]})
     assert listing.servers[0].status == "draining"
 
 
@@ -181,6 +181,6 @@
         ("cell", 1e400),
     ],
 )
-def test_a_listing_with_no_finite_number_is_refused_whole(key: str, value: object) -> None:
+def test_a_listing_with_an_infinite_number_is_refused(key: str, value: object) -> None:
     with pytest.raises(ValueError, match="^s: cell, weight or startedAtMs is not a number$"):
-        parse_listing({"generation": 1, "reset": True, "instances": [{**LISTED, key: value}]})
+        parse_listing({"generation": 1, "reset": True, "instances": [{**INSTANCE, key: value}]})
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the gateway in this process: what cannot be brought about from outside for certain."""
+"""Components of the gateway in the test process, for cases that are hard to provoke from outside."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Script:
-    """Stands in for the module: records events and plays actions."""
+    """Replaces the decision module: records events and returns the planned actions."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.events: list[api.Event] = []
@@ -64,11 +64,11 @@
         return [e.result for e in self.events if isinstance(e, api.Outcome)]
 
 
-class Answers:
-    """A client that notes what it is answered."""
+class RecordingClient:
+    """A client that records the status of its answers."""
 
     def __init__(self) -> None:
-        self.got: asyncio.Queue[int] = asyncio.Queue()
+        self.statuses: asyncio.Queue[int] = asyncio.Queue()
 
     def has_disconnected(self) -> bool:
         return False
@@ -76,10 +76,10 @@
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        self.got.put_nowait(status)
+        self.statuses.put_nowait(status)
 
 
-def an_order(deadline_ms: float = 5000) -> ClientRequest:
+def a_request(deadline_ms: float = 5000) -> ClientRequest:
     pay = api.RequestClass("pay", 3000, 6000, effect="unsafe")
     return ClientRequest(
         "a",
@@ -97,7 +97,7 @@
 
 
 async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[Core, Script]:
-    """A core whose module is a script and whose one host is `s-0`; discovery does not answer."""
+    """A core whose decision module is a script and whose only server is `s-0`. Discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
     await host.start()
     config = parse(
@@ -115,14 +115,16 @@
     return core, core._gateway
 
 
-def test_guard_answers_in_time_and_nothing_follows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_deadline_guard_answers_in_time_and_later_actions_have_no_effect(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        client, started = Answers(), time.monotonic()
-        script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]  # still out when the guard answers
-        core.request(client, an_order(300))
-        assert await client.got.get() == 504
+        client, started = RecordingClient(), time.monotonic()
+        script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]  # still in progress when the guard answers
+        core.request(client, a_request(300))
+        assert await client.statuses.get() == 504
         assert time.monotonic() - started < 0.3
         assert script.events[-1] == api.ClientLeft("r1")
         assert len(host.seen) == 1
@@ -130,111 +132,113 @@
         core._post(api.TimerDue("late"))
         assert script.outcomes() == [api.START_EXPIRED]
         await asyncio.sleep(0.05)
-        assert client.got.empty() and len(host.seen) == 1
+        assert client.statuses.empty() and len(host.seen) == 1
         host.stop()
 
     on_loop(scenario)
 
 
-def test_what_comes_whole_after_the_last_answers_of_a_drain_is_refused_and_not_begun(
+def test_a_request_that_completes_after_the_last_answers_of_a_drain_is_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Between the answers that a drain ends with and SIGKILL nothing could be answered in time."""
+    """Between the last answers of a drain and SIGKILL there is no time left for a new request."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        early, late = Answers(), Answers()
+        early, late = RecordingClient(), RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
-        core.request(early, an_order())
+        core.request(early, a_request())
         await host.until(lambda fake: bool(fake.seen))
         core.fail_all()
-        assert early.got.get_nowait() == 504
+        assert early.statuses.get_nowait() == 504
         count = len(script.events)
-        core.request(late, an_order())  # its first bytes came while the drain still took some
-        assert late.got.get_nowait() == 503 and len(script.events) == count and not core._claims
+        # Its first bytes arrived while the drain still accepted requests.
+        core.request(late, a_request())
+        assert late.statuses.get_nowait() == 503 and len(script.events) == count and not core._claims
         assert core.stats.requests() == 2
         host.stop()
 
     on_loop(scenario)
 
 
-def test_nothing_begins_once_the_client_has_left_though_the_settings_forbid_to_cancel(
+def test_an_attempt_is_not_sent_after_its_client_disconnected_even_without_cancelling(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A link that comes up for a client who left is kept for the next one, in either order of the two."""
+    """A link dialled for a client that disconnected is kept and used for the next request."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
-        rid = core.request(Answers(), an_order())  # its dial is under way: the loop has not turned yet
+        # The loop does not run before the client disconnects, so the dial is in progress.
+        rid = core.request(RecordingClient(), a_request())
         core.client_disconnected(rid)
         assert script.outcomes() == [api.CANCELLED] and not core._requests
         assert [e.final for e in script.events if isinstance(e, api.Outcome)] == [True]
-        client = Answers()
+        client = RecordingClient()
         script.plan[api.Request] = [api.Send("r2", "s-0", 1000)]
-        head = an_order().head.replace(b"Id: a", b"Id: b")
-        core.request(client, dataclasses.replace(an_order(), head=head))
-        assert await client.got.get() == 200
+        head = a_request().head.replace(b"Id: a", b"Id: b")
+        core.request(client, dataclasses.replace(a_request(), head=head))
+        assert await client.statuses.get() == 200
         assert [seen.headers["x-request-id"] for seen in host.seen] == ["b"]
         host.stop()
 
     on_loop(scenario)
 
 
-def test_a_module_that_raises_loses_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_decision_module_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        broken, served = Answers(), Answers()
+        broken, served = RecordingClient(), RecordingClient()
         script.plan[api.Request] = RuntimeError("broken")
-        core.request(broken, an_order())
-        assert await broken.got.get() == 500
+        core.request(broken, a_request())
+        assert await broken.statuses.get() == 500
         script.plan[api.Request] = [api.Send("r2", "s-0", 1000)]
-        core.request(served, an_order())
-        assert await served.got.get() == 200
+        core.request(served, a_request())
+        assert await served.statuses.get() == 200
         host.stop()
 
     on_loop(scenario)
 
 
-def test_every_send_has_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_send_has_exactly_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        client = Answers()
+        client = RecordingClient()
         script.plan[api.Request] = [
             api.Send("r1", "s-0", 1000),
             api.Send("r1", "nowhere", 1000),
             api.Send("r1", "s-0", 1000),
-        ]  # the third is beyond the limit of two
-        core.request(client, an_order())
+        ]  # the third exceeds try_limit
+        core.request(client, a_request())
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED]
         await host.until(lambda fake: bool(fake.seen))
         script.plan[api.TimerDue] = [api.Cancel("r1", 0), api.Cancel("r1", 0), api.Fail("r1")]
         core._post(api.TimerDue("cancel"))
         await host.until(lambda fake: fake.closed == 1)
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED, api.CANCELLED]
-        assert await client.got.get() == 502
+        assert await client.statuses.get() == 502
         assert not core._requests
         host.stop()
 
     on_loop(scenario)
 
 
-def test_a_stall_is_not_told_as_the_hosts_latency(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stall_of_the_loop_does_not_count_as_latency_of_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         await asyncio.sleep(0.1)
         script.plan[api.Request] = [api.Send("r1", "s-0", 3000)]
-        client = Answers()
-        core.request(client, an_order())
+        client = RecordingClient()
+        core.request(client, a_request())
         await host.until(lambda fake: any("/api/" in s.line for s in fake.seen))
         os.write(host.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
-        time.sleep(0.6)  # the answer lies unread meanwhile
-        assert await client.got.get() == 200
+        time.sleep(0.6)  # a stall, during which the answer lies unread
+        assert await client.statuses.get() == 200
         (outcome,) = [e for e in script.events if isinstance(e, api.Outcome)]
         assert outcome.took_ms < 400
         host.stop()
@@ -242,12 +246,13 @@
     on_loop(scenario)
 
 
-def test_an_idle_client_gives_its_place_to_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idle_client_is_closed_in_favour_of_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         monkeypatch.setattr(clients_module, "SPARE_S", 0.0)
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)  # room for two clients
+        # Four descriptors leave room for two clients.
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)
         address = server.start((LOOP, 0))
         server.accept()
         kept = []
@@ -257,18 +262,19 @@
             writer.write(message())
             await read_message(reader, writer)
             kept.append(reader)
-        assert await kept[0].read() == b""  # the one that stood idle longest was closed
+        assert await kept[0].read() == b""  # the one that was idle longest is closed
         server.stop_accepting()
         host.stop()
 
     on_loop(scenario)
 
 
-def test_answers_end_their_connection_only_while_places_are_short(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_answers_close_their_connection_only_when_close_to_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)  # room for ten clients
+        # Twenty descriptors leave room for ten clients.
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)
         address = server.start((LOOP, 0))
         server.accept()
         closes, kept = [], []
@@ -285,10 +291,10 @@
     on_loop(scenario)
 
 
-def test_a_last_answer_arrives_whole_though_bytes_come_in_the_instant_of_its_close(
+def test_a_last_answer_arrives_complete_though_bytes_arrive_as_the_connection_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A close over bytes that nobody read resets the connection, and with it what is on its way."""
+    """Closing a socket with unread bytes resets the connection, which loses the answer in its buffers."""
 
     async def scenario() -> None:
         host = Fake(lambda seen: None)
@@ -304,7 +310,7 @@
             while not any(c._open for c in server.connections):
                 await asyncio.sleep(0)
             core.draining = True
-            client.send(b"GET /half a li")  # it lies unread as the last answer is written and the end begins
+            client.send(b"GET /half a li")  # unread when the last answer is written
             (connection,) = server.connections
             connection.answer(200, b"x" * 60_000)
             got = b""
@@ -317,15 +323,16 @@
     on_loop(scenario)
 
 
-def test_what_brings_no_request_gives_way_before_what_may(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_are_closed_before_those_with_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)  # room for five clients
+        # Ten descriptors leave room for five clients.
+        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)
         address = server.start((LOOP, 0))
         server.accept()
         opened = [await asyncio.open_connection(*address) for _ in range(4)]
-        for i in (0, 2):  # one with a request that is open, one that has just brought the half of one
+        for i in (0, 2):  # one has an open request, one has sent half of a request
             opened[i][1].write(message()[: None if i == 0 else 40])
         while {c.state() for c in server.connections} != {"open", "reading", "silent"}:
             await asyncio.sleep(0.01)
@@ -334,7 +341,7 @@
         newer = [await asyncio.open_connection(*address) for _ in range(2)]
         for i in (1, 3):
             with contextlib.suppress(ConnectionResetError):
-                assert await opened[i][0].read() == b""  # the silent ones went
+                assert await opened[i][0].read() == b""  # the silent ones are closed
         assert not opened[0][0].at_eof() and not opened[2][0].at_eof()
         for _, writer in opened + newer:
             writer.close()
@@ -344,8 +351,8 @@
     on_loop(scenario)
 
 
-class Told:
-    """Notes how attempts end."""
+class ResultRecorder:
+    """Owner of attempts that passes on how they end."""
 
     def __init__(self, note: Callable[[str], None]) -> None:
         self._note = note
@@ -361,7 +368,7 @@
 
 
 class BreakingLoop:
-    """The loop, but its first connections are lost before their dial's callback runs."""
+    """An event loop whose first connections are lost before the callback of their dial runs."""
 
     def __init__(self, times: int) -> None:
         self._loop, self._left = asyncio.get_running_loop(), times
@@ -379,16 +386,16 @@
         return transport, protocol
 
 
-def test_a_connection_that_breaks_as_it_is_dialled_never_ran() -> None:
+def test_an_attempt_on_a_connection_lost_while_dialled_is_reported_as_not_sent() -> None:
     async def scenario() -> None:
         host = await Fake(lambda seen: reply(b"served")).start()
         ended: asyncio.Queue[str] = asyncio.Queue()
-        hosts = AttemptRunner(BreakingLoop(1), 8, 250, 15000, Told(ended.put_nowait))
-        hosts.pool.update_servers({"s-0": (LOOP, host.port)}, set())
+        runner = AttemptRunner(BreakingLoop(1), 8, 250, 15000, ResultRecorder(ended.put_nowait))
+        runner.pool.update_servers({"s-0": (LOOP, host.port)}, set())
         for result in (api.CONNECT_FAILED, api.OK):
-            hosts.send(Attempt("r1", 0, "s-0", an_order().head + b"\r\n", 0.0), 60)
+            runner.send(Attempt("r1", 0, "s-0", a_request().head + b"\r\n", 0.0), 60)
             assert await ended.get() == result
-        hosts.pool.stop()
+        runner.pool.stop()
         host.stop()
 
     on_loop(scenario)
@@ -406,16 +413,16 @@
         (b"util=\xff", {}),
     ],
 )
-def test_a_load_report_reaches_the_module(
+def test_a_load_report_reaches_the_decision_module(
     monkeypatch: pytest.MonkeyPatch, header: bytes, report: dict[str, float]
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
         core, script = await core_with(monkeypatch, host)
-        client = Answers()
+        client = RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
-        core.request(client, an_order(5000))
-        assert await client.got.get() == 200
+        core.request(client, a_request(5000))
+        assert await client.statuses.get() == 200
         await asyncio.sleep(0)
         assert [e.load_report for e in script.events if isinstance(e, api.Outcome)] == [report]
         host.stop()
@@ -423,28 +430,28 @@
     on_loop(scenario)
 
 
-def test_our_own_want_of_room_is_not_the_hosts_failure() -> None:
+def test_a_lack_of_descriptors_is_no_failure_of_the_server() -> None:
     async def scenario() -> None:
         ended: asyncio.Queue[str] = asyncio.Queue()
-        hosts = AttemptRunner(asyncio.get_running_loop(), 0, 25, 15000, Told(ended.put_nowait))
-        hosts.pool.update_servers({"s-0": (LOOP, 1)}, set())
-        hosts.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
-        assert await ended.get() == api.START_EXPIRED  # after a wait for room
+        runner = AttemptRunner(asyncio.get_running_loop(), 0, 25, 15000, ResultRecorder(ended.put_nowait))
+        runner.pool.update_servers({"s-0": (LOOP, 1)}, set())
+        runner.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
+        assert await ended.get() == api.START_EXPIRED  # after waiting for a free descriptor
 
     on_loop(scenario)
 
 
-def test_a_reload_that_shrinks_the_limits_holds_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reload_with_lower_limits_takes_effect_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, host)
-        client = Answers()
+        client = RecordingClient()
         for n in range(30):
             script.plan[api.Request] = [api.Send(f"r{n + 1}", "s-0", 5000)]
-            core.request(client, an_order())
+            core.request(client, a_request())
         script.links = lambda name: 40
         for _ in range(30):
-            await client.got.get()
+            await client.statuses.get()
         while core._pool.metrics()["links_dialling"]:
             await asyncio.sleep(0.001)
         open_before = core._pool.metrics()["links_idle"]
@@ -471,32 +478,32 @@
     on_loop(scenario)
 
 
-def test_the_watch_goes_on_after_a_connection_that_breaks_as_it_is_dialled() -> None:
+def test_the_watch_continues_after_a_connection_lost_while_dialled() -> None:
     async def scenario() -> None:
         agent = Directory([instance("s-0", 1)])
         await agent.fake.start()
-        told: asyncio.Queue[Listing] = asyncio.Queue()
-        discovery = Discovery(BreakingLoop(1), (LOOP, agent.fake.port), told.put_nowait)
+        listings: asyncio.Queue[Listing] = asyncio.Queue()
+        discovery = Discovery(BreakingLoop(1), (LOOP, agent.fake.port), listings.put_nowait)
         discovery.start()
-        assert (await told.get()).addresses == {"s-0": (LOOP, 1)}
+        assert (await listings.get()).addresses == {"s-0": (LOOP, 1)}
         discovery.stop()
         agent.fake.stop()
 
     on_loop(scenario)
 
 
-def test_a_watch_that_was_turned_away_asks_again_for_what_is_new_only() -> None:
+def test_a_refused_watch_requests_only_the_delta_again() -> None:
     async def scenario() -> None:
         agent = Directory([instance("s-0", 1)])
         await agent.fake.start()
-        told: asyncio.Queue[Listing] = asyncio.Queue()
+        listings: asyncio.Queue[Listing] = asyncio.Queue()
         discovery = Discovery(
-            asyncio.get_running_loop(), (LOOP, agent.fake.port), told.put_nowait, known_generation=7
+            asyncio.get_running_loop(), (LOOP, agent.fake.port), listings.put_nowait, known_generation=7
         )
         discovery.start()
         await agent.answer_watch(lambda: reply(status=503))
         await agent.answer_watch(lambda: reply(b'{"generation":9,"reset":false,"instances":[]}'))
-        assert (await told.get()).generation == 9
+        assert (await listings.get()).generation == 9
         await agent.fake.until(lambda fake: len(fake.seen) == 3)
         assert [seen.line.split("?")[1].split("&")[0] for seen in agent.fake.seen] == [
             "after=7",
@@ -509,68 +516,73 @@
     on_loop(scenario)
 
 
-@pytest.mark.parametrize(("told_ms", "aim_ms", "wait_ms"), [(50, 3000, 180), (50, 600, 50), (None, 100, 50)])
-def test_a_call_to_the_counter_may_take_what_the_aims_can_spare(
-    told_ms: float | None, aim_ms: float, wait_ms: float
+@pytest.mark.parametrize(
+    ("configured_ms", "objective_ms", "wait_ms"), [(50, 3000, 180), (50, 600, 50), (None, 100, 50)]
+)
+def test_the_counter_timeout_follows_from_the_shortest_objective(
+    configured_ms: float | None, objective_ms: float, wait_ms: float
 ) -> None:
     raw = {
         "listen": f"{LOOP}:1",
         "discovery": f"{LOOP}:2",
         "seed": "1",
         "settings": {
-            "grades": [{**GRADES[0], "objective_ms": aim_ms}, {**GRADES[1], "objective_ms": 5500.0}],
+            "grades": [{**GRADES[0], "objective_ms": objective_ms}, {**GRADES[1], "objective_ms": 5500.0}],
             "packages": PACKAGES,
-            "family_info": {} if told_ms is None else {"count_wait_ms": told_ms},
+            "family_info": {} if configured_ms is None else {"count_wait_ms": configured_ms},
         },
     }
     assert parse(raw).settings.count_wait_ms == pytest.approx(wait_ms)
 
 
 @pytest.mark.parametrize("size", [3, 40, 200])
-def test_a_fleet_that_is_turned_away_comes_back_spread_out_and_in_time(size: int) -> None:
-    """Told 6 s after discovery could be reached: nobody may be without a call for longer than that allows."""
+def test_the_retries_of_a_refused_fleet_are_spread_out_and_in_time(size: int) -> None:
+    """A change must be known 6 s after discovery is reachable again, which limits the gap between dials."""
     loop, dials = VirtualLoop(), [[] for _ in range(size)]
     for n in range(size):
-        Discovery(Noting(loop, dials[n]), (LOOP, 1), lambda listing: None, 1, size, random.Random(n)).start()
+        Discovery(
+            DialRecordingLoop(loop, dials[n]), (LOOP, 1), lambda listing: None, 1, size, random.Random(n)
+        ).start()
     loop.run(30.0)
     gaps = [later - at for own in dials for at, later in itertools.pairwise([*own, 30.0])]
-    assert (
-        ON_REQUEST_TIMEOUTS.silent_s + max(gaps) < 5.1
-    )  # a call that hangs as discovery returns, then the longest rest
-    rate = size / (
-        ON_REQUEST_TIMEOUTS.backoff_s / 2
-    )  # of the whole fleet: each rests half of the longest, in the mean
+    # The longest time without a request: one that hangs as discovery returns, then the longest backoff.
+    assert ON_REQUEST_TIMEOUTS.silent_s + max(gaps) < 5.1
+    # Dials per second of the whole fleet, as the mean backoff is half of the longest.
+    rate = size / (ON_REQUEST_TIMEOUTS.backoff_s / 2)
     late = sorted(at for own in dials for at in own if at >= 3)
     assert len(late) <= 27 * 1.1 * rate
     together = max(sum(at <= dial < at + 0.1 for dial in late) for at in late)
-    assert together <= max(0.1 * rate + 5 * (0.1 * rate) ** 0.5, 4)  # chance, in thousands of such spans
+    # Allows for random variation over thousands of such spans.
+    assert together <= max(0.1 * rate + 5 * (0.1 * rate) ** 0.5, 4)
 
 
 @pytest.mark.parametrize(("timeouts", "within_s"), [(ON_REQUEST_TIMEOUTS, 2.0 + 1.0), (PUSHED_TIMEOUTS, 1.0)])
-def test_a_silent_watch_is_opened_anew_before_what_it_misses_has_to_be_known(
+def test_a_silent_watch_is_opened_again_before_a_missed_change_must_be_known(
     timeouts: WatchTimeouts, within_s: float
 ) -> None:
-    """Told 2 s after the wait is over; after that the settings leave a second and more for the last sends."""
+    """A change must be known 2 s after the long poll ends. After that the settings leave a second or more
+    for the last sends.
+    """
     for n in range(40):
         loop = VirtualLoop()
-        agent = VirtualServer(loop, 1, answer_s=None)  # takes calls and says nothing more
+        agent = VirtualServer(loop, 1, answer_s=None)  # accepts connections but never answers
         Discovery(loop, ("h", 1), lambda listing: None, 7, 200, random.Random(n), timeouts=timeouts).start()
         loop.run(30.0)
         first, second = loop.dials[:2]
         assert len(agent.requests) >= 2 and second - first - 0.05 <= within_s
-        rests = [later - at - 0.05 - timeouts.silent_s for at, later in itertools.pairwise(loop.dials)]
-        assert max(rests) <= timeouts.backoff_s + 0.1
+        backoffs_s = [later - at - 0.05 - timeouts.silent_s for at, later in itertools.pairwise(loop.dials)]
+        assert max(backoffs_s) <= timeouts.backoff_s + 0.1
 
 
-class Noting:
-    """A loop that notes who dials."""
+class DialRecordingLoop:
+    """A loop that records the times of its dials."""
 
     def __init__(self, loop: VirtualLoop, dials: list[float]) -> None:
         self._loop, self._dials = loop, dials
 
-    def create_connection(self, *how: object) -> object:
+    def create_connection(self, *args: object) -> object:
         self._dials.append(self._loop.now)
-        return self._loop.create_connection(*how)
+        return self._loop.create_connection(*args)
 
     def __getattr__(self, name: str) -> object:
         return getattr(self._loop, name)
@@ -581,24 +593,24 @@
 ) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
-    got: asyncio.Queue[api.CountReply] = asyncio.Queue()
-    counter = Counter(loop or asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, got.put_nowait)
-    return counter, got
+    replies: asyncio.Queue[api.CountReply] = asyncio.Queue()
+    counter = Counter(loop or asyncio.get_running_loop(), (LOOP, fake.port), wait_ms, replies.put_nowait)
+    return counter, replies
 
 
-def test_a_late_answer_is_not_taken_for_the_next_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_late_answer_of_the_counter_is_not_taken_for_the_next_call(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
-        counter, got = await counter_with(monkeypatch, fake, 400)
+        counter, replies = await counter_with(monkeypatch, fake, 400)
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).result == api.TIMED_OUT
+        assert (await replies.get()).result == api.TIMED_OUT
         counter.call(api.Count("b", -2.5, 4000.4))
         await fake.until(lambda fake: len(fake.seen) == 2)
         assert fake.seen[1].line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
         fake.seen[0].writer.write(reply(b"7") + reply(b"9"))
-        answer = await got.get()
+        answer = await replies.get()
         assert (answer.name, answer.result, answer.total) == ("b", api.OK, 9)
-        assert got.empty()
+        assert replies.empty()
         counter.stop()
         fake.stop()
 
@@ -608,50 +620,50 @@
 @pytest.mark.parametrize(
     ("behave", "result"),
     [
-        (lambda seen: b"", api.TIMED_OUT),  # broken after the call was written: it may have been added
+        (lambda seen: b"", api.TIMED_OUT),  # lost after the call was written: it may have been counted
         (lambda seen: reply(b"", 503), api.FULL),
         (lambda seen: reply(b"many"), api.TIMED_OUT),
         (lambda seen: reply(b"nan"), api.TIMED_OUT),
     ],
 )
-def test_what_a_counter_call_comes_to(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
+def test_results_of_counter_calls(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
     async def scenario() -> None:
         fake = Fake(behave)
-        counter, got = await counter_with(monkeypatch, fake, 5000)
+        counter, replies = await counter_with(monkeypatch, fake, 5000)
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).result == result
-        assert got.empty()
+        assert (await replies.get()).result == result
+        assert replies.empty()
         counter.stop()
         fake.stop()
 
     on_loop(scenario)
 
 
-def test_the_counter_is_dialled_again_after_a_connection_that_breaks_as_it_is_dialled(
+def test_the_counter_is_dialled_again_after_a_connection_lost_while_dialled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         fake = Fake(lambda seen: reply(b"1"))
-        counter, got = await counter_with(monkeypatch, fake, 5000, BreakingLoop(1))
+        counter, replies = await counter_with(monkeypatch, fake, 5000, BreakingLoop(1))
         for result in (api.CONNECT_FAILED, api.OK):
             counter.call(api.Count("a", 1, 1000))
-            assert (await got.get()).result == result
+            assert (await replies.get()).result == result
         counter.stop()
         fake.stop()
 
     on_loop(scenario)
 
 
-def test_a_counter_connection_that_tells_no_number_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_counter_connection_with_an_invalid_answer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         fake = Fake(lambda seen: reply(b"many"))
-        counter, got = await counter_with(monkeypatch, fake, 5000)
+        counter, replies = await counter_with(monkeypatch, fake, 5000)
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).result == api.TIMED_OUT
+        assert (await replies.get()).result == api.TIMED_OUT
         await fake.until(lambda fake: fake.closed == 1)
         fake.behave = lambda seen: reply(b"2")
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).total == 2
+        assert (await replies.get()).total == 2
         counter.stop()
         fake.stop()
 
@@ -659,13 +671,13 @@
 
 
 def test_a_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A counter that is cut off leaves its connection open; the calls must not go there for ever."""
+    """The connection to an unreachable counter stays open, and calls must not be written to it forever."""
 
     async def scenario() -> None:
         fake = Fake(lambda seen: None)
-        counter, got = await counter_with(monkeypatch, fake, 30)
+        counter, replies = await counter_with(monkeypatch, fake, 30)
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).result == api.TIMED_OUT
+        assert (await replies.get()).result == api.TIMED_OUT
         await fake.until(lambda fake: fake.closed == 1)
         fake.behave = lambda seen: reply(b"1")
         counter.call(api.Count("a", 1, 1000))
@@ -677,21 +689,21 @@
     on_loop(scenario, 10)
 
 
-def test_a_counter_that_refuses_added_nothing_and_comes_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_to_a_refusing_counter_fails_and_later_calls_succeed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         def behave(seen: Seen) -> bytes:
             return reply(b"1")
 
         fake = Fake(behave)
-        counter, got = await counter_with(monkeypatch, fake, 5000)
+        counter, replies = await counter_with(monkeypatch, fake, 5000)
         fake.stop()
         await fake.server.wait_closed()
         counter.call(api.Count("a", 1, 1000))
-        assert (await got.get()).result == api.CONNECT_FAILED
+        assert (await replies.get()).result == api.CONNECT_FAILED
         fake.server = await asyncio.start_server(fake._serve, LOOP, fake.port)
-        while True:  # calls in its rest fail at once; then it dials again
+        while True:  # calls during the backoff fail at once; then it is dialled again
             counter.call(api.Count("a", 1, 1000))
-            if (await got.get()).result == api.OK:
+            if (await replies.get()).result == api.OK:
                 break
             await asyncio.sleep(0.01)
         counter.stop()
