--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -433,13 +433,13 @@
 def test_a_streamed_body_whose_dial_failed_reaches_a_second_server_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"ok"), lambda seen: reply(b"ok")) as rig:
-            gone, here = rig.hosts
-            gone.stop()  # it is still in the list
+            stopped, running = rig.hosts
+            stopped.stop()  # it is still in the list
             body = bytes(range(256)) * 1000
             for n in range(8):
                 rid = b"body-%d" % n
                 assert await rig.status(message("put", body=body, rid=rid)) == 200
-            assert [seen.body for seen in here.seen] == [body] * 8 and not gone.seen
+            assert [seen.body for seen in running.seen] == [body] * 8 and not stopped.seen
             assert (await rig.metrics())['gateway_dials_total{result="failed"}'] >= 1
 
     on_loop(scenario)
@@ -465,23 +465,23 @@
 def test_a_streamed_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
-    host = d.gateway.servers["h0"]
-    assert host.open == 1
+    server = d.gateway.servers["h0"]
+    assert server.open == 1
     d.give(api.StreamStarted(rid, 0))
-    assert host.open == 0
+    assert server.open == 0
     assert not of(d.end(rid, api.RESET), api.Send)  # and it is not retried
-    assert host.open == 0 and not d.gateway.open_requests
+    assert server.open == 0 and not d.gateway.open_requests
 
 
 def test_an_upload_in_progress_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
-    host = d.gateway.servers["h0"]
-    assert host.open == 0
+    server = d.gateway.servers["h0"]
+    assert server.open == 0
     d.give(api.Uploaded("u"), 3000)
-    assert host.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
+    assert server.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
     d.give(api.Outcome("u", 0, "h0", api.OK, 20, True))
-    assert host.open == 0
+    assert server.open == 0
 
 
 def test_the_latency_of_a_streamed_answer_is_recorded_when_it_begins() -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -96,16 +96,16 @@
     )
 
 
-async def core_with(monkeypatch: pytest.MonkeyPatch, host: Fake) -> tuple[Core, Script]:
+async def core_with(monkeypatch: pytest.MonkeyPatch, fake_server: Fake) -> tuple[Core, Script]:
     """A core whose decision module is a script and whose only server is `s-0`. Discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
-    await host.start()
+    await fake_server.start()
     config = parse(
         {
             "listen": f"{LOOP}:0",
-            "discovery": f"{LOOP}:{host.port}",
+            "discovery": f"{LOOP}:{fake_server.port}",
             "seed": "1",
-            "known": {"generation": 1, "reset": True, "instances": [instance("s-0", host.port)]},
+            "known": {"generation": 1, "reset": True, "instances": [instance("s-0", fake_server.port)]},
             "settings": {"grades": GRADES, "packages": PACKAGES, "bounds": {"try_limit": 2}},
         }
     )
@@ -119,21 +119,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         client, started = RecordingClient(), time.monotonic()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]  # still in progress when the guard answers
         core.request(client, a_request(300))
         assert await client.statuses.get() == 504
         assert time.monotonic() - started < 0.3
         assert script.events[-1] == api.ClientLeft("r1")
-        assert len(host.seen) == 1
+        assert len(fake_server.seen) == 1
         script.plan[api.TimerDue] = [api.Send("r1", "s-0", 100), api.Refuse("r1"), api.Fail("r1")]
         core._post(api.TimerDue("late"))
         assert script.outcomes() == [api.START_EXPIRED]
         await asyncio.sleep(0.05)
-        assert client.statuses.empty() and len(host.seen) == 1
-        host.stop()
+        assert client.statuses.empty() and len(fake_server.seen) == 1
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -144,12 +144,12 @@
     """Between the last answers of a drain and SIGKILL there is no time left for a new request."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         early, late = RecordingClient(), RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         core.request(early, a_request())
-        await host.until(lambda fake: bool(fake.seen))
+        await fake_server.until(lambda fake: bool(fake.seen))
         core.fail_all()
         assert early.statuses.get_nowait() == 504
         count = len(script.events)
@@ -157,7 +157,7 @@
         core.request(late, a_request())
         assert late.statuses.get_nowait() == 503 and len(script.events) == count and not core._claims
         assert core.stats.requests() == 2
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -168,8 +168,8 @@
     """A link dialled for a client that disconnected is kept and used for the next request."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: reply(b"served"))
+        core, script = await core_with(monkeypatch, fake_server)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         # The loop does not run before the client disconnects, so the dial is in progress.
         rid = core.request(RecordingClient(), a_request())
@@ -181,16 +181,16 @@
         head = a_request().head.replace(b"Id: a", b"Id: b")
         core.request(client, dataclasses.replace(a_request(), head=head))
         assert await client.statuses.get() == 200
-        assert [seen.headers["x-request-id"] for seen in host.seen] == ["b"]
-        host.stop()
+        assert [seen.headers["x-request-id"] for seen in fake_server.seen] == ["b"]
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_an_exception_of_the_decision_module_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: reply(b"served"))
+        core, script = await core_with(monkeypatch, fake_server)
         broken, served = RecordingClient(), RecordingClient()
         script.plan[api.Request] = RuntimeError("broken")
         core.request(broken, a_request())
@@ -198,15 +198,15 @@
         script.plan[api.Request] = [api.Send("r2", "s-0", 1000)]
         core.request(served, a_request())
         assert await served.statuses.get() == 200
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_every_send_has_exactly_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         script.plan[api.Request] = [
             api.Send("r1", "s-0", 1000),
@@ -215,46 +215,46 @@
         ]  # the third exceeds try_limit
         core.request(client, a_request())
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED]
-        await host.until(lambda fake: bool(fake.seen))
+        await fake_server.until(lambda fake: bool(fake.seen))
         script.plan[api.TimerDue] = [api.Cancel("r1", 0), api.Cancel("r1", 0), api.Fail("r1")]
         core._post(api.TimerDue("cancel"))
-        await host.until(lambda fake: fake.closed == 1)
+        await fake_server.until(lambda fake: fake.closed == 1)
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED, api.CANCELLED]
         assert await client.statuses.get() == 502
         assert not core._requests
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_a_stall_of_the_loop_does_not_count_as_latency_of_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         await asyncio.sleep(0.1)
         script.plan[api.Request] = [api.Send("r1", "s-0", 3000)]
         client = RecordingClient()
         core.request(client, a_request())
-        await host.until(lambda fake: any("/api/" in s.line for s in fake.seen))
-        os.write(host.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
+        await fake_server.until(lambda fake: any("/api/" in s.line for s in fake.seen))
+        os.write(fake_server.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
         time.sleep(0.6)  # a stall, during which the answer lies unread
         assert await client.statuses.get() == 200
         (outcome,) = [e for e in script.events if isinstance(e, api.Outcome)]
         assert outcome.took_ms < 400
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_an_idle_client_is_closed_in_favour_of_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         monkeypatch.setattr(clients_module, "SPARE_S", 0.0)
         # Four descriptors leave room for two clients.
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)
-        address = server.start((LOOP, 0))
-        server.accept()
+        listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)
+        address = listener.start((LOOP, 0))
+        listener.accept()
         kept = []
         for i in range(6):
             reader, writer = await asyncio.open_connection(*address)
@@ -263,20 +263,20 @@
             await read_message(reader, writer)
             kept.append(reader)
         assert await kept[0].read() == b""  # the one that was idle longest is closed
-        server.stop_accepting()
-        host.stop()
+        listener.stop_accepting()
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_answers_close_their_connection_only_when_close_to_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         # Twenty descriptors leave room for ten clients.
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)
-        address = server.start((LOOP, 0))
-        server.accept()
+        listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)
+        address = listener.start((LOOP, 0))
+        listener.accept()
         closes, kept = [], []
         for i in range(10):
             reader, writer = await asyncio.open_connection(*address)
@@ -285,8 +285,8 @@
             writer.write(message())
             closes.append((await read_message(reader, writer)).headers.get("connection"))
         assert closes == [None] * 7 + ["close"] * 3
-        server.stop_accepting()
-        host.stop()
+        listener.stop_accepting()
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -297,46 +297,46 @@
     """Closing a socket with unread bytes resets the connection, which loses the answer in its buffers."""
 
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 200)
-        address = server.start((LOOP, 0))
-        server.accept()
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
+        listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 200)
+        address = listener.start((LOOP, 0))
+        listener.accept()
         with socket.socket() as client:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # the answer does not fit in it
             client.setblocking(False)
             await asyncio.get_running_loop().sock_connect(client, address)
             await asyncio.get_running_loop().sock_sendall(client, message())
-            while not any(c._open for c in server.connections):
+            while not any(c._open for c in listener.connections):
                 await asyncio.sleep(0)
             core.draining = True
             client.send(b"GET /half a li")  # unread when the last answer is written
-            (connection,) = server.connections
+            (connection,) = listener.connections
             connection.answer(200, b"x" * 60_000)
             got = b""
             while piece := await asyncio.get_running_loop().sock_recv(client, 2**16):
                 got += piece
         assert got.endswith(b"\r\n\r\n" + b"x" * 60_000) and b"Connection: close" in got
-        server.stop_accepting()
-        host.stop()
+        listener.stop_accepting()
+        fake_server.stop()
 
     on_loop(scenario)
 
 
 def test_silent_connections_are_closed_before_those_with_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: None)
+        core, script = await core_with(monkeypatch, fake_server)
         # Ten descriptors leave room for five clients.
-        server = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)
-        address = server.start((LOOP, 0))
-        server.accept()
+        listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)
+        address = listener.start((LOOP, 0))
+        listener.accept()
         opened = [await asyncio.open_connection(*address) for _ in range(4)]
         for i in (0, 2):  # one has an open request, one has sent half of a request
             opened[i][1].write(message()[: None if i == 0 else 40])
-        while {c.state() for c in server.connections} != {"open", "reading", "silent"}:
+        while {c.state() for c in listener.connections} != {"open", "reading", "silent"}:
             await asyncio.sleep(0.01)
-        for connection in server.connections:
+        for connection in listener.connections:
             connection.heard_at -= 10 * clients_module.STALE_S * (connection.state() == "silent")
         newer = [await asyncio.open_connection(*address) for _ in range(2)]
         for i in (1, 3):
@@ -345,8 +345,8 @@
         assert not opened[0][0].at_eof() and not opened[2][0].at_eof()
         for _, writer in opened + newer:
             writer.close()
-        server.stop_accepting()
-        host.stop()
+        listener.stop_accepting()
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -388,15 +388,15 @@
 
 def test_an_attempt_on_a_connection_lost_while_dialled_is_reported_as_not_sent() -> None:
     async def scenario() -> None:
-        host = await Fake(lambda seen: reply(b"served")).start()
+        fake_server = await Fake(lambda seen: reply(b"served")).start()
         ended: asyncio.Queue[str] = asyncio.Queue()
         runner = AttemptRunner(BreakingLoop(1), 8, 250, 15000, ResultRecorder(ended.put_nowait))
-        runner.pool.update_servers({"s-0": (LOOP, host.port)}, set())
+        runner.pool.update_servers({"s-0": (LOOP, fake_server.port)}, set())
         for result in (api.CONNECT_FAILED, api.OK):
             runner.send(Attempt("r1", 0, "s-0", a_request().head + b"\r\n", 0.0), 60)
             assert await ended.get() == result
         runner.pool.stop()
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -417,15 +417,15 @@
     monkeypatch: pytest.MonkeyPatch, header: bytes, report: dict[str, float]
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
+        core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         core.request(client, a_request(5000))
         assert await client.statuses.get() == 200
         await asyncio.sleep(0)
         assert [e.load_report for e in script.events if isinstance(e, api.Outcome)] == [report]
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
@@ -443,8 +443,8 @@
 
 def test_a_reload_with_lower_limits_takes_effect_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: reply(b"served"))
-        core, script = await core_with(monkeypatch, host)
+        fake_server = Fake(lambda seen: reply(b"served"))
+        core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         for n in range(30):
             script.plan[api.Request] = [api.Send(f"r{n + 1}", "s-0", 5000)]
@@ -459,7 +459,7 @@
             parse(
                 {
                     "listen": f"{LOOP}:0",
-                    "discovery": f"{LOOP}:{host.port}",
+                    "discovery": f"{LOOP}:{fake_server.port}",
                     "seed": "1",
                     "settings": {
                         "grades": GRADES,
@@ -473,7 +473,7 @@
         core.reconfigure(config)
         assert open_before == 8 and core._pool.metrics()["links_idle"] == 3
         assert core._pool.max_wait_s() == 0.03
-        host.stop()
+        fake_server.stop()
 
     on_loop(scenario)
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -160,7 +160,7 @@
 
 
 def test_an_attempt_is_not_written_after_its_start_deadline() -> None:
-    """Guards a key's window: no retry starts after it, whether the timer or the link comes first."""
+    """No retry may start after its key's window, whether the timer or the link comes first."""
     fleet = Fleet()
     server = fleet.server(1, dial_s=0.1, answer_s=0.08)
     attempt = Attempt("late", 1, "s1", b"GET /late HTTP/1.1\r\n\r\n", 0.0)
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -261,7 +261,11 @@
 
 
 def _count_wait_ms(settings: api.Settings) -> float:
-    """Time-out of calls to the counter. It answers every call eventually, so a short one only loses data."""
+    """Time-out of calls to the counter in milliseconds.
+
+    The counter answers every call, however late. Giving up while there is time left means to decide without
+    its answer.
+    """
     return max(settings.count_wait_ms, COUNT_WAIT_SHARE * min(c.objective_ms for c in settings.classes))
 
 
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -95,9 +95,9 @@
     customer: str
     time_left_ms: float
     units: float
-    width: int
-    first_gateway: int
-    repeat: bool
+    gateway_count: int  # gateways that this customer's requests may come through
+    first_gateway: int  # index of the first of them
+    is_retry: bool  # as marked by the client
     head: bytes  # request line and headers for the server, without X-Deadline
     body: bytes
     upload: Upload | None = None  # a body that is streamed, as it is too long to be buffered
@@ -391,9 +391,9 @@
                 client_request.customer,
                 left_ms - MODULE_MS,
                 client_request.units,
-                client_request.width,
+                client_request.gateway_count,
                 client_request.first_gateway,
-                client_request.repeat,
+                client_request.is_retry,
                 client_request.upload is None,
                 client_request.cls,
             )
