--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -453,7 +453,7 @@
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         connection.data_received(message())
         holds: list[bool] = []
-        connection.begin(None, b"", type("Link", (), {"hold": lambda link, held: holds.append(held)})())
+        connection.begin(None, b"", type("Link", (), {"pause": lambda link, held: holds.append(held)})())
         connection.more(b"all of it")
         assert True not in holds
         transport.full = True
