--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of bytes: what is held stays within it, nobody starves, and all is given back."""
+"""Memory budget: the held bytes stay within it, no stream starves, and all bytes are released."""
 
 from __future__ import annotations
 
@@ -7,180 +7,186 @@
 import pytest
 
 from yewstage.net import budget as budget_module
-from yewstage.net.budget import READ, STALL_S, TURN_S, MemoryAccount, MemoryBudget
+from yewstage.net.budget import READ_BYTES, STALL_TIMEOUT_S, TURN_TIMEOUT_S, MemoryAccount, MemoryBudget
 
-MOST = 40 * READ
+LIMIT_BYTES = 40 * READ_BYTES
 
 
-class Streams:
-    """A budget on a clock of the test's, and streams whose reading it stops."""
+class StreamBudget:
+    """A budget with a manual clock, and streams whose reading it pauses."""
 
-    def __init__(self, most: int = MOST) -> None:
+    def __init__(self, limit_bytes: int = LIMIT_BYTES) -> None:
         self.now = 0.0
-        self.budget = MemoryBudget(most, lambda: self.now)
-        self.stopped: dict[MemoryAccount, bool] = {}
+        self.budget = MemoryBudget(limit_bytes, lambda: self.now)
+        self.paused: dict[MemoryAccount, bool] = {}
         self.evicted: list[MemoryAccount] = []
 
     def open(self, use: str = "answers") -> MemoryAccount:
-        held = self.budget.open_account(use)
-        self.stopped[held] = False
-        held.begin(lambda stop: self.stopped.__setitem__(held, stop), lambda: self.evict(held))
-        return held
-
-    def evict(self, held: MemoryAccount) -> None:
-        self.evicted.append(held)
-        held.end()
-
-    def piece(self, held: MemoryAccount, size: int = READ) -> bool:
-        """A read of a stream, if it may read; its client takes nothing yet."""
-        if self.stopped[held]:
+        account = self.budget.open_account(use)
+        self.paused[account] = False
+        account.begin(
+            lambda is_paused: self.paused.__setitem__(account, is_paused), lambda: self.evict(account)
+        )
+        return account
+
+    def evict(self, account: MemoryAccount) -> None:
+        self.evicted.append(account)
+        account.end()
+
+    def read(self, account: MemoryAccount, size: int = READ_BYTES) -> bool:
+        """Read once unless the stream is paused; its client takes nothing yet. Returns whether it read."""
+        if self.paused[account]:
             return False
-        held.set(held.bytes + size)
+        account.set(account.bytes + size)
         return True
 
 
-def test_above_the_high_watermark_no_long_body_begins_and_small_requests_come_in() -> None:
-    s = Streams()
-    assert s.budget.admits_long()
-    while s.budget.admits_long():
-        s.piece(s.open())
-    assert s.budget.held <= budget_module.HIGH * MOST and not s.budget.admits_long()
-    assert s.budget.admits(64 * 1024)  # of the part that long bodies leave
-    small = s.budget.open_account("requests")
-    small.set(MOST - s.budget.held)
-    assert not s.budget.admits(1)
+def test_above_the_high_watermark_streams_are_refused_and_buffered_requests_admitted() -> None:
+    rig = StreamBudget()
+    assert rig.budget.admits_stream()
+    while rig.budget.admits_stream():
+        rig.read(rig.open())
+    assert rig.budget.held <= budget_module.HIGH_SHARE * LIMIT_BYTES and not rig.budget.admits_stream()
+    assert rig.budget.admits(64 * 1024)  # from the memory reserved above the watermark
+    small = rig.budget.open_account("requests")
+    small.set(LIMIT_BYTES - rig.budget.held)
+    assert not rig.budget.admits(1)
     small.end()
-    assert s.budget.admits(1) and s.budget.by_use()["requests"] == 0
+    assert rig.budget.admits(1) and rig.budget.by_use()["requests"] == 0
 
 
 @pytest.mark.parametrize("count", [10, 100, 1000])
-def test_what_is_held_stays_flat_however_many_streams_there_are(count: int) -> None:
-    s = Streams()
-    streams = [s.open() for _ in range(count)]
+def test_held_bytes_do_not_grow_with_the_number_of_streams(count: int) -> None:
+    rig = StreamBudget()
+    streams = [rig.open() for _ in range(count)]
     for _ in range(3):
-        for held in streams:
-            s.piece(held)
-    assert s.budget.held <= budget_module.HIGH * MOST + READ
-    assert s.budget.peak <= budget_module.HIGH * MOST + READ
+        for account in streams:
+            rig.read(account)
+    assert rig.budget.held <= budget_module.HIGH_SHARE * LIMIT_BYTES + READ_BYTES
+    assert rig.budget.peak <= budget_module.HIGH_SHARE * LIMIT_BYTES + READ_BYTES
 
 
 def test_under_pressure_streams_take_turns_and_none_starves() -> None:
-    s = Streams()
-    stuck = [s.open() for _ in range(30)]
-    for held in stuck:
-        s.piece(held)  # and takes nothing of it
-    quick = [s.open() for _ in range(20)]
-    for held in quick:
-        s.piece(held)
-    assert s.budget.tight
-    reads = dict.fromkeys(quick, 0)
+    rig = StreamBudget()
+    stalled = [rig.open() for _ in range(30)]
+    for account in stalled:
+        rig.read(account)  # its client reads nothing
+    fast = [rig.open() for _ in range(20)]
+    for account in fast:
+        rig.read(account)
+    assert rig.budget.is_under_pressure
+    reads = dict.fromkeys(fast, 0)
     for _ in range(400):
-        for held in quick:
-            if held.bytes:
-                held.set(0)  # its reader has taken all
-            reads[held] += s.piece(held)
-            assert s.budget.held <= MOST
+        for account in fast:
+            if account.bytes:
+                account.set(0)  # its client has read everything
+            reads[account] += rig.read(account)
+            assert rig.budget.held <= LIMIT_BYTES
     assert min(reads.values()) >= 0.9 * max(reads.values()) > 30
 
 
-def test_below_the_low_watermark_all_go_on() -> None:
-    s = Streams()
-    streams = [s.open() for _ in range(40)]
-    for held in streams:
-        s.piece(held)
-    assert s.budget.tight and all(s.stopped.values())
-    for held in streams[:30]:
-        held.set(0)
-    assert not s.budget.tight and not any(s.stopped.values()) and s.budget.admits_long()
-
-
-def test_a_turn_that_is_not_used_goes_to_the_next() -> None:
-    s = Streams()
-    full = [s.open() for _ in range(40)]
-    for held in full:
-        s.piece(held)
-    quiet = [s.open() for _ in range(3)]
-    full[0].set(0)
-    full[1].set(0)  # room for one read
+def test_below_the_low_watermark_all_streams_resume() -> None:
+    rig = StreamBudget()
+    streams = [rig.open() for _ in range(40)]
+    for account in streams:
+        rig.read(account)
+    assert rig.budget.is_under_pressure and all(rig.paused.values())
+    for account in streams[:30]:
+        account.set(0)
+    assert not rig.budget.is_under_pressure and not any(rig.paused.values()) and rig.budget.admits_stream()
+
+
+def test_an_unused_turn_passes_to_the_next_stream() -> None:
+    rig = StreamBudget()
+    filled = [rig.open() for _ in range(40)]
+    for account in filled:
+        rig.read(account)
+    unused = [rig.open() for _ in range(3)]
+    filled[0].set(0)
+    filled[1].set(0)  # room for one read
     turns = []
     for _ in range(30):
-        turns += [held for held, stopped in s.stopped.items() if not stopped]
-        s.now += TURN_S + 0.01
-        s.budget.check()
-    assert len(turns) == 30 and set(quiet) < set(turns)
-    assert s.piece(turns[-1]) is False and sum(not stopped for stopped in s.stopped.values()) == 1
-
-
-def test_when_stalled_streams_hold_all_the_room_the_longest_stalled_gives_way() -> None:
-    s = Streams()
-    stuck = [s.open() for _ in range(40)]
-    for held in stuck:
-        s.now += 0.01
-        s.piece(held)
-    waits = s.open()
-    assert s.stopped[waits]
-    s.now += STALL_S / 2
-    s.budget.check()
-    assert not s.evicted
-    s.now += STALL_S
-    while s.stopped[waits]:
-        s.now += TURN_S + 0.01  # those before it in the line have their turns
-        s.budget.check()
-    assert s.evicted and s.evicted == stuck[: len(s.evicted)] and s.piece(waits)
-
-
-def test_nobody_is_ended_while_nobody_waits_for_the_room() -> None:
-    s = Streams()
-    for held in [s.open() for _ in range(40)]:
-        s.piece(held)
-    for held in [held for held in s.stopped if not held.bytes]:
-        held.end()
-    s.now += 100 * STALL_S
-    s.budget.check()
-    assert not s.evicted
-
-
-def test_half_the_budget_for_two_processes() -> None:
-    s = Streams()
-    s.budget.limit(MOST // 2)
+        turns += [account for account, paused in rig.paused.items() if not paused]
+        rig.now += TURN_TIMEOUT_S + 0.01
+        rig.budget.check()
+    assert len(turns) == 30 and set(unused) < set(turns)
+    assert rig.read(turns[-1]) is False and sum(not paused for paused in rig.paused.values()) == 1
+
+
+def test_the_longest_stalled_stream_is_evicted_when_stalled_streams_hold_all_memory() -> None:
+    rig = StreamBudget()
+    stalled = [rig.open() for _ in range(40)]
+    for account in stalled:
+        rig.now += 0.01
+        rig.read(account)
+    waiting = rig.open()
+    assert rig.paused[waiting]
+    rig.now += STALL_TIMEOUT_S / 2
+    rig.budget.check()
+    assert not rig.evicted
+    rig.now += STALL_TIMEOUT_S
+    while rig.paused[waiting]:
+        rig.now += TURN_TIMEOUT_S + 0.01  # earlier streams have their turns first
+        rig.budget.check()
+    assert rig.evicted and rig.evicted == stalled[: len(rig.evicted)] and rig.read(waiting)
+
+
+def test_no_stream_is_evicted_while_none_waits_for_memory() -> None:
+    rig = StreamBudget()
+    for account in [rig.open() for _ in range(40)]:
+        rig.read(account)
+    for account in [account for account in rig.paused if not account.bytes]:
+        account.end()
+    rig.now += 100 * STALL_TIMEOUT_S
+    rig.budget.check()
+    assert not rig.evicted
+
+
+def test_a_lower_limit_applies_during_a_hot_upgrade() -> None:
+    rig = StreamBudget()
+    rig.budget.limit(LIMIT_BYTES // 2)
     for _ in range(100):
-        s.piece(s.open())
-    assert s.budget.held <= budget_module.HIGH * MOST / 2 + READ
+        rig.read(rig.open())
+    assert rig.budget.held <= budget_module.HIGH_SHARE * LIMIT_BYTES / 2 + READ_BYTES
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_random_lives_leave_the_count_at_zero_and_never_pass_the_budget(seed: int) -> None:
-    r = random.Random(seed)
-    s = Streams(r.choice((8, 40)) * READ)
+def test_random_operations_keep_within_the_budget_and_release_all_bytes(seed: int) -> None:
+    rng = random.Random(seed)
+    rig = StreamBudget(rng.choice((8, 40)) * READ_BYTES)
     small: list[MemoryAccount] = []
     for _ in range(3000):
-        s.now += r.choice((0.0, 0.01, 0.3))
-        live = [held for held in s.stopped if held.pause_reading is not None]
-        held = r.choice(live) if live else s.open()
-        match r.randrange(9):
+        rig.now += rng.choice((0.0, 0.01, 0.3))
+        open_streams = [account for account in rig.paused if account.pause_reading is not None]
+        account = rng.choice(open_streams) if open_streams else rig.open()
+        match rng.randrange(9):
             case 0:
-                if len(live) < 60 and s.budget.admits_long() or r.random() < 0.1:
-                    s.open(r.choice(("answers", "uploads")))
+                if len(open_streams) < 60 and rig.budget.admits_stream() or rng.random() < 0.1:
+                    rig.open(rng.choice(("answers", "uploads")))
             case 1 | 2 | 3:
-                s.piece(held, r.randrange(1, READ + 1))
+                rig.read(account, rng.randrange(1, READ_BYTES + 1))
             case 4 | 5:
-                held.set(r.choice((0, held.bytes // 2)))
+                account.set(rng.choice((0, account.bytes // 2)))
             case 6:
-                held.set(0)
-                held.finish()
+                account.set(0)
+                account.finish()
             case 7:
-                held.end()  # broken off
+                account.end()  # aborted
             case 8:
-                if small and r.random() < 0.5:
+                if small and rng.random() < 0.5:
                     small.pop().end()
-                elif s.budget.admits(size := r.randrange(64 * 1024)):
-                    small.append(s.budget.open_account("requests"))
+                elif rig.budget.admits(size := rng.randrange(64 * 1024)):
+                    small.append(rig.budget.open_account("requests"))
                     small[-1].set(size)
-        s.budget.check()
-        streams = sum(held.bytes for held in s.stopped)
-        assert s.budget.held == sum(s.budget.by_use().values()) == streams + sum(held.bytes for held in small)
-        assert s.budget.held <= s.budget.most + READ
-    for held in [*s.stopped, *small]:
-        held.end()
-    assert s.budget.held == 0 and not s.budget.tight and s.budget.streams() == 0
-    assert all(size == 0 for size in s.budget.by_use().values())
+        rig.budget.check()
+        streams = sum(account.bytes for account in rig.paused)
+        assert (
+            rig.budget.held
+            == sum(rig.budget.by_use().values())
+            == streams + sum(account.bytes for account in small)
+        )
+        assert rig.budget.held <= rig.budget.most + READ_BYTES
+    for account in [*rig.paused, *small]:
+        account.end()
+    assert rig.budget.held == 0 and not rig.budget.is_under_pressure and rig.budget.streams() == 0
+    assert all(size == 0 for size in rig.budget.by_use().values())
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -223,7 +223,7 @@
         assert set(server.names.classes) == {b"read", b"put", b"pay"}
         ((wait, (call, *args)),) = timers
         call(*args)
-        assert wait == clients_module.DROPPED_S and set(server.names.classes) == {b"read"}
+        assert wait == clients_module.CLASS_REMOVAL_DELAY_S and set(server.names.classes) == {b"read"}
 
     on_loop(scenario)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -114,7 +114,7 @@
     connection.close_if_idle()
     assert connection.transport.closed
     theirs.send(b"G")
-    assert not connection.unread()  # its descriptor is not asked any more
+    assert not connection.has_unread_bytes()  # its descriptor is not asked any more
 
 
 def written(folder: Path, **changes: object) -> None:
--- a/yewstage/net/budget.py
+++ b/yewstage/net/budget.py
@@ -1,18 +1,19 @@
-"""The bytes that this process holds for others, counted in one place and kept within one budget."""
+"""Memory budget for request and answer bytes held in this process, with backpressure on streamed bodies."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-HIGH, LOW = 0.8, 0.5  # watermarks of long bodies; what is above the high one is kept for small requests
-READ = 256 * 1024  # the most that one read of a socket brings
-TURN_S = 0.5  # a turn that is not used by then goes to the next
-STALL_S = 5.0  # who takes nothing for so long, while others wait for the room, is not going to
-USES = ("requests", "answers", "uploads")
+# High and low water mark for streams; memory above the high one is reserved for buffered requests.
+HIGH_SHARE, LOW_SHARE = 0.8, 0.5
+READ_BYTES = 256 * 1024  # upper bound of one read of a socket
+TURN_TIMEOUT_S = 0.5  # an unused turn passes to the next stream after that
+STALL_TIMEOUT_S = 5.0  # a stream without progress for longer may be evicted while others wait
+PURPOSES = ("requests", "answers", "uploads")
 
 
-class Share:
-    """What is held for one purpose, by all."""
+class PurposeTotal:
+    """Bytes held for one purpose by all connections."""
 
     __slots__ = ("bytes",)
 
@@ -21,179 +22,191 @@
 
 
 class MemoryAccount:
-    """What one connection holds for one purpose, and how its reading is stopped; without that it is a count
-    only."""
+    """Bytes that one connection holds for one purpose.
 
-    __slots__ = ("bytes", "turn", "stopped", "moved_at", "pause_reading", "evict", "_budget", "_share")
+    After `begin` it is a stream, whose reading the budget may pause; otherwise it is only a count.
+    """
 
-    def __init__(self, budget: MemoryBudget, share: Share) -> None:
-        self._budget, self._share = budget, share
+    __slots__ = (
+        "bytes",
+        "has_turn",
+        "is_paused",
+        "progressed_at_s",
+        "pause_reading",
+        "evict",
+        "_budget",
+        "_purpose_total",
+    )
+
+    def __init__(self, budget: MemoryBudget, purpose_total: PurposeTotal) -> None:
+        self._budget, self._purpose_total = budget, purpose_total
         self.bytes = 0
-        self.turn = False  # it may make one read, for which room is kept
-        self.stopped = False
-        self.moved_at = 0.0  # when it last gave bytes back, or began
-        self.pause_reading: Callable[[bool], None] | None = None  # while it is a stream
+        self.has_turn = False  # it may make one read, for which memory is reserved
+        self.is_paused = False
+        self.progressed_at_s = 0.0  # when it last released bytes, or began
+        self.pause_reading: Callable[[bool], None] | None = None  # set while it is a stream
         self.evict: Callable[[], None] | None = None
 
     def set(self, size: int) -> None:
-        """It holds so much now. On every request's way: what is usual is done here, and quickly."""
-        grown = size - self.bytes
-        if not grown and not self.turn:
+        """Set the number of bytes held; the frequent cases are handled here, as every request calls this."""
+        change_bytes = size - self.bytes
+        if not change_bytes and not self.has_turn:
             return
         budget = self._budget
         self.bytes = size
-        self._share.bytes += grown
-        budget.held += grown
+        self._purpose_total.bytes += change_bytes
+        budget.held += change_bytes
         if budget.held > budget.peak:
             budget.peak = budget.held
-        if self.pause_reading is not None or budget.tight or budget.held > budget.high:
-            budget.changed(self, grown)
+        if self.pause_reading is not None or budget.is_under_pressure or budget.held > budget.high:
+            budget.account_changed(self, change_bytes)
 
-    def begin(self, stop: Callable[[bool], None], evict: Callable[[], None]) -> None:
-        """A long body: from now on its reading may be stopped, and it may be ended if it stalls."""
-        self.pause_reading, self.evict = stop, evict
-        self._budget.begun(self)
+    def begin(self, pause_reading: Callable[[bool], None], evict: Callable[[], None]) -> None:
+        """Make this a stream: `pause_reading` pauses or resumes it, `evict` ends it if it stalls."""
+        self.pause_reading, self.evict = pause_reading, evict
+        self._budget.stream_begun(self)
 
     def finish(self) -> None:
-        """Its body is whole: it is no stream any more, what is left of it is still held."""
+        """End the stream after its last byte was read; the bytes still held remain counted."""
         if self.pause_reading is not None:
-            self._budget.finished(self)
+            self._budget.stream_finished(self)
 
     def end(self) -> None:
-        """It is over: all is given back."""
+        """Release all bytes and end the stream."""
         self.set(0)
         self.finish()
 
 
 class MemoryBudget:
-    """All that is held.
+    """Counts all held bytes and applies backpressure to streams.
 
-    Above the high watermark no long body is read freely: they take turns, each for one read, as far as the
-    room below the watermark goes, so that what is held stays flat however many there are. Below the low
-    watermark all go on. A body that holds something is not read before it has given that back, so who reads
-    slowly keeps none but itself waiting. If those who do not read at all have taken all the room, the one
-    that has done so for longest is ended.
+    Above the high watermark streams take turns of one read each, as far as the memory below the watermark
+    goes, so that the held bytes stay constant for any number of streams. Below the low watermark all resume.
+    A stream that holds bytes gets no turn before it has released them, so that a slow reader delays only
+    itself. If streams without progress hold all of the memory, the one stalled for longest is evicted.
     """
 
-    def __init__(self, most: int, now_s: Callable[[], float]) -> None:
-        self._now_s = now_s
+    def __init__(self, most: int, clock_s: Callable[[], float]) -> None:
+        self._clock_s = clock_s
         self.held = self.peak = 0
-        self.uses = {use: Share() for use in USES}
-        self.tight = False
+        self.uses = {use: PurposeTotal() for use in PURPOSES}
+        self.is_under_pressure = False
         self.stops = self.evicted = self.refused = 0
-        self._turns: dict[MemoryAccount, float] = {}  # who may make one read, and since when
+        self._turn_started_at_s: dict[
+            MemoryAccount, float
+        ] = {}  # streams that may make one read, and since when
         self._streams: dict[MemoryAccount, None] = {}
-        self._line: dict[MemoryAccount, None] = {}  # streams that are stopped, in the order of their turns
+        self._paused_streams: dict[MemoryAccount, None] = {}  # in the order of their turns
         self.limit(most)
 
     def limit(self, most: int) -> None:
-        """Hold so much at the most."""
-        self.most, self.high, self._low = most, int(HIGH * most), int(LOW * most)
+        """Set the budget in bytes."""
+        self.most, self.high, self._low_bytes = most, int(HIGH_SHARE * most), int(LOW_SHARE * most)
 
     def open_account(self, use: str) -> MemoryAccount:
-        """A count of its own for one connection's purpose."""
+        """Open the account of one connection for a purpose, one of PURPOSES."""
         return MemoryAccount(self, self.uses[use])
 
     def by_use(self) -> dict[str, int]:
-        """What is held, by purpose."""
-        return {use: share.bytes for use, share in self.uses.items()}
+        """Return the held bytes by purpose."""
+        return {use: purpose_total.bytes for use, purpose_total in self.uses.items()}
 
     def streams(self) -> int:
-        """Long bodies that are on their way."""
+        """Return the number of open streams."""
         return len(self._streams)
 
-    def admits_long(self) -> bool:
-        """Whether another long body may begin."""
-        return not self.tight and self.held + READ <= self.high
+    def admits_stream(self) -> bool:
+        """Whether another stream may begin."""
+        return not self.is_under_pressure and self.held + READ_BYTES <= self.high
 
     def admits(self, size: int) -> bool:
-        """Whether a small request of this size may come in: long bodies leave a part of the budget to
-        these."""
+        """Whether a buffered request body of this size fits into the budget."""
         return self.held + size <= self.most
 
-    def changed(self, holder: MemoryAccount, grown: int) -> None:
-        """A holder holds so much more or less: a stream's does, or room is short."""
-        if grown < 0:
-            holder.moved_at = self._now_s()
-        if holder.turn:
-            self._end_turn(holder)
-        if self.held > self.high and not self.tight:
-            self._tighten()
-        elif self.tight:
-            self._go_on()
-
-    def begun(self, holder: MemoryAccount) -> None:
-        """A long body begins; while room is short it waits for its turn."""
-        holder.moved_at = self._now_s()
-        self._streams[holder] = None
-        if self.tight:
-            self._stop(holder)
-            self._go_on()
-
-    def finished(self, holder: MemoryAccount) -> None:
-        """A long body is whole."""
-        self._streams.pop(holder, None)
-        self._line.pop(holder, None)
-        self._turns.pop(holder, None)
-        holder.pause_reading = holder.evict = None
-        holder.stopped = holder.turn = False
-        if self.tight:
-            self._go_on()
+    def account_changed(self, account: MemoryAccount, change_bytes: int) -> None:
+        """Handle a change of a stream's account, or of any account under memory pressure."""
+        if change_bytes < 0:
+            account.progressed_at_s = self._clock_s()
+        if account.has_turn:
+            self._finish_turn(account)
+        if self.held > self.high and not self.is_under_pressure:
+            self._pause_all_streams()
+        elif self.is_under_pressure:
+            self._resume_streams()
+
+    def stream_begun(self, account: MemoryAccount) -> None:
+        """Add a stream; under memory pressure it waits for its turn."""
+        account.progressed_at_s = self._clock_s()
+        self._streams[account] = None
+        if self.is_under_pressure:
+            self._pause_stream(account)
+            self._resume_streams()
+
+    def stream_finished(self, account: MemoryAccount) -> None:
+        """Remove a stream."""
+        self._streams.pop(account, None)
+        self._paused_streams.pop(account, None)
+        self._turn_started_at_s.pop(account, None)
+        account.pause_reading = account.evict = None
+        account.is_paused = account.has_turn = False
+        if self.is_under_pressure:
+            self._resume_streams()
 
     def check(self) -> None:
-        """Pass unused turns on; end the one that has stalled for longest, if nobody can go on for want of
-        room."""
-        if not self.tight:
+        """Pass unused turns on, and evict the longest stalled stream if no other one can get a turn."""
+        if not self.is_under_pressure:
             return
-        now = self._now_s()
-        for holder in [holder for holder, since in self._turns.items() if now - since > TURN_S]:
-            self._end_turn(holder)
-        self._go_on()
-        if self._turns or not any(not holder.bytes for holder in self._line):
+        now = self._clock_s()
+        for account in [
+            account for account, since in self._turn_started_at_s.items() if now - since > TURN_TIMEOUT_S
+        ]:
+            self._finish_turn(account)
+        self._resume_streams()
+        if self._turn_started_at_s or not any(not account.bytes for account in self._paused_streams):
             return
-        holder = min((h for h in self._streams if h.bytes), key=lambda h: h.moved_at, default=None)
-        if holder is not None and now - holder.moved_at > STALL_S:
+        account = min((h for h in self._streams if h.bytes), key=lambda h: h.progressed_at_s, default=None)
+        if account is not None and now - account.progressed_at_s > STALL_TIMEOUT_S:
             self.evicted += 1
-            holder.evict()
+            account.evict()
 
-    def _tighten(self) -> None:
-        self.tight = True
-        for holder in self._streams:
-            self._stop(holder)
+    def _pause_all_streams(self) -> None:
+        self.is_under_pressure = True
+        for account in self._streams:
+            self._pause_stream(account)
 
-    def _stop(self, holder: MemoryAccount) -> None:
-        if holder.pause_reading is not None and not holder.stopped:
-            holder.stopped = True
+    def _pause_stream(self, account: MemoryAccount) -> None:
+        if account.pause_reading is not None and not account.is_paused:
+            account.is_paused = True
             self.stops += 1
-            self._line[holder] = None
-            holder.pause_reading(True)
-
-    def _end_turn(self, holder: MemoryAccount) -> None:
-        """Its read was made, or did not come: it is the next one's turn."""
-        self._turns.pop(holder, None)
-        holder.turn = False
-        if self.tight:
-            self._stop(holder)
-
-    def _release(self, holder: MemoryAccount) -> None:
-        del self._line[holder]
-        holder.stopped = False
-        holder.pause_reading(False)
-
-    def _go_on(self) -> None:
-        if self.held < self._low:
-            self.tight = False
-            for holder in self._turns:
-                holder.turn = False
-            self._turns.clear()
-            for holder in list(self._line):
-                if holder.stopped:
-                    self._release(holder)
+            self._paused_streams[account] = None
+            account.pause_reading(True)
+
+    def _finish_turn(self, account: MemoryAccount) -> None:
+        """End a turn after its read, or after its time limit."""
+        self._turn_started_at_s.pop(account, None)
+        account.has_turn = False
+        if self.is_under_pressure:
+            self._pause_stream(account)
+
+    def _resume_stream(self, account: MemoryAccount) -> None:
+        del self._paused_streams[account]
+        account.is_paused = False
+        account.pause_reading(False)
+
+    def _resume_streams(self) -> None:
+        if self.held < self._low_bytes:
+            self.is_under_pressure = False
+            for account in self._turn_started_at_s:
+                account.has_turn = False
+            self._turn_started_at_s.clear()
+            for account in list(self._paused_streams):
+                if account.is_paused:
+                    self._resume_stream(account)
             return
-        for holder in list(self._line):
-            if self.held + (len(self._turns) + 1) * READ > self.high:
+        for account in list(self._paused_streams):
+            if self.held + (len(self._turn_started_at_s) + 1) * READ_BYTES > self.high:
                 return
-            if not holder.bytes and holder.stopped:
-                holder.turn = True
-                self._turns[holder] = self._now_s()
-                self._release(holder)
+            if not account.bytes and account.is_paused:
+                account.has_turn = True
+                self._turn_started_at_s[account] = self._clock_s()
+                self._resume_stream(account)
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -1,4 +1,4 @@
-"""The server side: parses and validates requests, and gives each one exactly one answer."""
+"""HTTP/1.1 server for clients: parses and validates requests and writes exactly one answer to each."""
 
 from __future__ import annotations
 
@@ -24,27 +24,27 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 256
-CLIENT_SHARE = 0.5  # of the descriptors
-LONGEST_HEAD = 32 * 1024
-HEAD_S = 2.2  # how long a head may take to come in, a connection's first one from when it was opened
-BODY_S = 0.7  # how far its body may then be behind BODY_RATE
-BODY_RATE = 64_000.0  # bytes a second, the slowest that a body may come
-FULL_RETRY_MS = 1000.0  # a long body that finds no room may come again after that, at the soonest
-DRAIN_S = 5.0  # how long the rest of a body is read whose request is answered already
-READ_S = 30.0  # a client that takes nothing of its answer for so long is gone
-IDLE_S = 75.0  # how long an idle connection is kept while there is room
-AHEAD = 64 * 1024  # bytes of requests that may wait behind others; while we read, a client's end is seen
-SPARE_S = 2.0  # a connection idle for longer gives its place to a new client
-STALE_S = 0.5  # so does one that has not brought a request yet, once nothing came on it for so long
-CROWDED = 0.7  # of the places: from here on no answered client keeps its own
-LINGER_S = 1.0  # how long what still comes is read after the last answer, unless the client ends before
-SWEEP_S = 0.2
-DROPPED_S = 1.2  # how long clients may still use a class after it was dropped
-ACCEPT_PAUSE_S = 0.05
-TELL_S = 5.0  # spacing of the log's word that there is no room
-
-REASONS = {
+BACKLOG_CONNECTIONS = 256
+CLIENT_DESCRIPTOR_SHARE = 0.5  # share of the descriptors that client connections may use
+MAX_HEAD_BYTES = 32 * 1024
+HEAD_TIMEOUT_S = 2.2  # for a complete head; a connection's first one counts from its opening
+BODY_GRACE_S = 0.7  # how far a body may fall behind MIN_BODY_BYTES_PER_S
+MIN_BODY_BYTES_PER_S = 64_000.0
+RETRY_AFTER_MS = 1000.0  # Retry-After of a request refused for want of memory, and of a readiness check
+BODY_DRAIN_TIMEOUT_S = 5.0  # for reading the rest of a body whose request is already answered
+ANSWER_READ_TIMEOUT_S = 30.0  # a client that reads nothing of its answer for longer is disconnected
+IDLE_TIMEOUT_S = 75.0  # for an idle connection while there is room for others
+MAX_PIPELINED_BYTES = 64 * 1024  # queued before reading pauses; a client's end is seen only while reading
+SPARE_S = 2.0  # a connection idle for longer is closed when a new client needs room
+STALE_S = 0.5  # so is one without a request yet, once it has received nothing for so long
+CROWDED_SHARE = 0.7  # above this share of the places connections are closed after each answer
+LINGER_TIMEOUT_S = 1.0  # for reading on after the last answer, unless the client closes first
+SWEEP_INTERVAL_S = 0.2
+CLASS_REMOVAL_DELAY_S = 1.2  # how long requests of a removed class are still accepted
+ACCEPT_RETRY_DELAY_S = 0.05
+FULL_LOG_INTERVAL_S = 5.0  # between two log events that all places are taken
+
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -55,8 +55,8 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-LINES = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASONS.items()}
-WANTED = frozenset(
+STATUS_LINES = {status: b"HTTP/1.1 %d %b\r\n" % (status, reason) for status, reason in REASON_PHRASES.items()}
+PARSED_HEADERS = frozenset(
     (
         b"x-request-id",
         b"x-class",
@@ -71,85 +71,85 @@
         b"transfer-encoding",
     )
 )
-WORD = re.compile(rb"[!-~]{1,128}")
-ABSOLUTE = re.compile(rb"(?i)^http://[^/?#]*(?=/)")  # a target may name its host, which is us
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-DEADLINE = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
-UNITS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-WHOLE = re.compile(r"[0-9]{1,6}")
+TOKEN_PATTERN = re.compile(rb"[!-~]{1,128}")
+ABSOLUTE_FORM_PREFIX = re.compile(rb"(?i)^http://[^/?#]*(?=/)")  # of a request target in absolute-form
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+DEADLINE_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+UNITS_PATTERN = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(r"[0-9]{1,6}")
 
 
 class BadRequestError(ValueError):
-    """A request that is answered 400."""
+    """A request violates the protocol and is answered 400; the message names the field."""
 
 
-class _Message:
-    """One request as parsed."""
+class _RequestMessage:
+    """One request while it is parsed and until its answer is complete."""
 
     __slots__ = (
         "url",
         "headers",
         "body",
-        "size",
+        "body_bytes",
         "method",
         "keep_alive",
-        "twice",
-        "head",
-        "order",
-        "length",
+        "has_duplicate_header",
+        "head_bytes",
+        "client_request",
+        "content_length",
         "upload",
-        "headed_at",
-        "held_s",
-        "whole",
-        "expects",
-        "version",
+        "head_complete_at_s",
+        "paused_s",
+        "is_complete",
+        "awaits_continue",
+        "http_version",
     )
 
     def __init__(self) -> None:
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.size = 0  # of its body, so far
+        self.body_bytes = 0  # received so far
         self.method = b""
-        self.version = "1.1"
+        self.http_version = "1.1"
         self.keep_alive = True
-        self.head = 0  # bytes of its headers
-        self.twice = False  # a header that we go by came twice
-        self.length: int | None = 0  # of its body; None: it comes in chunks
-        self.order: ClientRequest | None = None  # what is asked; None: whether we are ready
-        self.upload: Upload | None = None  # the body, where it is too long to keep
-        self.headed_at = 0.0  # when its head was whole; 0: it is not
-        self.held_s = 0.0  # how long we have kept its client from sending
-        self.whole = False
-        self.expects = False  # its client waits for our word before it sends the body
+        self.head_bytes = 0  # sum of the lengths of header names and values
+        self.has_duplicate_header = False  # one of PARSED_HEADERS occurs more than once
+        self.content_length: int | None = 0  # None: chunked transfer coding
+        self.client_request: ClientRequest | None = None  # None: a readiness check
+        self.upload: Upload | None = None  # set for a body that is too long to buffer
+        self.head_complete_at_s = 0.0  # 0: the head is incomplete
+        self.paused_s = 0.0  # total time for which reading was paused during the body
+        self.is_complete = False
+        self.awaits_continue = False  # "Expect: 100-continue" is unanswered
 
 
 class ClassAndPlanNames:
-    """The classes and plans that a request may name, as they stand in its headers."""
+    """Classes and plans that a request may name, keyed by the bytes of the header value."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
 
 
-def order(message: _Message, names: ClassAndPlanNames) -> ClientRequest:
-    """A request for `/api/` as an `Order`; BadRequestErrorError where it breaks the protocol."""
+def parse_client_request(message: _RequestMessage, names: ClassAndPlanNames) -> ClientRequest:
+    """Build the ClientRequest for a target below `/api/`; raises BadRequestError for an invalid one."""
     headers = message.headers
-    if message.twice:
-        raise BadRequestError("a header came twice")
+    if message.has_duplicate_header:
+        raise BadRequestError("duplicate header")
     path, _, _ = message.url.partition(b"?")
     customer = path.rpartition(b"/")[2]
-    if not CUSTOMER.fullmatch(customer) or int(customer, 16) >= 2**33:
+    if not CUSTOMER_PATTERN.fullmatch(customer) or int(customer, 16) >= 2**33:
         raise BadRequestError("customer")
     cls = names.classes.get(headers.get(b"x-class", b""))
     plan = names.plans.get(headers.get(b"plan", b""))
     if cls is None or plan is None:
         raise BadRequestError("class or plan")
-    deadline = DEADLINE.fullmatch(headers.get(b"x-deadline", b""))
+    deadline = DEADLINE_PATTERN.fullmatch(headers.get(b"x-deadline", b""))
     if deadline is None:
         raise BadRequestError("X-Deadline")
     time_left_ms = float(deadline[1]) / (1 if deadline[2] == b"m" else 1000)
-    units, width, first = _quota_info(headers.get(b"quota-info", b""))
+    units, gateway_count, first_gateway = _parse_quota_info(headers.get(b"quota-info", b""))
     return ClientRequest(
         headers.get(b"x-request-id", b"").decode("latin-1"),
         cls,
@@ -157,48 +157,60 @@
         customer.decode().lower(),
         time_left_ms,
         units,
-        width,
-        first,
+        gateway_count,
+        first_gateway,
         headers.get(b"x-retry") == b"1",
-        _head(message, cls),
+        _upstream_head(message, cls),
         b"",
         key=headers.get(b"idempotency-key", b""),
     )
 
 
-def _framing(message: _Message) -> bytes:
-    """How long its body is, for the host."""
-    if message.upload is not None and message.length is None:
+def _framing_header(message: _RequestMessage) -> bytes:
+    """Return the header line that frames the body towards the server."""
+    if message.upload is not None and message.content_length is None:
         return b"Transfer-Encoding: chunked\r\n"
     if message.method == b"POST":
-        return b"Content-Length: %d\r\n" % (message.size if message.upload is None else message.length)
+        return b"Content-Length: %d\r\n" % (
+            message.body_bytes if message.upload is None else message.content_length
+        )
     return b""
 
 
-@lru_cache(maxsize=1024)  # a few values make up all traffic
-def _quota_info(value: bytes) -> tuple[float, int, int]:
-    """`units=2,spread=3,first=1`."""
+@lru_cache(maxsize=1024)  # traffic repeats few distinct values
+def _parse_quota_info(value: bytes) -> tuple[float, int, int]:
+    """Parse `units=2,spread=3,first=1`; raises BadRequestError."""
     fields = dict(part.strip().partition("=")[::2] for part in value.decode("latin-1").split(","))
     units, spread, first = (fields.get(name, "") for name in ("units", "spread", "first"))
-    if not (UNITS.fullmatch(units) and WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
+    if not (
+        UNITS_PATTERN.fullmatch(units)
+        and INTEGER_PATTERN.fullmatch(spread)
+        and INTEGER_PATTERN.fullmatch(first)
+    ):
         raise BadRequestError("Quota-Info")
     if float(units) <= 0 or int(spread) < 1:
         raise BadRequestError("Quota-Info")
     return float(units), int(spread), int(first)
 
 
-def _head(message: _Message, cls: api.RequestClass) -> bytes:
-    """The head for the host but for the body's length: method, path, query, id and key unchanged."""
+def _upstream_head(message: _RequestMessage, cls: api.RequestClass) -> bytes:
+    """Build the head sent to the server, without the body's framing.
+
+    Method, target, request id and idempotency key are passed on unchanged. Raises BadRequestError.
+    """
     headers, key = message.headers, message.headers.get(b"idempotency-key")
-    rid = headers.get(b"x-request-id", b"")
-    if not WORD.fullmatch(rid) or (key is not None and not WORD.fullmatch(key)):
+    request_id = headers.get(b"x-request-id", b"")
+    if not TOKEN_PATTERN.fullmatch(request_id) or (key is not None and not TOKEN_PATTERN.fullmatch(key)):
         raise BadRequestError("X-Request-Id or Idempotency-Key")
-    # A class that may not simply be repeated must not come as a method that may.
+    # A request that is not safe to repeat must not use GET, which intermediaries may repeat.
     if message.method != (b"GET" if cls.effect == "safe" else b"POST"):
         raise BadRequestError("method")
-    if (cls.effect == "keyed" and key is None) or (cls.effect == "safe" and message.length):
+    if (cls.effect == "keyed" and key is None) or (cls.effect == "safe" and message.content_length):
         raise BadRequestError("Idempotency-Key or body")
-    lines = [b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n" % (message.method, message.url, rid)]
+    lines = [
+        b"%b %b HTTP/1.1\r\nHost: upstream\r\nX-Request-Id: %b\r\n"
+        % (message.method, message.url, request_id)
+    ]
     if key is not None:
         lines.append(b"Idempotency-Key: %b\r\n" % key)
     if b"content-type" in headers:
@@ -207,403 +219,429 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client: requests are taken one at a time, in order."""
+    """One client connection. Pipelined requests are processed one at a time, in order."""
 
-    def __init__(self, server: ClientListener) -> None:
-        self._server, self._core = server, server.core
+    def __init__(self, listener: ClientListener) -> None:
+        self._listener, self._core = listener, listener.core
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._message: _Message | None = None  # being read
-        self._queue: deque[_Message | int] = deque()  # to be taken, or the status of a bad one
-        self._taken: _Message | None = None  # the last one taken
-        self._open: str | None = None  # id of the request that is owed an answer
-        self._busy = False  # a request is owed an answer
-        self._source: Source | None = None  # where the answer comes from that is being passed on
-        self._chunked = self._framed = self._stays = False  # it goes out in chunks; its end shows; we stay
-        self._ending = False
-        self._pumping = False
-        self._crowded = self._slowed = False  # what must not be read yet: requests behind others, a body
-        self._choked = self._draining = False  # by the budget; its answer is whole and not all read yet
-        self._held_in = server.core.budget.open_account("requests")
-        self._held_out = server.core.budget.open_account("answers")
-        self._kept = 0  # of the request that is owed its answer
-        self._paused_at: float | None = None  # since when we do not read
-        self._blocked_at: float | None = None  # since when the client does not read its answers
-        self._head = 0  # bytes of the head being read
-        self._resuming = False  # the parser is told again what it has been told
-        self.served = 0  # answers given
-        self.since = 0.0  # when the connection was opened, became idle, or a later message on it began
-        self.heard_at = 0.0  # when bytes last came
+        self._message: _RequestMessage | None = None  # the one being received
+        # Requests to process; a number is the status with which an invalid request is answered.
+        self._pending_requests: deque[_RequestMessage | int] = deque()
+        self._current_request: _RequestMessage | None = None  # the last one whose processing began
+        self._open: str | None = None  # id of the request that awaits its answer
+        self._is_answer_due = False  # a request is being processed
+        self._answer_source: Source | None = None  # server connection of a streamed answer
+        # Of a streamed answer: chunked coding, a visible end, and whether the connection outlives it.
+        self._is_chunked = self._is_self_delimited = self._keeps_alive = False
+        self._is_closing = False
+        self._is_processing_queue = False
+        self._is_queue_full = self._is_upload_paused = False  # each of them pauses reading
+        # The memory budget pauses the streamed answer; a complete answer is not yet written in full.
+        self._is_budget_paused = self._is_flushing = False
+        self._request_account = listener.core.budget.open_account("requests")
+        self._answer_account = listener.core.budget.open_account("answers")
+        self._open_request_bytes = 0  # head and body of the request being processed
+        self._read_paused_at_s: float | None = None  # None: reading
+        self._write_blocked_at_s: float | None = None  # None: the write buffer is empty
+        self._head_bytes = 0  # received of the current head
+        self._is_replaying_head = False  # a new parser is fed a head it must not report
+        self.answered_count = 0
+        # When the connection was opened, became idle, or began to receive its latest message.
+        self.phase_started_at_s = 0.0
+        self.heard_at = 0.0  # when bytes were last received
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that what is held for it is known to the byte
-        self.since = self.heard_at = self._server.now()
-        self._server.connections.add(self)
-        self._server.use.opened()
+        transport.set_write_buffer_limits(high=0)  # so that any unsent byte calls pause_writing
+        self.phase_started_at_s = self.heard_at = self._listener.now()
+        self._listener.connections.add(self)
+        self._listener.descriptor_use.opened()
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self._server.now()
-        if not self._ending:
-            self._parse(data)
-            self._pump()
-            self._held_in.set(self._inbound())
-
-    def _inbound(self) -> int:
-        """Bytes of requests that are here: being read, waiting, or owed their answer."""
-        size = self._kept
-        if self._message is None and not self._queue:
+        self.heard_at = self._listener.now()
+        if not self._is_closing:
+            self._feed_parser(data)
+            self._process_queue()
+            self._request_account.set(self._buffered_request_bytes())
+
+    def _buffered_request_bytes(self) -> int:
+        """Bytes of requests in memory: being received, queued, or awaiting their answer."""
+        size = self._open_request_bytes
+        if self._message is None and not self._pending_requests:
             return size
-        for item in (self._message, *self._queue):
-            if isinstance(item, _Message):
-                size += item.head + (0 if item.upload is not None else item.size)
+        for item in (self._message, *self._pending_requests):
+            if isinstance(item, _RequestMessage):
+                size += item.head_bytes + (0 if item.upload is not None else item.body_bytes)
         return size
 
-    def _parse(self, data: bytes) -> None:
-        in_body = self._message is not None and self._message.headed_at
-        self._head += 0 if in_body else len(data)
+    def _feed_parser(self, data: bytes) -> None:
+        in_body = self._message is not None and self._message.head_complete_at_s
+        self._head_bytes += 0 if in_body else len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
-            self._parse_on(data[upgrade.args[0] :])
+            self._resume_parsing(data[upgrade.args[0] :])
         except httptools.HttpParserError:
-            self._spoil(400)
-        if self._head > LONGEST_HEAD:
-            self._spoil(400)  # guards the memory: a head without an end
+            self._fail_message(400)
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._fail_message(400)  # otherwise an endless head fills the memory
 
-    def _parse_on(self, rest: bytes) -> None:
-        """Go on behind a request that offers another protocol, where the parser stops: we speak only this."""
+    def _resume_parsing(self, rest: bytes) -> None:
+        """Continue after a request with an Upgrade header, at which httptools stops parsing.
+
+        The gateway ignores Upgrade. A new parser reads the body; a replayed head tells it the framing.
+        """
         self._parser = httptools.HttpRequestParser(self)
-        if self._ending:
+        if self._is_closing:
             return
         message = self._message
-        if message is not None:  # its body is yet to come
+        if message is not None:  # its body follows
             framing = (
                 b"Transfer-Encoding: chunked"
-                if message.length is None
-                else b"Content-Length: %d" % message.length
+                if message.content_length is None
+                else b"Content-Length: %d" % message.content_length
             )
-            self._resuming = True
+            self._is_replaying_head = True
             self._parser.feed_data(b"POST / HTTP/1.1\r\n%b\r\n\r\n" % framing)
-            self._resuming = False
+            self._is_replaying_head = False
         if rest:
-            self._parse(rest)
+            self._feed_parser(rest)
 
     def pause_writing(self) -> None:
-        # Guards the memory: no further request is taken, no more of an answer read, until it has read this.
-        self._blocked_at = self._server.now()
-        self._hold_source()
+        # Bounds the memory: until the client has read this, no further request is processed and no more of
+        # a streamed answer is read from the server.
+        self._write_blocked_at_s = self._listener.now()
+        self._update_source_flow()
 
     def resume_writing(self) -> None:
-        self._blocked_at = None
-        self._held_out.set(self.transport.get_write_buffer_size())
-        if self._draining:
-            self._draining = False
-            self._held_out.finish()
-        self._hold_source()
-        self._pump()
-
-    def _choke(self, stopped: bool) -> None:
-        """The budget's word on the answer that is being passed on."""
-        self._choked = stopped
-        self._hold_source()
-
-    def _hold_source(self) -> None:
-        if self._source is not None:
-            self._source.pause(self._blocked_at is not None or self._choked)
+        self._write_blocked_at_s = None
+        self._answer_account.set(self.transport.get_write_buffer_size())
+        if self._is_flushing:
+            self._is_flushing = False
+            self._answer_account.finish()
+        self._update_source_flow()
+        self._process_queue()
+
+    def _pause_for_budget(self, stopped: bool) -> None:
+        """Pause or resume the streamed answer on behalf of the memory budget."""
+        self._is_budget_paused = stopped
+        self._update_source_flow()
+
+    def _update_source_flow(self) -> None:
+        if self._answer_source is not None:
+            self._answer_source.pause(self._write_blocked_at_s is not None or self._is_budget_paused)
 
     def _evict(self) -> None:
-        """Others need the room that this connection holds and does nothing with."""
+        """Abort the connection: its stalled stream holds memory that others wait for."""
         self._core.stats.cut_short("no_room")
         self.transport.abort()
 
     def eof_received(self) -> None:
-        """The client has gone away: nothing more is begun for it, and what waits is dropped.
+        """Treat the end of the client's sending as a disconnect: cancel its requests and drop queued ones.
 
-        The transport closes itself once it has written what is left. A long answer is not waited for: who
-        takes none of it would keep it here.
+        The transport closes itself once its buffer is written. A streamed answer is aborted, since a client
+        that does not read would keep it in memory.
         """
-        self._ending = True
-        self._queue.clear()
-        if self._source is not None:
+        self._is_closing = True
+        self._pending_requests.clear()
+        if self._answer_source is not None:
             self.transport.abort()
         else:
-            self._leave()
+            self._release_open_request()
 
     def has_disconnected(self) -> bool:
-        """Whether the client has left while we do not read, where its end is not told."""
-        if self._paused_at is None or self.transport.is_closing():
+        """Whether the client has disconnected; polls the socket while reading is paused.
+
+        The transport does not report the end of the connection during a pause.
+        """
+        if self._read_paused_at_s is None or self.transport.is_closing():
             return self.transport.is_closing()
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
-        left = bool(look.poll(0))
-        if left:
+        poller = select.poll()
+        poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
+        is_hung_up = bool(poller.poll(0))
+        if is_hung_up:
             self.transport.abort()
-        return left
+        return is_hung_up
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._server.closed(self)
-        self._held_in.end()
-        self._held_out.end()
-        self._ending = True
-        self._queue.clear()
-        self._source = None
-        self._leave()
-
-    def _leave(self) -> None:
-        """Nothing is owed any more."""
-        rid, self._open = self._open, None
-        if rid is not None:
-            self._core.client_disconnected(rid)
+        self._listener.closed(self)
+        self._request_account.end()
+        self._answer_account.end()
+        self._is_closing = True
+        self._pending_requests.clear()
+        self._answer_source = None
+        self._release_open_request()
+
+    def _release_open_request(self) -> None:
+        """Report the disconnect for the open request, if there is one."""
+        request_id, self._open = self._open, None
+        if request_id is not None:
+            self._core.client_disconnected(request_id)
 
     # httptools
 
     def on_message_begin(self) -> None:
-        if self._resuming:
+        if self._is_replaying_head:
             return
-        self._message = _Message()
-        if self.served and not self._busy:
-            self.since = self._server.now()
+        self._message = _RequestMessage()
+        if self.answered_count and not self._is_answer_due:
+            self.phase_started_at_s = self._listener.now()
 
     def on_url(self, url: bytes) -> None:
-        if not self._resuming:
+        if not self._is_replaying_head:
             self._message.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         message = self._message
-        if self._resuming or self._ending:
+        if self._is_replaying_head or self._is_closing:
             return
         name = name.lower()
-        message.head += len(name) + len(value)
-        if message.head > LONGEST_HEAD:
-            self._spoil(400)
-        elif name in WANTED and not message.headed_at:  # what comes in a trailer is not gone by
-            message.twice |= name in message.headers
-            message.headers[name] = value.strip(b" \t")  # white space around a value is no part of it
+        message.head_bytes += len(name) + len(value)
+        if message.head_bytes > MAX_HEAD_BYTES:
+            self._fail_message(400)
+        elif name in PARSED_HEADERS and not message.head_complete_at_s:  # fields of a trailer are ignored
+            message.has_duplicate_header |= name in message.headers
+            message.headers[name] = value.strip(b" \t")  # optional white space (RFC 9112, 5.1)
 
     def on_headers_complete(self) -> None:
         message = self._message
-        if self._resuming or self._ending:
+        if self._is_replaying_head or self._is_closing:
             return
-        message.headed_at = self._server.now()
-        message.url = ABSOLUTE.sub(b"", message.url, 1)
+        message.head_complete_at_s = self._listener.now()
+        message.url = ABSOLUTE_FORM_PREFIX.sub(b"", message.url, 1)
         message.method = self._parser.get_method()
-        message.version = self._parser.get_http_version()
+        message.http_version = self._parser.get_http_version()
         message.keep_alive = self._parser.should_keep_alive()
         length = message.headers.get(b"content-length", b"0")
-        message.length = None if b"transfer-encoding" in message.headers else int(length)
-        self._head = 0
-        status = self._judge(message)
+        message.content_length = None if b"transfer-encoding" in message.headers else int(length)
+        self._head_bytes = 0
+        status = self._validate_head(message)
         if status:
             self._reject(status)
-        elif (message.length or 0) > LONGEST_BODY:
-            self._upload(message)
+        elif (message.content_length or 0) > LONGEST_BODY:
+            self._start_upload(message)
         else:
-            message.expects = message.headers.get(b"expect", b"").lower() == b"100-continue"
-            self._invite()
+            message.awaits_continue = message.headers.get(b"expect", b"").lower() == b"100-continue"
+            self._send_continue()
 
-    def _judge(self, message: _Message) -> int:
-        """The status that a request is turned away with at its head; 0 if it may come in."""
+    def _validate_head(self, message: _RequestMessage) -> int:
+        """Return the status with which the head is rejected; 0 if the request is accepted."""
         path = message.url.partition(b"?")[0]
-        if path == b"/ready" and message.method == b"GET" and message.length == 0:
+        if path == b"/ready" and message.method == b"GET" and message.content_length == 0:
             return 0
         if not path.startswith(b"/api/"):
             return 404
-        if (message.length or 0) > self._server.longest_upload:
+        if (message.content_length or 0) > self._listener.longest_upload:
             return 413
         try:
-            message.order = order(message, self._server.names)
+            message.client_request = parse_client_request(message, self._listener.names)
         except BadRequestError:
             return 400
-        if (message.length or 0) <= LONGEST_BODY and not self._core.budget.admits(message.length or 0):
-            return self._refused(message)
+        if (message.content_length or 0) <= LONGEST_BODY and not self._core.budget.admits(
+            message.content_length or 0
+        ):
+            return self._count_refusal(message)
         return 0
 
-    def _refused(self, message: _Message) -> int:
-        """There is no room for what would come: refused at once, before a byte of it goes on."""
+    def _count_refusal(self, message: _RequestMessage) -> int:
+        """Count a refusal for want of memory, before any byte is sent to a server; returns the status."""
         self._core.budget.refused += 1
-        self._core.stats.ended(message.order.cls.name, 503)
+        self._core.stats.ended(message.client_request.cls.name, 503)
         return 503
 
-    def _invite(self) -> None:
-        """Ask for a body that waits for our word, once all before it is answered."""
+    def _send_continue(self) -> None:
+        """Send 100 Continue for a buffered body once all earlier requests are answered."""
         message = self._message
         if (
             message is not None
-            and message.expects
+            and message.awaits_continue
             and message.upload is None
-            and not self._busy
-            and not self._queue
+            and not self._is_answer_due
+            and not self._pending_requests
         ):
-            message.expects = False
+            message.awaits_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _upload(self, message: _Message) -> None:
-        """Its body is too long to keep: take the request now, pass the body on as it comes."""
-        if not self._core.budget.admits_long():
-            self._reject(self._refused(message))
+    def _start_upload(self, message: _RequestMessage) -> None:
+        """Queue the request before its body is complete; the body is streamed to the server."""
+        if not self._core.budget.admits_stream():
+            self._reject(self._count_refusal(message))
             return
         message.upload = Upload(
-            message.length, self._slow, self._core.budget.open_account("uploads"), self._evict
+            message.content_length, self._pause_upload, self._core.budget.open_account("uploads"), self._evict
+        )
+        message.awaits_continue = (
+            message.headers.get(b"expect", b"").lower() == b"100-continue" and not message.body_bytes
         )
-        message.expects = message.headers.get(b"expect", b"").lower() == b"100-continue" and not message.size
         limit_socket_buffer(self.transport, socket.SO_RCVBUF)
         if message.body:
-            self._core.stats.passed_up += message.size
+            self._core.stats.passed_up += message.body_bytes
             message.upload.feed(b"".join(message.body))
             message.body.clear()
-        self._queue.append(message)
+        self._pending_requests.append(message)
 
     def on_body(self, data: bytes) -> None:
         message = self._message
-        if self._ending:
+        if self._is_closing:
             return
-        message.size += len(data)
-        if message.size > self._server.longest_upload:
-            self._spoil(413)
+        message.body_bytes += len(data)
+        if message.body_bytes > self._listener.longest_upload:
+            self._fail_message(413)
         elif message.method == b"GET":
-            self._spoil(400)
+            self._fail_message(400)
         elif message.upload is not None:
             self._core.stats.passed_up += len(data)
             message.upload.feed(data)
         else:
             message.body.append(data)
-            if message.size > LONGEST_BODY:
-                self._upload(message)
+            if message.body_bytes > LONGEST_BODY:
+                self._start_upload(message)
 
     def on_message_complete(self) -> None:
         message = self._message
-        if self._ending:
+        if self._is_closing:
             self._message = None
             return
-        if self._parser.should_upgrade() and message.length != 0:
-            return  # the parser leaves the body out: see `_parse_on`
+        if self._parser.should_upgrade() and message.content_length != 0:
+            return  # the parser skips the body: see `_resume_parsing`
         self._message = None
-        self._head = 0
-        message.whole = True
+        self._head_bytes = 0
+        message.is_complete = True
         if message.upload is not None:
             message.upload.finish()
-            if message is self._taken and not self._busy:
-                self._end()  # its answer went out before its end
+            if message is self._current_request and not self._is_answer_due:
+                self._close_gracefully()  # it was answered before its body was complete
         else:
-            self._queue.append(message)
+            self._pending_requests.append(message)
 
     # Requests and answers
 
     def _reject(self, status: int) -> None:
-        """Answer what cannot be taken, after all that came before it, and read no more of it."""
-        if not self._ending:
-            self._ending = True
-            self._queue.append(status)
+        """Queue an error answer behind the earlier requests and stop parsing."""
+        if not self._is_closing:
+            self._is_closing = True
+            self._pending_requests.append(status)
 
-    def _spoil(self, status: int) -> None:
-        """What is being read turns out bad: if it is taken already, its request ends here."""
+    def _fail_message(self, status: int) -> None:
+        """Reject the message being received; if it is already being processed, end its request."""
         message = self._message
-        if self._ending:
+        if self._is_closing:
             return
         if message is None or message.upload is None:
             self._reject(status)
-        elif message is not self._taken:
-            self._queue.remove(message)
+        elif message is not self._current_request:
+            self._pending_requests.remove(message)
             self._reject(status)
-        elif self._busy and self._source is None:
-            self._leave()
-            self._ending = True
+        elif self._is_answer_due and self._answer_source is None:
+            self._release_open_request()
+            self._is_closing = True
             self._answer_and_close(status)
         else:
             self.transport.abort()
 
-    def _slow(self, held: bool) -> None:
-        """The host's side of a body: hold its client back, or let it go on."""
-        if held != self._slowed:
-            self._slowed = held
-            self._read_on()
+    def _pause_upload(self, held: bool) -> None:
+        """Pause or resume reading an uploaded body, as its server connection asks."""
+        if held != self._is_upload_paused:
+            self._is_upload_paused = held
+            self._update_reading()
 
-    def _read_on(self) -> None:
-        """Read while nothing waits behind others and the host takes what is read."""
-        pause = self._crowded or self._slowed
-        if pause == (self._paused_at is not None) or self.transport.is_closing():
+    def _update_reading(self) -> None:
+        """Pause reading while the queue is full or the upload is held back, else resume it."""
+        should_pause = self._is_queue_full or self._is_upload_paused
+        if should_pause == (self._read_paused_at_s is not None) or self.transport.is_closing():
             return
-        now = self._server.now()
-        if pause:
-            self._paused_at = now
+        now = self._listener.now()
+        if should_pause:
+            self._read_paused_at_s = now
             self.transport.pause_reading()
             return
         if self._message is not None:
-            self._message.held_s += now - self._paused_at
-        self._paused_at = None
+            self._message.paused_s += now - self._read_paused_at_s
+        self._read_paused_at_s = None
         self.transport.resume_reading()
 
-    def _pump(self) -> None:
-        """Take what waits, one request at a time; read on only while nothing waits."""
-        if self._pumping or self.transport is None:
+    def _process_queue(self) -> None:
+        """Start queued requests, one at a time, then update the flow control of reading."""
+        if self._is_processing_queue or self.transport is None:
             return
-        self._pumping = True
+        self._is_processing_queue = True
         try:
-            while self._queue and not self._busy and self._blocked_at is None and self._settled():
-                self._take(self._queue.popleft())
+            while (
+                self._pending_requests
+                and not self._is_answer_due
+                and self._write_blocked_at_s is None
+                and self._is_body_read()
+            ):
+                self._start_request(self._pending_requests.popleft())
         finally:
-            self._pumping = False
-        self._crowded = bool(self._queue) and self._inbound() > AHEAD
-        self._read_on()
-        self._invite()
+            self._is_processing_queue = False
+        self._is_queue_full = (
+            bool(self._pending_requests) and self._buffered_request_bytes() > MAX_PIPELINED_BYTES
+        )
+        self._update_reading()
+        self._send_continue()
 
-    def _settled(self) -> bool:
-        """Whether the last request's body is all read."""
-        return self._taken is None or self._taken.whole
+    def _is_body_read(self) -> bool:
+        """Whether the current request's body has been received to its end."""
+        return self._current_request is None or self._current_request.is_complete
 
-    def _take(self, item: _Message | int) -> None:
-        self._busy = True
+    def _start_request(self, item: _RequestMessage | int) -> None:
+        self._is_answer_due = True
         if isinstance(item, int):
             self._answer_and_close(item)
             return
-        self._taken = item
-        if item.order is None:
+        self._current_request = item
+        if item.client_request is None:
             self._answer_and_close(200 if self._core.ready() else 503)
             return
-        wanted = item.order
-        wanted.upload = item.upload
+        client_request = item.client_request
+        client_request.upload = item.upload
         if item.upload is None:
-            wanted.body, item.body = b"".join(item.body), []
-        wanted.head += _framing(item)
-        self._kept = len(wanted.head) + len(wanted.body)
-        rid = self._core.request(self, wanted)
-        if self._busy:  # else it is answered already
-            self._open = rid
-            if item.expects:
-                item.expects = False
+            client_request.body, item.body = b"".join(item.body), []
+        client_request.head += _framing_header(item)
+        self._open_request_bytes = len(client_request.head) + len(client_request.body)
+        request_id = self._core.request(self, client_request)
+        if self._is_answer_due:  # otherwise it has already been answered
+            self._open = request_id
+            if item.awaits_continue:
+                item.awaits_continue = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _answer_and_close(self, status: int) -> None:
-        """Answer what is not a client's request, and leave whoever sent it no place."""
-        self._ending = True
-        self.answer(status, retry_after_ms=FULL_RETRY_MS if status == 503 else 0.0)
-
-    def _keeps(self) -> bool:
-        """Whether the connection goes on behind the answer that is due."""
-        if self._taken is None or not (self._taken.keep_alive and self._taken.whole):
+        """Answer a readiness check or an invalid request and close, so that it keeps no place."""
+        self._is_closing = True
+        self.answer(status, retry_after_ms=RETRY_AFTER_MS if status == 503 else 0.0)
+
+    def _should_keep_alive(self) -> bool:
+        """Whether the connection stays open after the answer to the current request."""
+        if self._current_request is None or not (
+            self._current_request.keep_alive and self._current_request.is_complete
+        ):
             return False
-        return bool(self._queue) or not (self._ending or self._core.draining or self._server.crowded())
+        return bool(self._pending_requests) or not (
+            self._is_closing or self._core.draining or self._listener.is_crowded()
+        )
 
-    def _answered(self) -> None:
-        self._open, self._busy, self._source, self._kept = None, False, None, 0
-        self._held_in.set(self._inbound())
-        self.served += 1
-        self.since = self._server.now()
-        if self._taken is not None and self._taken.upload is not None:
-            self._taken.upload.detach()
+    def _finish_request(self) -> None:
+        self._open, self._is_answer_due, self._answer_source, self._open_request_bytes = None, False, None, 0
+        self._request_account.set(self._buffered_request_bytes())
+        self.answered_count += 1
+        self.phase_started_at_s = self._listener.now()
+        if self._current_request is not None and self._current_request.upload is not None:
+            self._current_request.upload.detach()
 
     def answer(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """The one answer to the request that is open."""
-        self._answered()
+        """Write the only answer to the open request."""
+        self._finish_request()
         if self.transport.is_closing():
             return
-        keep = self._keeps()
-        parts = [LINES[status], b"Content-Length: %d\r\n" % len(body)]
+        keep = self._should_keep_alive()
+        parts = [STATUS_LINES[status], b"Content-Length: %d\r\n" % len(body)]
         if content_type:
             parts.append(b"Content-Type: %b\r\n" % content_type)
         if retry_after_ms > 0:
@@ -612,260 +650,291 @@
         parts.append(body)
         self._write(b"".join(parts))
         if not keep:
-            self._end()
-        self._pump()
+            self._close_gracefully()
+        self._process_queue()
 
-    # A long answer, as it comes
+    # Streamed answers
 
     def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
-        """Begin to pass on a long answer to the request that is open."""
-        self._source = source
-        self._chunked = length is None and self._taken.version == "1.1"
-        self._framed = self._chunked or length is not None
-        self._stays = self._framed and self._keeps()
-        parts = [LINES[200]]
+        """Write the head of a streamed 200 answer; `length` None means that its length is unknown.
+
+        `source` is paused while the client does not read. HTTP/1.0 clients get an answer without a length up
+        to the end of the connection.
+        """
+        self._answer_source = source
+        self._is_chunked = length is None and self._current_request.http_version == "1.1"
+        self._is_self_delimited = self._is_chunked or length is not None
+        self._keeps_alive = self._is_self_delimited and self._should_keep_alive()
+        parts = [STATUS_LINES[200]]
         if length is not None:
             parts.append(b"Content-Length: %d\r\n" % length)
-        elif self._chunked:
+        elif self._is_chunked:
             parts.append(b"Transfer-Encoding: chunked\r\n")
         if content_type:
             parts.append(b"Content-Type: %b\r\n" % content_type)
-        parts.append(b"\r\n" if self._stays else b"Connection: close\r\n\r\n")
+        parts.append(b"\r\n" if self._keeps_alive else b"Connection: close\r\n\r\n")
         limit_socket_buffer(self.transport, socket.SO_SNDBUF)
-        self._held_out.begin(self._choke, self._evict)
+        self._answer_account.begin(self._pause_for_budget, self._evict)
         self._write(b"".join(parts))
-        self._hold_source()
+        self._update_source_flow()
 
     def more(self, data: bytes) -> None:
-        """Pass on a part of it."""
+        """Write a part of the streamed body."""
         self._core.stats.passed_down += len(data)
-        self._write(b"%x\r\n%b\r\n" % (len(data), data) if self._chunked else data)
+        self._write(b"%x\r\n%b\r\n" % (len(data), data) if self._is_chunked else data)
 
     def finish(self) -> None:
-        """It is whole."""
-        # Danger: its link is free by now, and may be another's: what is left to write must not hold that
-        # back.
-        self._source = None
-        if self._chunked:
+        """Complete the streamed answer."""
+        # The server connection may already carry another request, so that the bytes still to be written here
+        # must not pause it.
+        self._answer_source = None
+        if self._is_chunked:
             self._write(b"0\r\n\r\n")
-        self._draining = self._blocked_at is not None
-        if not self._draining:
-            self._held_out.finish()
-        self._answered()
-        if not self._stays:
-            self._end()
-        self._pump()
+        self._is_flushing = self._write_blocked_at_s is not None
+        if not self._is_flushing:
+            self._answer_account.finish()
+        self._finish_request()
+        if not self._keeps_alive:
+            self._close_gracefully()
+        self._process_queue()
 
     def cut(self) -> None:
-        """It will not become whole: end the connection where its framing, or a reset, tells the client."""
-        self._answered()
-        self._ending = True
-        (self.transport.close if self._framed else self.transport.abort)()
+        """Close the connection within a streamed answer.
+
+        The missing end shows the client that the answer is incomplete; without any framing only a reset does.
+        """
+        self._finish_request()
+        self._is_closing = True
+        (self.transport.close if self._is_self_delimited else self.transport.abort)()
 
     def _write(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
-            self._held_out.set(self.transport.get_write_buffer_size())
+            self._answer_account.set(self.transport.get_write_buffer_size())
 
-    def _end(self) -> None:
-        """End our sending after the last answer; the client's end, or a while, ends the rest.
+    def _close_gracefully(self) -> None:
+        """Shut down sending after the last answer and close when the client does, or after a time limit.
 
-        Danger: a close over unread bytes resets the connection, and what is on its way with it. So what the
-        client still sends is read.
+        Closing with unread bytes in the socket would reset the connection and could destroy the answer on its
+        way, so reading goes on until then.
         """
         message = self._message
         if self.transport.is_closing():
             return
-        if self._ending or message is None or message.upload is None or message is not self._taken:
-            self._ending = True
-            self._queue.clear()
+        if (
+            self._is_closing
+            or message is None
+            or message.upload is None
+            or message is not self._current_request
+        ):
+            self._is_closing = True
+            self._pending_requests.clear()
             self.transport.write_eof()
-            self._server.loop.call_later(LINGER_S, self.transport.close)
-        else:  # the rest of its body is read and dropped, for a while: see `on_message_complete`
-            self._server.loop.call_later(DRAIN_S, self._cut_rest, message)
+            self._listener.loop.call_later(LINGER_TIMEOUT_S, self.transport.close)
+        else:  # reads and discards the rest of its body: see `on_message_complete`
+            self._listener.loop.call_later(BODY_DRAIN_TIMEOUT_S, self._abort_body_drain, message)
 
-    def _cut_rest(self, message: _Message) -> None:
+    def _abort_body_drain(self, message: _RequestMessage) -> None:
         if self._message is message and not self.transport.is_closing():
             self._core.stats.cut_short("answered")
             self.transport.abort()
 
     def state(self) -> str:
-        """For the log: what this connection is at."""
-        if self._busy:
+        """Return the connection's state for the log."""
+        if self._is_answer_due:
             return "open"
-        if self._ending:
+        if self._is_closing:
             return "ending"
-        return "reading" if self._message is not None else "idle" if self.served else "silent"
+        return "reading" if self._message is not None else "idle" if self.answered_count else "silent"
 
-    def check(self, now: float) -> None:
-        """Close if the client has been idle, or slow to send its request or read its answer, for too long."""
+    def check_timeouts(self, now: float) -> None:
+        """Enforce the time limits for idling, for sending a request and for reading an answer."""
         message = self._message
-        if self._blocked_at is not None and now - self._blocked_at > READ_S:
-            self.transport.abort()  # guards the descriptors: it does not read its answer
-        elif self._ending:
-            if not self._busy and now - self.since > IDLE_S:
+        if self._write_blocked_at_s is not None and now - self._write_blocked_at_s > ANSWER_READ_TIMEOUT_S:
+            self.transport.abort()  # otherwise clients that do not read would hold descriptors
+        elif self._is_closing:
+            if not self._is_answer_due and now - self.phase_started_at_s > IDLE_TIMEOUT_S:
                 self.transport.abort()
         elif message is not None:
             if (
-                self._paused_at is None
-                and now > self._due(message)
-                and (not self._busy or message is self._taken)
+                self._read_paused_at_s is None
+                and now > self._read_deadline_s(message)
+                and (not self._is_answer_due or message is self._current_request)
             ):
-                self._late(message)
-        elif not self._busy and now - self.since > (IDLE_S if self.served else HEAD_S) and not self.unread():
-            self.transport.abort()  # what it has not read by now it will not read
-
-    def _due(self, message: _Message) -> float:
-        """When what has come of a message is too little: a fixed time for its head, a rate for its body."""
-        if not message.headed_at:
-            return self.since + HEAD_S
-        start = max(self.since + HEAD_S, message.headed_at + BODY_S)
-        return start + message.size / BODY_RATE + message.held_s
-
-    def _late(self, message: _Message) -> None:
-        if self.unread():
-            return  # it is we who are late
-        if message.headed_at:
-            self._spoil(408)
+                self._handle_read_timeout(message)
+        elif (
+            not self._is_answer_due
+            and now - self.phase_started_at_s > (IDLE_TIMEOUT_S if self.answered_count else HEAD_TIMEOUT_S)
+            and not self.has_unread_bytes()
+        ):
+            self.transport.abort()  # idle, or without a first head in time
+
+    def _read_deadline_s(self, message: _RequestMessage) -> float:
+        """Return when the message times out: a fixed limit for its head, a minimum rate for its body."""
+        if not message.head_complete_at_s:
+            return self.phase_started_at_s + HEAD_TIMEOUT_S
+        start = max(self.phase_started_at_s + HEAD_TIMEOUT_S, message.head_complete_at_s + BODY_GRACE_S)
+        return start + message.body_bytes / MIN_BODY_BYTES_PER_S + message.paused_s
+
+    def _handle_read_timeout(self, message: _RequestMessage) -> None:
+        if self.has_unread_bytes():
+            return  # the delay is in this process
+        if message.head_complete_at_s:
+            self._fail_message(408)
         else:
             self._reject(408)
-        self._pump()
+        self._process_queue()
 
-    def idle(self) -> bool:
-        """Whether no request is owed its answer or is being read."""
-        return not self._busy and self._message is None and not self._queue
+    def is_idle(self) -> bool:
+        """Whether no request is being received, queued or processed."""
+        return not self._is_answer_due and self._message is None and not self._pending_requests
 
-    def spare(self, now: float) -> bool:
-        """Whether another client has a better claim to this place: nobody waits for anything here."""
-        if self._busy or self.transport.is_closing():
+    def is_evictable(self, now: float) -> bool:
+        """Whether the connection may be closed for a new client: idle, or without a request for too long."""
+        if self._is_answer_due or self.transport.is_closing():
             return False
-        waits = now - self.since >= SPARE_S and self.idle() if self.served else now - self.heard_at >= STALE_S
-        return waits and not self.unread()
+        waits = (
+            now - self.phase_started_at_s >= SPARE_S and self.is_idle()
+            if self.answered_count
+            else now - self.heard_at >= STALE_S
+        )
+        return waits and not self.has_unread_bytes()
 
-    def unread(self) -> bool:
-        """Whether bytes have come that we have not read: a close now would reset the connection."""
+    def has_unread_bytes(self) -> bool:
+        """Whether the socket holds unread bytes; closing it now would reset the connection."""
         if self.transport.is_closing():
-            return False  # its descriptor may be gone
+            return False  # the descriptor may be closed
         count = array.array("i", [0])
         fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.FIONREAD, count)
         return count[0] > 0
 
     def close_if_idle(self) -> None:
-        """Close unless a request is owed its answer, is being read or waits to be read; one that ends already
-        is left to that."""
-        if self.idle() and not self._ending and not self.unread():
+        """Close unless the connection carries a request, has unread bytes, or is closing already."""
+        if self.is_idle() and not self._is_closing and not self.has_unread_bytes():
             self.transport.close()
 
 
 class ClientListener:
-    """Accepts clients while there is room for them."""
+    """Accepts client connections up to a share of the descriptors and enforces their time limits.
+
+    `sockets` is the number of descriptors that the process may use for all purposes.
+    """
 
     def __init__(self, core: Core, loop: asyncio.AbstractEventLoop, sockets: int) -> None:
         self.core, self.loop = core, loop
         self.names = ClassAndPlanNames(core.settings)
         self.connections: set[ClientConnection] = set()
-        self.use = core.stats.descriptors.uses["clients"]
+        self.descriptor_use = core.stats.descriptors.uses["clients"]
         self.longest_upload = core.longest_upload
-        self._sockets = sockets
-        self._socket: socket.socket | None = None
-        self._open = self._accepting = False
-        self._pending: set[asyncio.Task] = set()
-        self._told_at = -TELL_S
+        self._socket_limit = sockets
+        self._listening_socket: socket.socket | None = None
+        self._is_open = self._is_accepting = False
+        self._accept_tasks: set[asyncio.Task] = set()
+        self._full_logged_at_s = -FULL_LOG_INTERVAL_S
 
     def retune(self, names: ClassAndPlanNames) -> None:
-        """Take the classes and plans of new settings; a dropped class is still taken for a while."""
-        late = ClassAndPlanNames(api.Settings(()))
-        late.classes = {**self.names.classes, **names.classes}
-        late.plans = names.plans
-        self.names = late
-        self.loop.call_later(DROPPED_S, self._drop, late, names)
+        """Apply new classes and plans; removed classes stay valid for CLASS_REMOVAL_DELAY_S."""
+        merged = ClassAndPlanNames(api.Settings(()))
+        merged.classes = {**self.names.classes, **names.classes}
+        merged.plans = names.plans
+        self.names = merged
+        self.loop.call_later(CLASS_REMOVAL_DELAY_S, self._drop_old_classes, merged, names)
 
     def resize(self, sockets: int, longest_upload: int) -> None:
-        """Go by other limits: who is here stays, room is made or found as it comes."""
-        self._sockets, self.longest_upload = sockets, longest_upload
-        self._resume()
+        """Apply new limits; existing connections stay, also above a lower limit.
+
+        `longest_upload` is in bytes.
+        """
+        self._socket_limit, self.longest_upload = sockets, longest_upload
+        self._resume_accepting()
 
-    def _drop(self, late: ClassAndPlanNames, names: ClassAndPlanNames) -> None:
-        if self.names is late:  # else they were changed again
+    def _drop_old_classes(self, merged: ClassAndPlanNames, names: ClassAndPlanNames) -> None:
+        if self.names is merged:  # otherwise newer settings have replaced them
             self.names = names
 
     def now(self) -> float:
-        """The loop's time."""
+        """Return the event loop's time in seconds."""
         return self.loop.time()
 
     def start(self, address: tuple[str, int], fd: int | None = None) -> tuple[str, int]:
-        """Listen, on the socket that the platform holds where there is one; nothing is accepted yet.
+        """Open the listening socket, or adopt the inherited descriptor `fd`; accepting begins with `accept`.
 
-        Returns the address, with the port that the system chose for 0.
+        Returns the bound address, with the actual port where 0 was asked for.
         """
         if fd is not None:
-            self._socket = socket.socket(fileno=fd)
+            self._listening_socket = socket.socket(fileno=fd)
         else:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-            self._socket = socket.socket(family, socket.SOCK_STREAM)
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._socket.bind(address)
-        self._socket.setblocking(False)
-        if not self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            self._socket.listen(BACKLOG)
-        self.loop.call_later(SWEEP_S, self._sweep)
-        return self._socket.getsockname()[:2]
+            self._listening_socket = socket.socket(family, socket.SOCK_STREAM)
+            self._listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._listening_socket.bind(address)
+        self._listening_socket.setblocking(False)
+        if not self._listening_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            self._listening_socket.listen(BACKLOG_CONNECTIONS)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        return self._listening_socket.getsockname()[:2]
 
     def accept(self) -> None:
-        """Begin to accept."""
-        self._open = True
-        self._resume()
+        """Begin to accept connections."""
+        self._is_open = True
+        self._resume_accepting()
 
     def stop_accepting(self, succeeded: bool = False) -> None:
-        """Leave the listening socket: what has come to it is accepted first, or left to a next process.
+        """Close the listening socket; with `succeeded`, its backlog is left to the next process.
 
-        It is closed here, never shut down: where the platform holds it, others go on with it.
+        Without a successor the backlog is accepted first. The socket is closed and never shut down, as other
+        processes may hold it too.
         """
-        if self._accepting and not succeeded:
-            self._accept()
-        self._pause()
-        if self._socket is not None:
-            self._socket.close()
-            self._socket = None
+        if self._is_accepting and not succeeded:
+            self._accept_waiting()
+        self._pause_accepting()
+        if self._listening_socket is not None:
+            self._listening_socket.close()
+            self._listening_socket = None
 
     def close_idle(self) -> bool:
-        """Close the connections that carry nothing; True once none is left."""
+        """Close all idle connections; returns whether no connection is left."""
         for connection in list(self.connections):
             connection.close_if_idle()
-        return not self.connections and not self._pending
+        return not self.connections and not self._accept_tasks
 
     def closed(self, connection: ClientConnection) -> None:
-        """A connection is gone; there is room for another."""
+        """Remove a lost connection and resume accepting."""
         self.connections.discard(connection)
-        self.use.closed()
-        self._resume()
+        self.descriptor_use.closed()
+        self._resume_accepting()
 
-    def _resume(self) -> None:
-        if self._open and self._socket is not None and not self._accepting and self._room():
-            self._accepting = True
-            self.loop.add_reader(self._socket, self._accept)
+    def _resume_accepting(self) -> None:
+        if (
+            self._is_open
+            and self._listening_socket is not None
+            and not self._is_accepting
+            and self._has_room()
+        ):
+            self._is_accepting = True
+            self.loop.add_reader(self._listening_socket, self._accept_waiting)
 
-    def _pause(self) -> None:
-        if self._accepting:
-            self._accepting = False
-            self.loop.remove_reader(self._socket)
+    def _pause_accepting(self) -> None:
+        if self._is_accepting:
+            self._is_accepting = False
+            self.loop.remove_reader(self._listening_socket)
 
-    def _most(self) -> int:
-        return int(CLIENT_SHARE * self._sockets) // (2 if self.core.shared else 1)
+    def _max_connections(self) -> int:
+        return int(CLIENT_DESCRIPTOR_SHARE * self._socket_limit) // (2 if self.core.shared else 1)
 
-    def _room(self) -> bool:
-        return len(self.connections) + len(self._pending) < self._most()
+    def _has_room(self) -> bool:
+        return len(self.connections) + len(self._accept_tasks) < self._max_connections()
 
-    def crowded(self) -> bool:
-        """Whether places are short: then one that a client might use again is worth less than a free one."""
-        return len(self.connections) > CROWDED * self._most()
+    def is_crowded(self) -> bool:
+        """Whether places are short, so that connections are closed after their answer instead of kept."""
+        return len(self.connections) > CROWDED_SHARE * self._max_connections()
 
-    def _accept(self) -> None:
-        # Guards the descriptors: beyond the bound clients wait in the backlog, and a failing accept is
-        # tried again later. Neither may end the listener.
-        while self._room():
+    def _accept_waiting(self) -> None:
+        # Above the limit clients wait in the backlog, and a failed accept is retried after a delay: running
+        # out of descriptors must not end the listener.
+        while self._has_room():
             try:
-                accepted, _ = self._socket.accept()
+                accepted, _ = self._listening_socket.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
@@ -876,68 +945,69 @@
                         error=str(errno.errorcode.get(error.errno, error)),
                     )
                 )
-                self._pause()
-                self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
+                self._pause_accepting()
+                self.loop.call_later(ACCEPT_RETRY_DELAY_S, self._resume_accepting)
                 return
             accepted.setblocking(False)
             task = self.loop.create_task(
                 self.loop.connect_accepted_socket(lambda: ClientConnection(self), accepted)
             )
-            self._pending.add(task)
-            task.add_done_callback(self._accepted)
-        self._pause()
-        self._make_room()
+            self._accept_tasks.add(task)
+            task.add_done_callback(self._accept_done)
+        self._pause_accepting()
+        self._evict_connection()
 
-    def _make_room(self) -> None:
-        """Close the connection that is missed least; its end lets the next client in.
+    def _evict_connection(self) -> None:
+        """Close one evictable connection; accepting resumes once it is lost.
 
-        Guards against clients that leave their connections open and come on new ones, and against peers that
-        bring no request, or half of one: connections that nobody uses would hold all the places.
+        Otherwise clients that leave their connections open and connect anew, or peers that send no request or
+        an incomplete one, would hold all places. Connections that have been answered before go first,
+        then those without a request; within each group the one that has been silent for longest.
         """
         now = self.now()
-        spare = min(
-            (c for c in self.connections if c.spare(now)),
-            key=lambda c: (not c.served, c.heard_at),
+        evictable = min(
+            (c for c in self.connections if c.is_evictable(now)),
+            key=lambda c: (not c.answered_count, c.heard_at),
             default=None,
         )
-        if spare is not None:
-            spare.transport.abort()
+        if evictable is not None:
+            evictable.transport.abort()
         else:
-            self._tell_full()
+            self._log_full()
 
-    def _tell_full(self) -> None:
-        """Say, now and then, what the connections are at that leave no room for another."""
-        if self.now() - self._told_at < TELL_S:
+    def _log_full(self) -> None:
+        """Log the states of the connections that take all places, at most once per FULL_LOG_INTERVAL_S."""
+        if self.now() - self._full_logged_at_s < FULL_LOG_INTERVAL_S:
             return
-        self._told_at = self.now()
+        self._full_logged_at_s = self.now()
         states = Counter(connection.state() for connection in self.connections)
         log.warning(
             Event(
                 "clients_full",
-                "no room for more clients: {text}",
+                "connection limit reached: {text}",
                 **states,
                 text=", ".join(f"{n} {state}" for state, n in states.items()),
             )
         )
 
-    def _accepted(self, task: asyncio.Task) -> None:
-        # Until here the connection counted twice, which may have paused the listener with room left.
-        self._pending.discard(task)
+    def _accept_done(self, task: asyncio.Task) -> None:
+        # Until now the connection was counted twice, which may have paused accepting below the limit.
+        self._accept_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.warning(
                 Event(
                     "client_gone",
-                    "a client was gone before it was taken: {error}",
+                    "client disconnected before its connection was set up: {error}",
                     error=str(task.exception()),
                 )
             )
-        self._resume()
+        self._resume_accepting()
 
     def _sweep(self) -> None:
         now = self.now()
         for connection in list(self.connections):
-            connection.check(now)
+            connection.check_timeouts(now)
         self.core.budget.check()
-        if not self._room():
-            self._make_room()
-        self.loop.call_later(SWEEP_S, self._sweep)
+        if not self._has_room():
+            self._evict_connection()
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -1,4 +1,4 @@
-"""The client side of one HTTP/1.1 connection, shared by hosts, counter and discovery."""
+"""Client side of HTTP/1.1 connections, used for servers, the counter, discovery and the services."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 from yewstage.net.budget import MemoryAccount
 from yewstage.net.stats import DescriptorUse
 
-LONGEST_BODY = 64 * 1024  # kept whole; what is longer is passed on as it comes
-BUFFER = 128 * 1024  # of a socket that carries such a body
-LONGEST_LIST = 4 * 1024 * 1024
-DIAL_GRACE_S = 0.002  # a turn of the loop or two, in which a connection that is up counts before a time-out
-# Why a dial came to nothing, where it is not the system that tells.
-TOO_LATE, GIVEN_UP, BROKEN = "dial timed out", "dial given up", "broken when dialled"
-NO_DESCRIPTOR = "no descriptor left"
-SHORT = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))  # we are, not the other side
+LONGEST_BODY = 64 * 1024  # bytes buffered whole; longer bodies are streamed
+SOCKET_BUFFER_BYTES = 128 * 1024  # kernel buffer of a socket that carries a streamed body, per direction
+LONGEST_LIST = 4 * 1024 * 1024  # bytes of an answer with a list of servers
+CONNECT_GRACE_S = 0.002  # after the time-out, for a connection that is up but not yet seen by the event loop
+# Causes of a failed attempt to connect that have no error of the operating system.
+TOO_LATE, GIVEN_UP, BROKEN = "connect timed out", "connect cancelled", "connection lost while connecting"
+NO_DESCRIPTOR = "no file descriptor available"
+# Errors of this machine, not of the peer.
+OUT_OF_RESOURCES_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 @dataclass(slots=True)
 class Reply:
-    """One whole answer."""
+    """One complete answer; header names are lower case."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -33,148 +34,163 @@
 
 
 def limit_socket_buffer(transport: asyncio.Transport, option: int) -> None:
-    """Bound what the system keeps for a socket in one direction: it grows to megabytes by itself."""
+    """Limit the kernel buffer of a socket in one direction (`option`); by default it grows to megabytes."""
     sock = transport.get_extra_info("socket")
     if sock is not None:
-        sock.setsockopt(socket.SOL_SOCKET, option, BUFFER)
+        sock.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
 
 
 class Upload:
-    """A body too long to keep, on its way from a client to a host: each end holds the other back."""
+    """A request body streamed from a client to a server, with backpressure on the client.
+
+    Without a content length it is sent in chunked transfer coding. `pause_client` pauses or resumes reading
+    from the client; `evict` ends the client's connection when the memory budget asks for it.
+    """
 
     def __init__(
-        self, length: int | None, hold: Callable[[bool], None], held: MemoryAccount, evict: Callable[[], None]
+        self,
+        content_length: int | None,
+        pause_client: Callable[[bool], None],
+        account: MemoryAccount,
+        evict: Callable[[], None],
     ) -> None:
-        self._length, self._hold = length, hold  # no length: sent on in chunks
-        self._held, self._full, self._choked = held, False, False  # why its client is held back
-        held.begin(self._choke, evict)
-        self._waiting: list[bytes] = []  # until there is a connection
-        self._size = 0
-        self._host: ReplyProtocol | None = None
-        self.is_complete = self._over = False  # its last byte has come; nobody wants the rest
+        self._content_length, self._pause_client = content_length, pause_client
+        # Either of the two flags pauses the client.
+        self._account, self._is_full, self._is_budget_paused = account, False, False
+        account.begin(self._pause_for_budget, evict)
+        self._unsent: list[bytes] = []  # until a server connection is attached
+        self._unsent_bytes = 0
+        self._server_connection: ReplyProtocol | None = None
+        self.is_complete = self._is_detached = False  # received to the end; the rest is discarded
 
     def feed(self, data: bytes) -> None:
-        """More of it has come."""
-        if self._over:
+        """Forward a part of the body, as received from the client."""
+        if self._is_detached:
             return
-        if self._length is None:
+        if self._content_length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
-        self._pass_on(data)
+        self._forward(data)
 
     def finish(self) -> None:
-        """Its last byte has come."""
+        """Mark the body as complete and send the end of its framing."""
         self.is_complete = True
-        if not self._over:
-            self._pass_on(b"0\r\n\r\n" if self._length is None else b"")
+        if not self._is_detached:
+            self._forward(b"0\r\n\r\n" if self._content_length is None else b"")
 
-    def attach(self, host: ReplyProtocol, head: bytes) -> None:
-        """Pass it on here from now on, behind its request's head."""
-        self._host = host
-        limit_socket_buffer(host.transport, socket.SO_SNDBUF)
-        waiting, self._waiting = self._waiting, []
-        self._pass_on(b"".join((head, *waiting)))
+    def attach(self, server_connection: ReplyProtocol, head: bytes) -> None:
+        """Send the head and the body received so far on this connection, and the rest as it arrives."""
+        self._server_connection = server_connection
+        limit_socket_buffer(server_connection.transport, socket.SO_SNDBUF)
+        unsent, self._unsent = self._unsent, []
+        self._forward(b"".join((head, *unsent)))
 
     def detach(self) -> None:
-        """The attempt is over: the rest is read and dropped."""
-        self._over, self._host = True, None
-        self._waiting.clear()
-        self._held.end()
-        self._full = self._choked = False
-        self._hold(False)
+        """End the forwarding; the rest of the body is read from the client and discarded."""
+        self._is_detached, self._server_connection = True, None
+        self._unsent.clear()
+        self._account.end()
+        self._is_full = self._is_budget_paused = False
+        self._pause_client(False)
 
     def drained(self) -> None:
-        """All that was passed on has left this process."""
-        self._note(0)
-
-    def _choke(self, stopped: bool) -> None:
-        """The budget's word."""
-        self._choked = stopped
-        self._hold(self._full or self._choked)
-
-    def _note(self, size: int, most: int = 0) -> None:
-        """So much of it is here; more than `most` holds its client back."""
-        self._full = size > most
-        self._held.set(size)
-        self._hold(self._full or self._choked)
-
-    def _pass_on(self, data: bytes) -> None:
-        if self._host is None:
-            self._waiting.append(data)
-            self._size += len(data)
-            self._note(self._size, LONGEST_BODY - 1)
+        """Note that the server connection's write buffer is empty."""
+        self._set_held_bytes(0)
+
+    def _pause_for_budget(self, is_paused: bool) -> None:
+        """Pause or resume the client on behalf of the memory budget."""
+        self._is_budget_paused = is_paused
+        self._pause_client(self._is_full or self._is_budget_paused)
+
+    def _set_held_bytes(self, held_bytes: int, max_bytes: int = 0) -> None:
+        """Account for the bytes held in memory; more than `max_bytes` pause the client."""
+        self._is_full = held_bytes > max_bytes
+        self._account.set(held_bytes)
+        self._pause_client(self._is_full or self._is_budget_paused)
+
+    def _forward(self, data: bytes) -> None:
+        if self._server_connection is None:
+            self._unsent.append(data)
+            self._unsent_bytes += len(data)
+            self._set_held_bytes(self._unsent_bytes, LONGEST_BODY - 1)
             return
-        if self._host.transport.is_closing():
-            return  # its loss will be told
+        if self._server_connection.transport.is_closing():
+            return  # its connection_lost will be called
         if data:
-            self._host.transport.write(data)
-        self._note(self._host.transport.get_write_buffer_size())
-        self._host.flushed()
+            self._server_connection.transport.write(data)
+        self._set_held_bytes(self._server_connection.transport.get_write_buffer_size())
+        self._server_connection.flushed()
 
 
 class ConnectAttempt:
-    """One attempt to connect: bounded in time, its end told once, its descriptor counted from the start.
+    """One attempt to connect with a time limit; its descriptor is counted from the start.
 
-    A connection may break before its dial's callback runs. Its loss has been told by then and is not told
-    again: whoever kept it would write to a dead transport for good.
+    `on_end` is called once, with the protocol or with None and the cause. A connection may be lost before the
+    callback of its attempt runs. That counts as a failure: connection_lost is not called again, so that a
+    caller that kept the connection would write to a dead transport for good.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        make: Callable[[], ReplyProtocol],
+        protocol_factory: Callable[[], ReplyProtocol],
         address: tuple[str, int],
-        within_s: float,
+        timeout_s: float,
         use: DescriptorUse,
-        ended: Callable[[ReplyProtocol | None, str], None],
+        on_end: Callable[[ReplyProtocol | None, str], None],
     ) -> None:
-        self._loop, self._make, self._use = loop, make, use
-        self._ended: Callable[[ReplyProtocol | None, str], None] | None = ended
-        self._made: ReplyProtocol | None = None
-        self._late = False
+        self._loop, self._protocol_factory, self._descriptor_use = loop, protocol_factory, use
+        self._on_end: Callable[[ReplyProtocol | None, str], None] | None = on_end
+        self._protocol: ReplyProtocol | None = None
+        self._is_timed_out = False
         use.opened()
-        self._task = loop.create_task(loop.create_connection(self._connection, *address))
-        self._task.add_done_callback(self._done)
-        self._timer = loop.call_later(within_s, self._overdue)
+        self._task = loop.create_task(loop.create_connection(self._create_protocol, *address))
+        self._task.add_done_callback(self._finish)
+        self._timer = loop.call_later(timeout_s, self._handle_timeout)
 
     def cancel(self) -> None:
-        """Give it up; its end is told all the same."""
+        """Cancel the attempt; `on_end` is still called."""
         self._task.cancel()
 
-    def _connection(self) -> ReplyProtocol:
-        self._made = self._make()
-        self._made.use = self._use
-        return self._made
+    def _create_protocol(self) -> ReplyProtocol:
+        self._protocol = self._protocol_factory()
+        self._protocol.use = self._descriptor_use
+        return self._protocol
 
-    def _overdue(self) -> None:
-        # Guards against our own stall: the connection may be up and the loop may not have looked yet.
-        self._late = True
-        self._timer = self._loop.call_later(DIAL_GRACE_S, self._task.cancel)
+    def _handle_timeout(self) -> None:
+        # After a stall of this process the connection may be up and the event loop may not have seen it yet.
+        self._is_timed_out = True
+        self._timer = self._loop.call_later(CONNECT_GRACE_S, self._task.cancel)
 
-    def _done(self, task: asyncio.Task) -> None:
+    def _finish(self, task: asyncio.Task) -> None:
         self._timer.cancel()
-        if self._made is None or self._made.transport is None:
-            self._use.closed()  # else its connection gives the descriptor back
-        ended, self._ended = self._ended, None  # who is told may hold us
+        if self._protocol is None or self._protocol.transport is None:
+            self._descriptor_use.closed()  # otherwise connection_lost does this
+        on_end, self._on_end = self._on_end, None  # breaks the reference cycle with the callee
         if task.cancelled():
-            ended(None, TOO_LATE if self._late else GIVEN_UP)
+            on_end(None, TOO_LATE if self._is_timed_out else GIVEN_UP)
         elif (error := task.exception()) is not None:
-            ended(None, NO_DESCRIPTOR if getattr(error, "errno", 0) in SHORT else str(error))
+            on_end(
+                None, NO_DESCRIPTOR if getattr(error, "errno", 0) in OUT_OF_RESOURCES_ERRNOS else str(error)
+            )
         elif task.result()[0].is_closing():
-            ended(None, BROKEN)
+            on_end(None, BROKEN)
         else:
-            ended(task.result()[1], "")
+            on_end(task.result()[1], "")
 
 
 class ReplyProtocol(asyncio.Protocol):
-    """Parses answers; a subclass says what a whole answer and a lost connection mean."""
+    """Parses answers; subclasses implement `replied` and `lost`.
+
+    An answer whose head and body exceed the limit aborts the connection.
+    """
 
-    def __init__(self, longest: int = LONGEST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = LONGEST_BODY) -> None:
         self.transport: asyncio.Transport | None = None
-        self.use: DescriptorUse | None = None  # what its descriptor counts as
-        self.has_unsent_data = False  # part of what we wrote has not left this process
-        self.close_cause = ""  # for the log: why the connection ended
+        self.use: DescriptorUse | None = None  # the count that includes its descriptor
+        self.has_unsent_data = False  # the write buffer is not empty
+        self.close_cause = ""  # for the log
         self._parser = httptools.HttpResponseParser(self)
-        self._longest = longest
+        self._max_body_bytes = max_body_bytes
         self._reset()
 
     def _reset(self) -> None:
@@ -184,23 +200,23 @@
         self._in_body = self.begun = False
 
     def replied(self, reply: Reply, reusable: bool) -> None:
-        """A whole answer has come."""
+        """Handle a complete answer; `reusable` tells whether the connection may carry another request."""
         raise NotImplementedError
 
     def lost(self) -> None:
-        """The connection is gone."""
+        """Handle the loss of the connection."""
         raise NotImplementedError
 
     def flushed(self) -> None:
-        """A part of an upload was written."""
+        """Called after a part of an upload was written to the transport."""
 
     def write(self, data: bytes) -> None:
-        """Write, and know whether the last byte has left this process."""
+        """Write and update `has_unsent_data`."""
         self.transport.write(data)
         self.has_unsent_data = self.transport.get_write_buffer_size() > 0
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection, if there is one."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -208,7 +224,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing means an empty buffer
 
     def resume_writing(self) -> None:
         self.has_unsent_data = False
@@ -218,11 +234,11 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.close_cause = f"{error} in {data[:64]!r}"
-            self.abort()  # nonsense: whatever is out on it ends as a reset
+            self.abort()  # not HTTP/1.1: the open request ends as a reset
 
     def eof_received(self) -> None:
         framed = b"content-length" in self._headers or b"transfer-encoding" in self._headers
-        if self._in_body and not framed:  # an answer may also end with its connection
+        if self._in_body and not framed:  # without framing the body ends with the connection
             self._complete(reusable=False)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -249,7 +265,7 @@
 
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() < 200:
-            self._reset()  # interim answers are not the answer
+            self._reset()  # an interim (1xx) answer
             return
         self._complete(self._parser.should_keep_alive())
 
@@ -260,6 +276,6 @@
 
     def _grow(self, size: int) -> None:
         self._size += size
-        if self._size > self._longest + LONGEST_BODY:
+        if self._size > self._max_body_bytes + LONGEST_BODY:
             self.close_cause = "answer too long"
             self.abort()
