--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -81,7 +81,7 @@
     async def scenario() -> None:
         ops = Ops(asyncio.get_running_loop(), lambda: False, lambda: "")
         address = await ops.start((LOOP, 0))
-        stalled = [await asyncio.open_connection(*address) for _ in range(ops_module.CALLERS + 4)]
+        stalled = [await asyncio.open_connection(*address) for _ in range(ops_module.MAX_CONNECTIONS + 4)]
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"GET /ops/readiness HTTP/1.1\r\n\r\n")
         assert (await reader.readline()).split()[1] == b"503"
@@ -92,7 +92,7 @@
             other.close()
         ops.stop()
 
-    on_loop(scenario, 4)  # less than CALL_S, so the place came from giving way
+    on_loop(scenario, 4)  # less than CALL_TIMEOUT_S, so the place came from giving way
 
 
 def test_a_dropped_class_keeps_its_counts_and_labels_are_escaped() -> None:
--- a/yewstage/net/claim_record.py
+++ b/yewstage/net/claim_record.py
@@ -1,7 +1,8 @@
-"""The record of keyed requests, as a gateway asks it: a claim before anything is sent, its end after.
+"""Client of the holding's record of idempotency keys, which keeps a keyed request from running twice.
 
-Loaded only where `holding` is configured. Calls are the holding's (`yewstage/holding/calls.py`); the decision
-what to do with a claim's result is the module's.
+A gateway claims a key before it sends the request and settles the claim afterwards, as done or released.
+Imported only where `holding` is configured. `yewstage/holding/calls.py` serves the calls, and
+`yewstage/policy.py` decides what follows from a claim's result.
 """
 
 from __future__ import annotations
@@ -21,149 +22,161 @@
 
 log = logging.getLogger(__name__)
 
-SETTLE_S = 20.0  # for how long an end is told again until it is heard
-MOST_TOLD = 2000  # ends that wait to be heard; past that a key stays claimed until its window is over
-LONGEST_KEPT = 8 * 1024  # an answer's body, to be given again
+SETTLE_TIMEOUT_S = 20.0  # a settlement is repeated for so long until it is acknowledged
+MAX_PENDING_SETTLEMENTS = (
+    2000  # ends that wait to be heard; past that a key stays claimed deadline_s its window is over
+)
+MAX_STORED_ANSWER_BYTES = (
+    8 * 1024
+)  # a longer body is not stored, so that a repeated request cannot be answered with it
 RESULTS = ("yours", "done", "held", "silent")
 
 
 @dataclass(slots=True)
 class KeyClaim:
-    """One request's claim."""
+    """One request's claim of an idempotency key."""
 
     key: str
     by: str
-    result: str = ""  # empty: not known yet
-    left: bool = False  # wanted no more
-    answer: Reply | None = None  # as the record has it
+    result: str = ""  # one of RESULTS; empty until known
+    is_abandoned: bool = False  # the request no longer needs it
+    answer: Reply | None = None  # the stored answer, for the result "done"
 
 
 class ClaimRecord:
-    """All claims of one gateway's life."""
+    """Makes and settles the claims of one gateway process.
+
+    Claims carry an id that is unique to the process, so that a restarted gateway cannot take over the claims
+    of its predecessor.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        lanes: HoldingClient,
+        client: HoldingClient,
         name: str,
     ) -> None:
-        self._loop, self._lanes = loop, lanes
-        self._life = f"{name[:40]}.{secrets.token_hex(8)}"
+        self._loop, self._client = loop, client
+        self._process_id = f"{name[:40]}.{secrets.token_hex(8)}"
         self._tasks: set[asyncio.Task] = set()
         self.results = dict.fromkeys(RESULTS, 0)
-        self.untold = 0  # ends that were given up
+        self.lost_settlements = 0  # settlements dropped or never acknowledged
 
     def claim(
         self,
         customer: str,
         class_name: str,
         key: bytes,
-        rid: str,
+        request_id: str,
         window_ms: float,
         wait_ms: float,
-        told: Callable[[str], None],
+        on_result: Callable[[str], None],
     ) -> KeyClaim:
-        """Claim a key; `told` is called once, with a result. A key is one customer's, of one class: nobody
-        learns by it what another was answered."""
-        name = hashlib.blake2b(b"\0".join((customer.encode(), class_name.encode(), key)), digest_size=20)
-        held = KeyClaim(name.hexdigest(), f"{self._life}/{rid}")
-        self._spawn(self._claim(held, window_ms, wait_ms, told))
-        return held
-
-    def release(self, held: KeyClaim) -> None:
-        """It never ran. A claim that is still being asked for is given up as soon as that is known."""
-        if held.result:
-            self._settle(held, "release", {})
-        held.left = True
-
-    def complete(self, held: KeyClaim, reply: Reply) -> None:
-        """It ran, and this is what came of it. An answer that is long is known as done only."""
+        """Claim a key for at most `wait_ms`; `on_result` is called once, with one of RESULTS.
+
+        Keys are separate for each customer and class, so that no customer gets another one's stored answer.
+        """
+        digest = hashlib.blake2b(b"\0".join((customer.encode(), class_name.encode(), key)), digest_size=20)
+        claim = KeyClaim(digest.hexdigest(), f"{self._process_id}/{request_id}")
+        self._spawn(self._claim(claim, window_ms, wait_ms, on_result))
+        return claim
+
+    def release(self, claim: KeyClaim) -> None:
+        """Release the claim of a request that never ran; a pending claim once its result is known."""
+        if claim.result:
+            self._settle(claim, "release", {})
+        claim.is_abandoned = True
+
+    def complete(self, claim: KeyClaim, reply: Reply) -> None:
+        """Settle the claim of a request that ran; a body above MAX_STORED_ANSWER_BYTES is not stored."""
         body: dict[str, object] = {"status": reply.status}
-        if 0 < len(reply.body) <= LONGEST_KEPT:
-            kind = reply.headers.get(b"content-type", b"")
-            body["answer"] = base64.b64encode(kind + b"\n" + reply.body).decode()
-        self._settle(held, "done", body)
+        if 0 < len(reply.body) <= MAX_STORED_ANSWER_BYTES:
+            content_type = reply.headers.get(b"content-type", b"")
+            body["answer"] = base64.b64encode(content_type + b"\n" + reply.body).decode()
+        self._settle(claim, "done", body)
 
     def stop(self) -> None:
-        """Ask no more."""
+        """Cancel all pending claims and settlements."""
         for task in self._tasks:
             task.cancel()
-        self._lanes.close()
+        self._client.close()
 
     def metrics(self) -> dict[str, float]:
-        """What operators read."""
+        """Return metric values by name and labels."""
         return {
-            **{f'keyed_claims_total{{result="{name}"}}': n for name, n in self.results.items()},
-            "keyed_ends_untold_total": self.untold,
+            **{f'keyed_claims_total{{result="{result}"}}': n for result, n in self.results.items()},
+            "keyed_ends_untold_total": self.lost_settlements,
             "keyed_ends_waiting": len(self._tasks),
         }
 
     async def _claim(
-        self, held: KeyClaim, window_ms: float, wait_ms: float, told: Callable[[str], None]
+        self, claim: KeyClaim, window_ms: float, wait_ms: float, on_result: Callable[[str], None]
     ) -> None:
-        until = self._loop.time() + wait_ms / 1000
+        deadline_s = self._loop.time() + wait_ms / 1000
         result = "silent"
-        while (left_s := until - self._loop.time()) > 0 and not held.left:
+        while (left_s := deadline_s - self._loop.time()) > 0 and not claim.is_abandoned:
             body = {"windowMs": window_ms}
-            answer = await self._call(held, "claim", body, left_s)
+            answer = await self._call(claim, "claim", body, left_s)
             if answer is not None and answer.status == 200:
-                result = self._understood(held, answer.body)
+                result = self._interpret_claim(claim, answer.body)
                 break
             if answer is not None and answer.status not in (421, 503):
                 log.warning(
                     Event(
                         "claim_refused",
-                        "a claim was answered {status}: {why}",
+                        "claim refused with status {status}: {why}",
                         status=answer.status,
                         why=str(answer.body.get("error", "")),
                     )
                 )
                 break
-            await self._lanes.pause_before_retry()
-        held.result = result
+            await self._client.pause_before_retry()
+        claim.result = result
         self.results[result] += 1
-        if result == "silent" or (held.left and result == "yours"):
-            self._settle(held, "release", {})  # it may have been taken, and nothing was sent
-        told(result)
+        if result == "silent" or (claim.is_abandoned and result == "yours"):
+            self._settle(
+                claim, "release", {}
+            )  # the claim may have been made, and nothing was sent to a server
+        on_result(result)
 
     @staticmethod
-    def _understood(held: KeyClaim, body: dict[str, object]) -> str:
-        """What an answer to a claim means. A done one whose answer is not there is like one that is held."""
+    def _interpret_claim(claim: KeyClaim, body: dict[str, object]) -> str:
+        """Return the result for an answer to a claim; one done without a stored answer counts as "held"."""
         state, answer = body.get("state"), body.get("answer")
         if state == "yours":
             return "yours"
         if state == "done" and body.get("status") == 200 and isinstance(answer, str) and answer:
             try:
-                kind, _, data = base64.b64decode(answer, validate=True).partition(b"\n")
+                content_type, _, data = base64.b64decode(answer, validate=True).partition(b"\n")
             except ValueError:
                 return "held"
-            held.answer = Reply(200, {b"content-type": kind}, data)
+            claim.answer = Reply(200, {b"content-type": content_type}, data)
             return "done"
         return "held"
 
-    def _settle(self, held: KeyClaim, verb: str, body: dict[str, object]) -> None:
-        if len(self._tasks) >= MOST_TOLD:
-            self.untold += 1
+    def _settle(self, claim: KeyClaim, verb: str, body: dict[str, object]) -> None:
+        if len(self._tasks) >= MAX_PENDING_SETTLEMENTS:
+            self.lost_settlements += 1
             return
-        self._spawn(self._tell(held, verb, body))
+        self._spawn(self._settle_until_heard(claim, verb, body))
 
-    async def _tell(self, held: KeyClaim, verb: str, body: dict[str, object]) -> None:
-        """Tell an end until it is heard; repeating it is harmless."""
-        until = self._loop.time() + SETTLE_S
-        while self._loop.time() < until:
-            answer = await self._call(held, verb, body, TRY_S)
+    async def _settle_until_heard(self, claim: KeyClaim, verb: str, body: dict[str, object]) -> None:
+        """Repeat a settlement until it is acknowledged; the call is idempotent."""
+        deadline_s = self._loop.time() + SETTLE_TIMEOUT_S
+        while self._loop.time() < deadline_s:
+            answer = await self._call(claim, verb, body, TRY_S)
             if answer is not None and answer.status not in (421, 503):
                 return
-            await self._lanes.pause_before_retry()
-        self.untold += 1
+            await self._client.pause_before_retry()
+        self.lost_settlements += 1
 
     async def _call(
-        self, held: KeyClaim, verb: str, body: dict[str, object], within_s: float
+        self, claim: KeyClaim, verb: str, body: dict[str, object], timeout_s: float
     ) -> ServiceReply | None:
-        path = f"/v1/keys/{held.key}/{verb}"
-        return await self._lanes.call(held.key, path, {"by": held.by, **body}, within_s)
+        path = f"/v1/keys/{claim.key}/{verb}"
+        return await self._client.call(claim.key, path, {"by": claim.by, **body}, timeout_s)
 
-    def _spawn(self, work: Coroutine) -> None:
-        task = self._loop.create_task(work)
+    def _spawn(self, coroutine: Coroutine) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/yewstage/net/handover.py
+++ b/yewstage/net/handover.py
@@ -1,4 +1,4 @@
-"""Two processes on one listening socket, one after the other: who is there, and what the next must know."""
+"""Hot upgrade: hands the state of one process to its successor on the same listening socket."""
 
 from __future__ import annotations
 
@@ -15,86 +15,92 @@
 
 log = logging.getLogger(__name__)
 
-POLL_S = 0.02  # how soon the new process goes on once the old one has stopped accepting
-FRESH_MS = 5000.0  # a state older than this is from another upgrade
+POLL_INTERVAL_S = 0.02  # of the new process, for the state and the end of the old one
+MAX_STATE_AGE_MS = 5000.0  # an older state is left over from an earlier upgrade
 SERVING, WAITING, STATE = "serving.lock", "waiting.lock", "handover.json"
 
 State = dict[str, object]
 
 
 class Handover:
-    """This process's place in the succession, kept in a folder that both processes share.
+    """One process's side of the handover, in a folder that both processes share.
 
-    Who is there is told by file locks, which end with their process however it ends: no file is ever stale.
+    The processes detect each other by file locks. The system releases these with the process, however it
+    ends, so that no lock is ever stale.
     """
 
     def __init__(self, folder: Path, name: str, loop: asyncio.AbstractEventLoop) -> None:
         self._folder, self._name, self._loop = folder, name, loop
-        self._locks: dict[str, int] = {}  # held, or tried for, by this process
-        self._since_ms = time.time() * 1000
-        self._took: Callable[[State | None], None] | None = None  # until we have taken over
-        self._alone: Callable[[], None] | None = None
+        self._locks: dict[str, int] = {}  # descriptors of lock files, held or only opened
+        self._started_at_ms = time.time() * 1000
+        self._on_takeover: Callable[[State | None], None] | None = None  # None once the state is taken over
+        self._on_predecessor_gone: Callable[[], None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    def start(self, took: Callable[[State | None], None], alone: Callable[[], None]) -> bool:
-        """Take a place; True if a process before us still serves.
+    def start(
+        self, on_takeover: Callable[[State | None], None], on_predecessor_gone: Callable[[], None]
+    ) -> bool:
+        """Take the serving lock; returns True if a predecessor holds it.
 
-        Then `took` is called once that has handed over or is gone with no word, and `alone` once it is gone.
+        In that case `on_takeover` is called once with the state that the predecessor hands over, or with None
+        if it ends without one, and `on_predecessor_gone` once it has ended.
         """
         if self._lock(SERVING):
             if SERVING not in self._locks:
                 log.warning(
                     Event(
                         "no_handover",
-                        "no locks in {folder}: nothing can be handed over",
+                        "cannot lock files in {folder}: state cannot be handed over",
                         folder=str(self._folder),
                     )
                 )
             (self._folder / STATE).unlink(missing_ok=True)
             return False
-        self._took, self._alone = took, alone
+        self._on_takeover, self._on_predecessor_gone = on_takeover, on_predecessor_gone
         self._poll()
         return True
 
     def stop(self) -> None:
-        """Look for nothing more. The locks are held until the process ends."""
+        """Stop polling. The locks are held until the process ends."""
         if self._timer is not None:
             self._timer.cancel()
 
     def has_successor(self) -> bool:
-        """Whether a next process has come."""
-        if self._alone is not None:  # we are it
+        """Whether a successor is waiting for this process to hand over."""
+        if self._on_predecessor_gone is not None:  # this process is the successor
             return False
-        found = not self._lock(WAITING)
+        is_waiting = not self._lock(WAITING)
         self._release(WAITING)
-        return found
+        return is_waiting
 
     def hand_over(self, state: State) -> None:
-        """Leave a state for the next process: whole, or not at all."""
+        """Write the state for the successor, atomically; failures are logged."""
         path = self._folder / STATE
-        part = path.with_suffix(f".{os.getpid()}")
+        temporary_path = path.with_suffix(f".{os.getpid()}")
         try:
-            part.write_text(json.dumps({"name": self._name, "at_ms": time.time() * 1000, "state": state}))
-            part.rename(path)
+            temporary_path.write_text(
+                json.dumps({"name": self._name, "at_ms": time.time() * 1000, "state": state})
+            )
+            temporary_path.rename(path)
         except (OSError, ValueError) as error:
-            log.error(Event("handover_failed", "nothing handed over: {error}", error=str(error)))
+            log.error(Event("handover_failed", "cannot write the handover state: {error}", error=str(error)))
 
     def _poll(self) -> None:
-        self._lock(WAITING)  # again and again: the other one holds it for the instant in which it looks
-        gone = self._lock(SERVING)
-        state = self._read() if self._took is not None else None
-        if self._took is not None and (gone or state is not None):
-            took, self._took = self._took, None
-            took(state)
-        if gone:
-            alone, self._alone = self._alone, None
+        self._lock(WAITING)  # retried, as the predecessor holds it for a moment in `has_successor`
+        is_predecessor_gone = self._lock(SERVING)
+        state = self._read() if self._on_takeover is not None else None
+        if self._on_takeover is not None and (is_predecessor_gone or state is not None):
+            on_takeover, self._on_takeover = self._on_takeover, None
+            on_takeover(state)
+        if is_predecessor_gone:
+            on_predecessor_gone, self._on_predecessor_gone = self._on_predecessor_gone, None
             self._release(WAITING)
-            alone()
+            on_predecessor_gone()
         else:
-            self._timer = self._loop.call_later(POLL_S, self._poll)
+            self._timer = self._loop.call_later(POLL_INTERVAL_S, self._poll)
 
     def _read(self) -> State | None:
-        """What the process before us left, if it is whole, ours and of this upgrade."""
+        """Return and delete the predecessor's state if it is valid, under this name and of this upgrade."""
         path = self._folder / STATE
         try:
             raw = json.loads(path.read_bytes())
@@ -102,9 +108,7 @@
             return None
         except (OSError, ValueError, RecursionError) as error:
             log.warning(
-                Event(
-                    "handover_unreadable", "the state handed over cannot be read: {error}", error=str(error)
-                )
+                Event("handover_unreadable", "cannot read the handover state: {error}", error=str(error))
             )
             return None
         if not isinstance(raw, dict) or raw.get("name") != self._name:
@@ -112,13 +116,13 @@
         at_ms, state = raw.get("at_ms"), raw.get("state")
         if not isinstance(at_ms, (int, float)) or not isinstance(state, dict):
             return None
-        if not max(self._since_ms, time.time() * 1000 - FRESH_MS) <= at_ms:
+        if not max(self._started_at_ms, time.time() * 1000 - MAX_STATE_AGE_MS) <= at_ms:
             return None
         path.unlink(missing_ok=True)
         return state
 
     def _lock(self, name: str) -> bool:
-        """Whether the lock is ours now. Where there can be none nobody else has one: we are alone."""
+        """Try to take a lock; True also where locks are impossible, as then no other process has one."""
         try:
             if name not in self._locks:
                 path = self._folder / name
--- a/yewstage/net/holding_client.py
+++ b/yewstage/net/holding_client.py
@@ -1,4 +1,4 @@
-"""Calls to the holding that belong to a key: those of one key one after another, as a rule at one leader."""
+"""Calls to the holding about a key; all calls about one key use the same connection, in order."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from yewstage.net.stats import DescriptorUse
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 
-LANES = 16  # connections
-TRY_S = 0.5  # after which another member is asked
-REST_S = 0.02, 0.08
+CONNECTION_COUNT = 16
+TRY_S = 0.5  # per attempt; the next one asks another member
+RETRY_DELAY_S = 0.02, 0.08  # bounds of a random delay
 
 
 class HoldingClient:
-    """Connections to members of the holding."""
+    """A fixed set of connections to members of the holding, chosen by a hash of the key."""
 
     def __init__(self, addresses: tuple[Address, ...], rng: random.Random, use: DescriptorUse) -> None:
         self._rng = rng
-        self._clients = [ServiceClient(addresses, rng, use) for _ in range(LANES)]
+        self._clients = [ServiceClient(addresses, rng, use) for _ in range(CONNECTION_COUNT)]
 
     async def call(
-        self, key: str, path: str, body: dict[str, object], within_s: float
+        self, key: str, path: str, body: dict[str, object], timeout_s: float
     ) -> ServiceReply | None:
-        """One try; None where nothing sensible came in time. It may have been done all the same."""
-        client = self._clients[xxhash.xxh64_intdigest(key.encode()) % LANES]
+        """Make one attempt; None without a valid answer in time, although the call may have taken effect."""
+        client = self._clients[xxhash.xxh64_intdigest(key.encode()) % CONNECTION_COUNT]
         try:
-            async with asyncio.timeout(min(within_s, TRY_S)):
+            async with asyncio.timeout(min(timeout_s, TRY_S)):
                 return await client.call("POST", path, body)
         except (NoAnswerError, TimeoutError):
             return None
 
     async def pause_before_retry(self) -> None:
-        """Between two tries."""
-        await asyncio.sleep(self._rng.uniform(*REST_S))
+        """Wait for a short random time before the next attempt."""
+        await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_S))
 
     def close(self) -> None:
-        """End them."""
+        """Close all connections."""
         for client in self._clients:
             client.close()
--- a/yewstage/net/http_server.py
+++ b/yewstage/net/http_server.py
@@ -1,8 +1,7 @@
-"""The serving side of HTTP/1.1 for programs that are called by programs: small calls, bounded in size and
-time.
+"""HTTP/1.1 server for small calls between programs, with limits on their size and duration.
 
-Clients of the gateway are served by `clients`, which passes long bodies on; this is for operators and for the
-list service, whose calls are read whole.
+It serves operators, the list service and the holding, whose calls are read whole. Clients of the gateway are
+served by `clients`, which streams long bodies.
 """
 
 from __future__ import annotations
@@ -17,11 +16,11 @@
 
 from yewstage.net.stats import DescriptorUse
 
-LONGEST_HEAD = 16 * 1024
-LONGEST_CALL = 64 * 1024  # its body
-AHEAD = 4  # calls that may have come before those in front of them are answered
-SWEEP_S = 0.5
-REASONS = {
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
+MAX_QUEUED_CALLS = 4  # pipelined calls per connection; one more closes it
+SWEEP_INTERVAL_S = 0.5
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -36,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """One call, whole."""
+    """One complete call; the path is unquoted and the query holds the last value of each key."""
 
     method: str
     path: str
@@ -46,18 +45,18 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpResponse:
-    """What a call comes to."""
+    """The answer to a call."""
 
     status: int
     body: bytes = b""
     kind: bytes = b"text/plain"
-    headers: bytes = b""  # further lines, each with its end
+    headers: bytes = b""  # further header lines, each with its CRLF
 
     def head(self, keep: bool) -> bytes:
-        """The bytes before the body."""
+        """Return status line and headers; without `keep` they announce the end of the connection."""
         return b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%b%b\r\n" % (
             self.status,
-            REASONS[self.status],
+            REASON_PHRASES[self.status],
             self.kind,
             len(self.body),
             self.headers,
@@ -67,19 +66,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """How a listener treats its callers."""
+    """Limits that a server applies to its connections."""
 
-    most: int  # connections; past that the one that nobody waits on for longest gives way
-    call_s: float  # how long a call may take to come in, the first one from when the connection was opened
-    read_s: float  # how long a caller may leave its answer unread
-    idle_s: float = 0.0  # how long a connection is kept between calls; 0: one call to a connection
-    fail: Callable[[int, str], HttpResponse] = lambda status, why: HttpResponse(
-        status
-    )  # how what is no call is answered
+    most: int  # connections; a new one above that closes the oldest without an open call
+    call_s: float  # to receive a call; the first one counts from the opening of the connection
+    read_s: float  # for the caller to read its answer
+    idle_s: float = 0.0  # between calls; 0: one call per connection
+    # Builds the answer to an invalid call.
+    fail: Callable[[int, str], HttpResponse] = lambda status, reason: HttpResponse(status)
 
 
 class HttpServer:
-    """Takes connections and hands on the calls that come on them."""
+    """Accepts connections and passes their calls to `handle`.
+
+    `handle` returns the answer, or None and later calls `HttpConnection.answer`.
+    """
 
     def __init__(
         self,
@@ -89,18 +90,18 @@
         use: DescriptorUse | None = None,
     ) -> None:
         self.loop, self.handle, self.limits, self._use = loop, handle, limits, use or DescriptorUse()
-        self.callers: dict[HttpConnection, None] = {}  # in the order in which they came
-        self.dropped = 0  # who was slow, silent or in the way
+        self.callers: dict[HttpConnection, None] = {}  # in order of arrival
+        self.dropped = 0  # connections closed for a time limit or for a new one
         self._server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen; returns the address, with the port that the system chose for 0."""
+        """Listen; returns the bound address, with the actual port where 0 was asked for."""
         self._server = await self.loop.create_server(lambda: HttpConnection(self), *address)
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         return self._server.sockets[0].getsockname()[:2]
 
     def stop(self) -> None:
-        """End the listener and all connections."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -108,20 +109,23 @@
             caller.transport.abort()
 
     def opened(self, caller: HttpConnection) -> None:
-        """A caller has come. Past the bound the one that came first gives way: it had the most time."""
+        """Add a connection, closing another one at the limit.
+
+        That is the oldest without an open call, which had the most time to send one, or else the oldest.
+        """
         if len(self.callers) >= self.limits.most:
-            waits = next((c for c in self.callers if not c.busy), next(iter(self.callers)))
-            self.drop(waits)
+            evicted = next((c for c in self.callers if not c.busy), next(iter(self.callers)))
+            self.drop(evicted)
         self.callers[caller] = None
         self._use.opened()
 
     def closed(self, caller: HttpConnection) -> None:
-        """A caller is gone."""
+        """Remove a lost connection."""
         self.callers.pop(caller, None)
         self._use.closed()
 
     def drop(self, caller: HttpConnection) -> None:
-        """End a connection at once; its place is free from now on."""
+        """Abort a connection and free its place at once."""
         self.callers.pop(caller, None)
         self.dropped += 1
         caller.transport.abort()
@@ -132,88 +136,88 @@
         now = self.loop.time()
         for caller in list(self.callers):
             caller.check(now)
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection: calls one after another, each with its one answer, in order."""
+    """One connection. Pipelined calls are processed one at a time and answered in order."""
 
     def __init__(self, listener: HttpServer) -> None:
         self._listener = listener
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._url, self._body, self._head = b"", b"", 0
-        # that wait for their turn, and whether to stay after it
+        self._url, self._body, self._head_bytes = b"", b"", 0
+        # Queued calls, and whether the connection stays open after each.
         self._calls: deque[tuple[HttpRequest, bool]] = deque()
-        self._stays = False  # behind the call that is being answered
-        self._ending = False
-        self.busy = False  # a call is owed its answer
-        # a call, its head is coming in; one was answered
-        self._reading = self._in_head = self._served = False
-        self._since = 0.0  # when the connection was opened, became idle, or a call began to come in
-        self._unread_since: float | None = None  # since when its answer is not read
-        self.on_disconnect: Callable[[], None] | None = (
-            None  # told if the connection is lost while a call waits
-        )
+        self._keeps_alive = False  # after the call being processed
+        self._is_closing = False
+        self.busy = False  # a call awaits its answer
+        # A call is being received; its head is; a call has been answered.
+        self._is_receiving = self._is_receiving_head = self._was_answered = False
+        # When the connection was opened, became idle, or began to receive a call.
+        self._phase_started_at_s = 0.0
+        self._write_blocked_at_s: float | None = None  # None: the caller reads its answer
+        # Called if the connection is lost before the open call is answered.
+        self.on_disconnect: Callable[[], None] | None = None
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self._since = self._listener.loop.time()
+        self._phase_started_at_s = self._listener.loop.time()
         self._listener.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._ending = True
+        self._is_closing = True
         self._calls.clear()
         self._listener.closed(self)
-        gone, self.on_disconnect = self.on_disconnect, None
-        if gone is not None:
-            gone()
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
+        if on_disconnect is not None:
+            on_disconnect()
 
     def pause_writing(self) -> None:
-        self._unread_since = self._listener.loop.time()
+        self._write_blocked_at_s = self._listener.loop.time()
 
     def resume_writing(self) -> None:
-        self._unread_since = None
+        self._write_blocked_at_s = None
 
     def data_received(self, data: bytes) -> None:
-        if self._ending:
+        if self._is_closing:
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._spoil(400, "not HTTP/1.1")
-        if self._in_head:
-            self._head += len(data)
-            if self._head > LONGEST_HEAD and not self._ending:
-                self._spoil(400, "its head is too long")
-        if len(self._calls) > AHEAD:
+            self._reject(400, "not HTTP/1.1")
+        if self._is_receiving_head:
+            self._head_bytes += len(data)
+            if self._head_bytes > MAX_HEAD_BYTES and not self._is_closing:
+                self._reject(400, "its head is too long")
+        if len(self._calls) > MAX_QUEUED_CALLS:
             self._listener.drop(self)
-        self._next()
+        self._process_calls()
 
     # httptools
 
     def on_message_begin(self) -> None:
-        self._url, self._body, self._head = b"", b"", 0
-        self._reading = self._in_head = True
-        if self._served and not self.busy:
-            self._since = self._listener.loop.time()
+        self._url, self._body, self._head_bytes = b"", b"", 0
+        self._is_receiving = self._is_receiving_head = True
+        if self._was_answered and not self.busy:
+            self._phase_started_at_s = self._listener.loop.time()
 
     def on_url(self, url: bytes) -> None:
         self._url += url
 
     def on_headers_complete(self) -> None:
-        self._in_head = False
+        self._is_receiving_head = False
 
     def on_body(self, data: bytes) -> None:
         self._body += data
-        if len(self._body) > LONGEST_CALL:
-            self._spoil(413, "its body is too long")
+        if len(self._body) > MAX_BODY_BYTES:
+            self._reject(413, "its body is too long")
 
     def on_message_complete(self) -> None:
-        self._reading = self._in_head = False
-        if self._ending:
+        self._is_receiving = self._is_receiving_head = False
+        if self._is_closing:
             return
         try:
             url = httptools.parse_url(self._url)
@@ -221,52 +225,55 @@
             path = unquote(url.path.decode("ascii"))
             call = HttpRequest(self._parser.get_method().decode("ascii"), path, query, self._body)
         except (httptools.HttpParserError, UnicodeDecodeError, AttributeError):
-            self._spoil(400, "its target makes no sense")
+            self._reject(400, "its target makes no sense")
             return
         self._calls.append((call, self._parser.should_keep_alive()))
 
     # Calls and answers
 
-    def _next(self) -> None:
+    def _process_calls(self) -> None:
         while self._calls and not self.busy and not self.transport.is_closing():
-            call, stays = self._calls.popleft()
-            self._stays = stays and self._listener.limits.idle_s > 0
+            call, keeps_alive = self._calls.popleft()
+            self._keeps_alive = keeps_alive and self._listener.limits.idle_s > 0
             self.busy = True
             answer = self._listener.handle(call, self)
             if answer is not None:
                 self.answer(answer)
 
     def answer(self, answer: HttpResponse) -> None:
-        """The one answer to the call whose turn it is."""
+        """Write the only answer to the open call; ignored if there is none."""
         if not self.busy or self.transport.is_closing():
             return
-        self.on_disconnect, self.busy, self._served = None, False, True
-        self._since = self._listener.loop.time()
-        self.transport.writelines((answer.head(self._stays), answer.body))
-        if not self._stays:
-            self._ending = True
+        self.on_disconnect, self.busy, self._was_answered = None, False, True
+        self._phase_started_at_s = self._listener.loop.time()
+        self.transport.writelines((answer.head(self._keeps_alive), answer.body))
+        if not self._keeps_alive:
+            self._is_closing = True
             self.transport.close()
             return
-        self._next()
+        self._process_calls()
+
+    def _reject(self, status: int, reason: str) -> None:
+        """Reject invalid input and stop reading.
 
-    def _spoil(self, status: int, why: str) -> None:
-        """What comes is no call: answer that behind what is owed, if nothing is, and read no more."""
-        self._ending = True
+        While a call awaits its answer the connection is aborted instead.
+        """
+        self._is_closing = True
         if self.busy:
             self._listener.drop(self)
             return
-        self.busy, self._stays = True, False
-        self.answer(self._listener.limits.fail(status, why))
+        self.busy, self._keeps_alive = True, False
+        self.answer(self._listener.limits.fail(status, reason))
 
     def check(self, now: float) -> None:
-        """End what is slow or silent for too long."""
-        manners = self._listener.limits
-        if self._unread_since is not None and now - self._unread_since > manners.read_s:
+        """Enforce the time limits for receiving a call, reading an answer and idling."""
+        limits = self._listener.limits
+        if self._write_blocked_at_s is not None and now - self._write_blocked_at_s > limits.read_s:
             self._listener.drop(self)
-        elif self._ending:
-            if now - self._since > manners.read_s:
+        elif self._is_closing:
+            if now - self._phase_started_at_s > limits.read_s:
                 self._listener.drop(self)
         elif not self.busy:
-            idle = self._served and not self._reading
-            if now - self._since > (manners.idle_s if idle else manners.call_s):
+            idle = self._was_answered and not self._is_receiving
+            if now - self._phase_started_at_s > (limits.idle_s if idle else limits.call_s):
                 self._listener.drop(self)
--- a/yewstage/net/ops.py
+++ b/yewstage/net/ops.py
@@ -1,4 +1,4 @@
-"""The operators' address: whether this process can serve, and its figures; one call to a connection."""
+"""The operators' address: readiness, metrics and JSON pages over HTTP, one call per connection."""
 
 from __future__ import annotations
 
@@ -8,32 +8,34 @@
 from yewstage.net.http_server import ConnectionLimits, HttpConnection, HttpRequest, HttpResponse, HttpServer
 from yewstage.net.stats import DescriptorUse
 
-CALLERS = 16  # places kept for operators, beside all that clients and hosts may take
-CALL_S = 5.0  # how long a call may take to come in, and its answer to be read
+MAX_CONNECTIONS = 16  # reserved for operators, beyond those of clients and servers
+CALL_TIMEOUT_S = 5.0  # for receiving a call, and for the caller to read the answer
 
 
 class Ops:
-    """Answers operators however busy the process is."""
+    """Serves operators on connections that clients cannot use up."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        ready: Callable[[], bool],
-        figures: Callable[[], str],
+        is_ready: Callable[[], bool],
+        metrics_text: Callable[[], str],
         use: DescriptorUse | None = None,
         pages: Mapping[str, Callable[[], bytes]] | None = None,
     ) -> None:
-        """`pages`: what else is told, as JSON, by path."""
-        self._ready, self._figures, self._pages = ready, figures, dict(pages or {})
-        self._listener = HttpServer(loop, self._answer, ConnectionLimits(CALLERS, CALL_S, CALL_S), use)
+        """`pages` maps further paths to functions that return JSON."""
+        self._is_ready, self._metrics_text, self._pages = is_ready, metrics_text, dict(pages or {})
+        self._server = HttpServer(
+            loop, self._answer, ConnectionLimits(MAX_CONNECTIONS, CALL_TIMEOUT_S, CALL_TIMEOUT_S), use
+        )
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen; returns the address, with the port that the system chose for 0."""
-        return await self._listener.start(address)
+        """Listen; returns the bound address, with the actual port where 0 was asked for."""
+        return await self._server.start(address)
 
     def stop(self) -> None:
-        """End the listener and all calls."""
-        self._listener.stop()
+        """Stop listening and abort all connections."""
+        self._server.stop()
 
     def _answer(self, call: HttpRequest, caller: HttpConnection) -> HttpResponse:
         if call.path not in ("/ops/readiness", "/ops/stats", *self._pages):
@@ -41,7 +43,7 @@
         if call.method != "GET":
             return HttpResponse(405)
         if call.path == "/ops/stats":
-            return HttpResponse(200, self._figures().encode())
+            return HttpResponse(200, self._metrics_text().encode())
         if call.path in self._pages:
             return HttpResponse(200, self._pages[call.path](), b"application/json")
-        return HttpResponse(200, b"ready\n") if self._ready() else HttpResponse(503, b"not ready\n")
+        return HttpResponse(200, b"ready\n") if self._is_ready() else HttpResponse(503, b"not ready\n")
--- a/yewstage/net/stats.py
+++ b/yewstage/net/stats.py
@@ -1,4 +1,4 @@
-"""The figures that operators read: plain counters, each counted where the thing happens."""
+"""Process-wide counters and the metrics text that operators read."""
 
 from __future__ import annotations
 
@@ -8,146 +8,155 @@
 import time
 from collections.abc import Iterable, Mapping
 
-SERVED = frozenset((200,))
+FULFILLED_STATUSES = frozenset((200,))
 REFUSED = frozenset((429, 503))
-
-
-# Why the module refuses, in its words; any other is counted as it comes.
-REASONS = ("quota", "ceiling", "pressed", "too late", "no host", "unservable", "gave up", "ending")
-USES = ("clients", "servers", "counter", "discovery", "ops")
-SHORT_CAUSES = ("server", "client", "no_room", "answered")
-STATM = "/proc/self/statm"
-OPEN_FILES = "/proc/self/fd"
+# Reasons of the policy's Refuse that are shown from 0 on; others are added when they first occur.
+REFUSAL_REASONS = ("quota", "ceiling", "pressed", "too late", "no host", "unservable", "gave up", "ending")
+DESCRIPTOR_USES = ("clients", "servers", "counter", "discovery", "ops")
+TRUNCATION_CAUSES = ("server", "client", "no_room", "answered")
+STATM_PATH = "/proc/self/statm"
+OPEN_FILES_PATH = "/proc/self/fd"
 
 
 class DescriptorUse:
-    """Descriptors held for one purpose."""
+    """Count of the descriptors held for one purpose."""
 
-    __slots__ = ("held", "_all")
+    __slots__ = ("held", "_totals")
 
-    def __init__(self, all_uses: Descriptors | None = None) -> None:
-        self.held, self._all = 0, all_uses
+    def __init__(self, totals: Descriptors | None = None) -> None:
+        self.held, self._totals = 0, totals
 
     def opened(self) -> None:
-        """One more."""
+        """Count a descriptor that was opened."""
         self.held += 1
-        if self._all is not None:
-            self._all.note(1)
+        if self._totals is not None:
+            self._totals.note(1)
 
     def closed(self) -> None:
-        """One given back."""
+        """Count a descriptor that was closed."""
         self.held -= 1
-        if self._all is not None:
-            self._all.note(-1)
+        if self._totals is not None:
+            self._totals.note(-1)
 
 
 class Descriptors:
-    """What the process's sockets are for, counted as they open and close: the system tells only how many."""
+    """Counts of the process's sockets by purpose; the operating system knows only their total."""
 
     def __init__(self) -> None:
-        self.uses = {name: DescriptorUse(self) for name in USES}
+        self.uses = {name: DescriptorUse(self) for name in DESCRIPTOR_USES}
         self.held = self.peak = 0
 
     def note(self, change: int) -> None:
-        """A use has changed."""
+        """Add the change of one purpose to the total."""
         self.held += change
         self.peak = max(self.peak, self.held)
 
 
 class Process:
-    """What the process costs, by the standard names. Read when asked: the system keeps them."""
+    """Resource usage of the process under the standard Prometheus names, read from the system on demand."""
 
     def __init__(self) -> None:
-        self._started, self._cpu_before_s = time.time(), self.cpu_s()
+        self._started_at_s, self._cpu_at_start_s = time.time(), self.cpu_s()
 
     @staticmethod
     def cpu_s() -> float:
-        """Processor time since the start, in user and kernel mode."""
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        return used.ru_utime + used.ru_stime
+        """Return the processor time since the start, in user and kernel mode."""
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        return usage.ru_utime + usage.ru_stime
 
     def own_cpu_s(self) -> float:
-        """Processor time since this was made: without what the interpreter took to load."""
-        return self.cpu_s() - self._cpu_before_s
+        """Return the processor time since this object was created, without the interpreter's start."""
+        return self.cpu_s() - self._cpu_at_start_s
 
     @staticmethod
     def peak_bytes() -> int:
-        """The most memory that was resident at one time."""
+        """Return the peak of the resident memory."""
         return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * (1 if sys.platform == "darwin" else 1024)
 
     @staticmethod
     def memory_bytes() -> tuple[int, int]:
-        """Resident memory, and the part of it that is this process's own: libraries are shared by all
-        gateways
-        of a machine. The most so far, where the system tells no more."""
+        """Return resident memory and its private part; all gateways of a machine share the libraries.
+
+        Both are the peak resident memory where the system has no /proc.
+        """
         try:
-            with open(STATM, "rb") as statm:
+            with open(STATM_PATH, "rb") as statm:
                 resident, shared = map(int, statm.read().split()[1:3])
             return resident * resource.getpagesize(), (resident - shared) * resource.getpagesize()
         except OSError:
             return Process.peak_bytes(), Process.peak_bytes()
 
     def metrics(self) -> list[tuple[str, float]]:
-        """Names and values; what this system does not tell is left out, not guessed."""
-        figures = [
+        """Return names and values; values that this system does not provide are left out."""
+        metrics = [
             ("process_cpu_seconds_total", round(self.cpu_s(), 6)),
-            ("process_start_time_seconds", round(self._started, 3)),
+            ("process_start_time_seconds", round(self._started_at_s, 3)),
             ("process_max_fds", resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         ]
-        figures.append(("process_resident_memory_bytes", self.memory_bytes()[0]))
+        metrics.append(("process_resident_memory_bytes", self.memory_bytes()[0]))
         try:
-            figures.append(("process_open_fds", len(os.listdir(OPEN_FILES)) - 1))  # less the one that lists
+            # Without the descriptor that the listing itself uses.
+            metrics.append(("process_open_fds", len(os.listdir(OPEN_FILES_PATH)) - 1))
         except OSError:
             pass
-        return figures
+        return metrics
 
 
 class Stats:
-    """Counts since the start of the process."""
+    """Counts since the start of the process; shown by class, and by reason or cause."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self._fulfilled: dict[str, int] = {}
         self._throttled: dict[str, int] = {}
         self._faulted: dict[str, int] = {}
-        self._refusals = dict.fromkeys(REASONS, 0)
-        self.relayed = 0  # attempts whose last byte was written
-        self.accepted = self.invalid = 0  # configuration files at SIGHUP
-        self.passed_up = self.passed_down = 0  # bytes of long bodies
-        self.truncated_by_cause = dict.fromkeys(SHORT_CAUSES, 0)  # long bodies that ended before their end
+        self._refusals = dict.fromkeys(REFUSAL_REASONS, 0)
+        self.relayed = 0  # attempts whose request was written to its last byte
+        self.accepted = self.invalid = 0  # configuration files read at SIGHUP
+        self.passed_up = self.passed_down = 0  # bytes of streamed bodies, to and from servers
+        self.truncated_by_cause = dict.fromkeys(TRUNCATION_CAUSES, 0)  # streamed bodies that ended early
         self.descriptors = Descriptors()
         self.process = Process()
         self.know(classes)
 
     def know(self, classes: Iterable[str]) -> None:
-        """Show these classes from 0 on; a class that is dropped keeps its counts."""
+        """Show these classes from 0 on; removed classes keep their counts."""
         for name in classes:
             for counts in (self._fulfilled, self._throttled, self._faulted):
                 counts.setdefault(name, 0)
 
     def ended(self, class_name: str, status: int) -> None:
-        """A final answer has gone out to a client that was still there."""
+        """Count a final answer to a connected client."""
         counts = (
-            self._fulfilled if status in SERVED else self._throttled if status in REFUSED else self._faulted
+            self._fulfilled
+            if status in FULFILLED_STATUSES
+            else self._throttled
+            if status in REFUSED
+            else self._faulted
         )
         counts[class_name] += 1
 
-    def refused(self, why: str) -> None:
-        """The module has refused a request, for a reason."""
-        self._refusals[why] = self._refusals.get(why, 0) + 1
+    def refused(self, reason: str) -> None:
+        """Count a request that the policy refused."""
+        self._refusals[reason] = self._refusals.get(reason, 0) + 1
 
     def cut_short(self, cause: str) -> None:
-        """A long body has ended before its end."""
+        """Count a streamed body that ended early."""
         self.truncated_by_cause[cause] += 1
 
     def requests(self) -> int:
-        """Final answers given, of whatever kind."""
+        """Return the number of final answers, whatever their status."""
         return sum(sum(counts.values()) for counts in (self._fulfilled, self._throttled, self._faulted))
 
-    def text(self, open_requests: int, listed: int, avoided: int, *more: Mapping[str, float]) -> str:
-        """All figures in the Prometheus text form; what is no count is given by who knows it."""
+    def text(
+        self, open_requests: int, listed_servers: int, avoided_servers: int, *additional: Mapping[str, float]
+    ) -> str:
+        """Return all metrics in the Prometheus text format.
+
+        The arguments are the values not counted here; `additional` maps names to values.
+        """
         lines = [
-            f'gateway_{kind}_total{{priority="{_escaped(name)}"}} {count}'
-            for kind, counts in (
+            f'gateway_{outcome}_total{{priority="{_escaped(name)}"}} {count}'
+            for outcome, counts in (
                 ("fulfilled", self._fulfilled),
                 ("throttled", self._throttled),
                 ("faulted", self._faulted),
@@ -159,16 +168,16 @@
             for name, value in (
                 ("relayed_total", self.relayed),
                 ("open_requests", open_requests),
-                ("registry_entries", listed),
-                ("out_of_rotation", avoided),
+                ("registry_entries", listed_servers),
+                ("out_of_rotation", avoided_servers),
                 ("cfg_accepted_total", self.accepted),
                 ("cfg_invalid_total", self.invalid),
-                *(pair for figures in more for pair in figures.items()),
+                *(pair for metrics in additional for pair in metrics.items()),
             )
         ]
         lines += [
-            f'gateway_refusals_total{{reason="{_escaped(why)}"}} {count}'
-            for why, count in self._refusals.items()
+            f'gateway_refusals_total{{reason="{_escaped(reason)}"}} {count}'
+            for reason, count in self._refusals.items()
         ]
         lines += [
             f'gateway_descriptors{{use="{name}"}} {use.held}' for name, use in self.descriptors.uses.items()
@@ -177,11 +186,11 @@
         return "\n".join(lines) + "\n"
 
     def farewell(self, dials: int) -> str:
-        """What the process's life came to, for the log."""
+        """Return a summary of the process's work for the log."""
         requests = self.requests()
-        each_us = self.process.own_cpu_s() / max(requests, 1) * 1e6
+        cpu_us_per_request = self.process.own_cpu_s() / max(requests, 1) * 1e6
         return (
-            f"{requests} requests, {each_us:.0f} us CPU for each, at the most "
+            f"{requests} requests, {cpu_us_per_request:.0f} us CPU for each, at the most "
             f"{self.process.peak_bytes() / 2**20:.1f} MB and {self.descriptors.peak} sockets, "
             f"{dials} dials to servers"
         )
