--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""Effects that must not happen twice: the record of keys, the module that asks it, gateways round it."""
+"""Idempotency keys: the record, the policy that claims keys, and gateways with a record that fails."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from yewstage.registry.store import RefusedError
 
 WINDOW_MS = 1000.0
-WHO = st.sampled_from(["g1/r1", "g1/r2", "g2/r1"])
+CLAIMANTS = st.sampled_from(["g1/r1", "g1/r2", "g2/r1"])
 KEY = st.sampled_from(["a", "b"])
 
 
 class KeysMachine(RuleBasedStateMachine):
-    """The store beside what must hold: a key is one request's until it is released, or its window is over."""
+    """Checks the store against a model: a key is one request's until its release or its window's end."""
 
     def __init__(self) -> None:
         super().__init__()
         self.store, self.now = KeyStore(), 0.0
         self.owner: dict[str, str] = {}
         self.ended: dict[str, str] = {}
-        self.until: dict[str, float] = {}  # before which nothing of a key may be forgotten
+        self.until: dict[str, float] = {}  # a key must not be forgotten earlier
 
     def write(self, plan: Callable[[KeyStore], dict | None]) -> bool:
         try:
@@ -44,7 +44,7 @@
             self.store.apply(entry, self.now)
         return True
 
-    @rule(key=KEY, by=WHO)
+    @rule(key=KEY, by=CLAIMANTS)
     def claim(self, key: str, by: str) -> None:
         before = self.owner.get(key)
         taken = self.write(lambda store: store.plan_claim(key, by, WINDOW_MS))
@@ -52,13 +52,13 @@
         if taken and before is None:
             self.owner[key], self.until[key] = by, self.now + WINDOW_MS
 
-    @rule(key=KEY, by=WHO, answer=st.sampled_from(["x", "y"]))
+    @rule(key=KEY, by=CLAIMANTS, answer=st.sampled_from(["x", "y"]))
     def done(self, key: str, by: str, answer: str) -> None:
         assert self.write(lambda store: store.plan_done(key, by, 200, answer)) == (self.owner.get(key) == by)
         if self.owner.get(key) == by and key not in self.ended:
             self.ended[key], self.until[key] = answer, self.now + WINDOW_MS
 
-    @rule(key=KEY, by=WHO)
+    @rule(key=KEY, by=CLAIMANTS)
     def release(self, key: str, by: str) -> None:
         mine = self.owner.get(key) == by
         assert self.write(lambda store: store.plan_release(key, by)) == (not mine or key not in self.ended)
@@ -70,17 +70,17 @@
         self.now += ms
 
     @rule()
-    def let_go(self) -> None:
+    def forget_expired(self) -> None:
         before = set(self.store.records)
         self.write(lambda store: store.plan_forget(self.now))
         for key in before - set(self.store.records):
-            assert self.now >= self.until[key], "forgotten before its window was over"
+            assert self.now >= self.until[key], "forgotten before the end of its window"
             self.forget(key)
 
     @precondition(lambda self: self.owner)
     @rule()
-    def another_leads(self) -> None:
-        """Who leads next gives everything its whole window anew."""
+    def change_leader(self) -> None:
+        """Restore a snapshot; a new leader starts every window anew."""
         state = msgspec.msgpack.decode(msgspec.msgpack.encode(self.store.snapshot()))
         self.store = KeyStore.restored(None, state, self.now)
         self.until = {key: self.now + WINDOW_MS for key in self.owner}
@@ -101,7 +101,7 @@
 TestKeys = KeysMachine.TestCase
 
 
-def test_a_full_record_refuses_new_keys_and_keeps_what_it_has() -> None:
+def test_a_full_record_refuses_new_keys_and_keeps_existing_ones() -> None:
     store = KeyStore()
     for i in range(MOST):
         store.records[str(i)] = KeyRecord("g/r", 1.0)
@@ -110,7 +110,7 @@
     assert refused.value.status == 503 and store.plan_claim("5", "g/r", 1.0) is None
 
 
-def test_past_its_bytes_a_record_knows_that_a_request_is_done_and_not_its_answer() -> None:
+def test_above_its_byte_limit_a_record_stores_done_without_the_answer() -> None:
     store = KeyStore()
     for i in range(3):
         store.apply(store.plan_claim(f"k{i}", "g/r", 1.0), 0.0)
@@ -121,10 +121,10 @@
     assert store.kept == 0 and not store.records
 
 
-# --- The module
+# --- The policy
 
 
-def asked() -> Gateway:
+def gateway_with_claim() -> Gateway:
     settings = api.Settings(classes=(KEYED,), plans=(PLAN,), try_limit=3, tick_ms=4, uses_claim_record=True)
     gateway = Gateway(settings, seed=1)
     gateway.handle(0, api.ServerList("full", (api.Server("a", "za", 0), api.Server("b", "zb", 1))))
@@ -139,150 +139,160 @@
     ("result", "answer"),
     [("done", api.Recall("r")), ("held", api.Fail("r")), ("silent", api.Refuse("r", reason="no record"))],
 )
-def test_what_another_request_has_of_a_key_is_never_sent_on(result: str, answer: api.Action) -> None:
-    gateway = asked()
+def test_a_request_whose_key_is_claimed_by_another_is_never_sent(result: str, answer: api.Action) -> None:
+    gateway = gateway_with_claim()
     assert gateway.handle(20, api.Claimed("r", result)) == [answer]
-    assert gateway.handle(21, api.Claimed("r", "yours")) == []  # whatever comes later
+    assert gateway.handle(21, api.Claimed("r", "yours")) == []  # a later result changes nothing
 
 
-def test_what_is_ours_is_sent_once_and_released_only_if_it_is_sure_not_to_have_run() -> None:
+def test_a_claim_is_released_only_if_no_attempt_can_have_run() -> None:
     for first, released in ((api.FULL, True), (api.RESET, False)):
-        gateway = asked()
+        gateway = gateway_with_claim()
         (send,) = gateway.handle(20, api.Claimed("r", "yours"))
         assert isinstance(send, api.Send)
-        outs = gateway.handle(30, api.Outcome("r", 0, send.server, first, 5.0, False))
+        actions = gateway.handle(30, api.Outcome("r", 0, send.server, first, 5.0, False))
         for attempt in (1, 2):
-            sends = [act for act in outs if isinstance(act, api.Send)]
+            sends = [act for act in actions if isinstance(act, api.Send)]
             if sends:
-                outs = gateway.handle(40, api.Outcome("r", attempt, sends[0].server, first, 5.0, False))
-        assert (api.Release("r") in outs) == released, outs
+                actions = gateway.handle(40, api.Outcome("r", attempt, sends[0].server, first, 5.0, False))
+        assert (api.Release("r") in actions) == released, actions
 
 
-def test_one_that_leaves_while_its_claim_is_out_sends_nothing_and_frees_the_key() -> None:
-    gateway = asked()
+def test_a_client_that_leaves_during_its_claim_releases_the_key() -> None:
+    gateway = gateway_with_claim()
     assert gateway.handle(15, api.ClientLeft("r")) == [api.Release("r")]
     assert gateway.handle(20, api.Claimed("r", "yours")) == []
 
 
-def test_one_whose_claim_comes_too_late_is_refused_and_frees_the_key() -> None:
-    gateway = asked()
+def test_a_request_whose_claim_is_answered_too_late_is_refused_and_releases_the_key() -> None:
+    gateway = gateway_with_claim()
     assert gateway.handle(2500, api.Claimed("r", "yours")) == [
         api.Refuse("r", reason="gave up"),
         api.Release("r"),
     ]
 
 
-# --- Gateways round a record that answers, or does not
+# --- Gateways and a fake record
 
 
-class Keeper(Fake):
-    """A stand-in for the holding's calls; a test says what it answers."""
+class FakeRecord(Fake):
+    """A fake of the holding's calls about keys, with answers given by the test."""
 
-    def __init__(self, says: Callable[[str, dict], bytes | None]) -> None:
+    def __init__(self, answer_call: Callable[[str, dict], bytes | None]) -> None:
         self.calls: list[tuple[str, dict]] = []
-        super().__init__(lambda seen: self.take(seen, says))
+        super().__init__(lambda seen: self.take(seen, answer_call))
 
-    def take(self, seen: Seen, says: Callable[[str, dict], bytes | None]) -> bytes | None:
+    def take(self, seen: Seen, answer_call: Callable[[str, dict], bytes | None]) -> bytes | None:
         verb, body = seen.line.split()[1].rpartition("/")[2], json.loads(seen.body)
         self.calls.append((verb, body))
-        return says(verb, body)
+        return answer_call(verb, body)
 
 
-def told(body: dict, status: int = 200) -> bytes:
+def json_reply(body: dict, status: int = 200) -> bytes:
     return reply(json.dumps(body).encode(), status=status)
 
 
-def with_keeper(
-    tmp_path: Path, says: Callable[[str, dict], bytes | None], scenario: Callable[[Rig, Keeper], object]
+def run_with_record(
+    tmp_path: Path,
+    answer_call: Callable[[str, dict], bytes | None],
+    scenario: Callable[[Rig, FakeRecord], object],
 ) -> None:
-    async def played() -> None:
-        keeper = Keeper(says)
-        await keeper.start()
+    async def run_scenario() -> None:
+        fake_record = FakeRecord(answer_call)
+        await fake_record.start()
         async with Rig(tmp_path, lambda seen: reply(b"effect")) as rig:
-            rig.config["holding"] = [f"127.0.0.1:{keeper.port}"]
+            rig.config["holding"] = [f"127.0.0.1:{fake_record.port}"]
             rig.path.write_text(json.dumps(rig.config))
             rig.process.kill()
             await rig.process.wait()
             await rig.spawn()
             while (await rig.ask(b"GET /ready HTTP/1.1\r\n\r\n")).line.split()[1] != "200":
                 await asyncio.sleep(0.02)
-            await scenario(rig, keeper)
-        keeper.stop()
+            await scenario(rig, fake_record)
+        fake_record.stop()
 
-    on_loop(played, 30)
+    on_loop(run_scenario, 30)
 
 
-def put(deadline: str = "3000m") -> bytes:
+def put_request(deadline: str = "3000m") -> bytes:
     return message("put", rid=b"0123456789abcdef", deadline=deadline)
 
 
-def test_a_claim_comes_before_the_request_and_its_end_after(tmp_path: Path) -> None:
-    async def scenario(rig: Rig, keeper: Keeper) -> None:
-        answer = await rig.ask(put())
+def test_a_key_is_claimed_before_the_request_and_settled_after_it(tmp_path: Path) -> None:
+    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+        answer = await rig.ask(put_request())
         assert answer.body == b"effect"
-        await keeper.until(lambda fake: len(keeper.calls) >= 2)
-        (claim, first), (done, last) = keeper.calls
+        await fake_record.until(lambda fake: len(fake_record.calls) >= 2)
+        (claim, first), (done, last) = fake_record.calls
         assert (claim, done) == ("claim", "done") and first["by"] == last["by"] and last["status"] == 200
         assert base64.b64decode(last["answer"]).endswith(b"\neffect") and len(rig.hosts[0].seen) == 1
         assert (await rig.metrics())['gateway_keyed_claims_total{result="yours"}'] == 1
 
-    with_keeper(tmp_path, lambda verb, _: told({"state": "yours" if verb == "claim" else "done"}), scenario)
+    run_with_record(
+        tmp_path, lambda verb, _: json_reply({"state": "yours" if verb == "claim" else "done"}), scenario
+    )
 
 
-def test_a_repeat_is_answered_by_what_the_record_has(tmp_path: Path) -> None:
+def test_a_repeated_request_gets_the_stored_answer(tmp_path: Path) -> None:
     known = {"state": "done", "status": 200, "answer": base64.b64encode(b"text/plain\nas before").decode()}
 
-    async def scenario(rig: Rig, keeper: Keeper) -> None:
-        answer = await rig.ask(put())
+    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+        answer = await rig.ask(put_request())
         assert answer.body == b"as before" and not rig.hosts[0].seen
         assert answer.headers["content-type"] == "text/plain"
 
-    with_keeper(tmp_path, lambda verb, body: told(known), scenario)
+    run_with_record(tmp_path, lambda verb, body: json_reply(known), scenario)
 
 
 @pytest.mark.parametrize(
-    ("says", "status"),
+    ("answer_call", "status"),
     [
         (lambda verb, body: None, 503),  # silent
-        (lambda verb, body: b"", 503),  # gone under the call
+        (lambda verb, body: b"", 503),  # connection closed during the call
         (lambda verb, body: b"nonsense", 503),
-        (lambda verb, body: told({"error": "no leader"}, 503), 503),
-        (lambda verb, body: told({"error": "elsewhere", "leader": "127.0.0.1:1"}, 421), 503),
-        (lambda verb, body: told({"state": "begun"}), 502),  # another has it, and nobody knows its end
-        (lambda verb, body: told({"state": "done", "status": 200}), 502),  # done, and its answer is not kept
-        (lambda verb, body: told({"state": "done", "status": 200, "answer": "%"}), 502),
-        (lambda verb, body: told({"state": "what"}), 502),
+        (lambda verb, body: json_reply({"error": "no leader"}, 503), 503),
+        (lambda verb, body: json_reply({"error": "elsewhere", "leader": "127.0.0.1:1"}, 421), 503),
+        # Claimed by another request whose result is unknown.
+        (lambda verb, body: json_reply({"state": "begun"}), 502),
+        # Done without a stored answer.
+        (lambda verb, body: json_reply({"state": "done", "status": 200}), 502),
+        (lambda verb, body: json_reply({"state": "done", "status": 200, "answer": "%"}), 502),
+        (lambda verb, body: json_reply({"state": "what"}), 502),
     ],
 )
-def test_without_a_clear_word_of_the_record_nothing_is_sent(
-    tmp_path: Path, says: Callable[[str, dict], bytes | None], status: int
+def test_without_a_valid_claim_nothing_is_sent(
+    tmp_path: Path, answer_call: Callable[[str, dict], bytes | None], status: int
 ) -> None:
-    async def scenario(rig: Rig, keeper: Keeper) -> None:
-        assert await rig.status(put("800m")) == status
-        assert not rig.hosts[0].seen and keeper.calls
+    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+        assert await rig.status(put_request("800m")) == status
+        assert not rig.hosts[0].seen and fake_record.calls
 
-    with_keeper(tmp_path, says, scenario)
+    run_with_record(tmp_path, answer_call, scenario)
 
 
-def test_a_claim_whose_answer_was_lost_is_given_back(tmp_path: Path) -> None:
-    async def scenario(rig: Rig, keeper: Keeper) -> None:
-        assert await rig.status(put("800m")) == 503
-        await keeper.until(lambda fake: any(verb == "release" for verb, _ in keeper.calls))
-        (by,) = {body["by"] for _, body in keeper.calls}
+def test_a_claim_whose_answer_was_lost_is_released(tmp_path: Path) -> None:
+    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+        assert await rig.status(put_request("800m")) == 503
+        await fake_record.until(lambda fake: any(verb == "release" for verb, _ in fake_record.calls))
+        (by,) = {body["by"] for _, body in fake_record.calls}
         assert by and not rig.hosts[0].seen
 
-    with_keeper(tmp_path, lambda verb, body: None if verb == "claim" else told({"state": "free"}), scenario)
+    run_with_record(
+        tmp_path, lambda verb, body: None if verb == "claim" else json_reply({"state": "free"}), scenario
+    )
 
 
 @pytest.mark.parametrize(
-    ("holding", "says"),
+    ("holding", "expected_error"),
     [
         ("127.0.0.1:1", "holding: must be a list of addresses"),
         ([], "holding: must be a list of addresses"),
         (["nowhere"], "holding[0]: 'nowhere' is not HOST:PORT"),
     ],
 )
-def test_a_bad_field_ends_the_start(tmp_path: Path, holding: object, says: str) -> None:
+def test_an_invalid_holding_field_ends_the_start(
+    tmp_path: Path, holding: object, expected_error: str
+) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"")) as rig:
             rig.config["holding"] = holding
@@ -301,7 +311,7 @@
     return KeyedPlan(**small, gone_ms=1500.0, spacing_ms=20.0, **changes)
 
 
-def played(plan: KeyedPlan, rounds: int, folder: Path) -> KeyedTorture:
+def play_rounds(plan: KeyedPlan, rounds: int, folder: Path) -> KeyedTorture:
     torture = KeyedTorture(plan, folder, 5, lambda line: None)
 
     async def scenario() -> None:
@@ -311,12 +321,12 @@
     return torture
 
 
-def test_no_effect_happens_twice_while_gateways_are_lost_with_their_disks(tmp_path: Path) -> None:
-    outcome = played(keyed_plan(), 3, tmp_path).outcome
+def test_no_request_runs_twice_while_gateways_are_lost_with_their_disks(tmp_path: Path) -> None:
+    outcome = play_rounds(keyed_plan(), 3, tmp_path).outcome
     assert not outcome.breach and outcome.twice == 0 and outcome.rounds == 3
     assert outcome.served > 30 and outcome.recalled > 0
 
 
-def test_without_the_record_the_same_rounds_show_effects_that_happen_twice(tmp_path: Path) -> None:
-    outcome = played(keyed_plan(record=False, unheard=0.4), 1, tmp_path).outcome
+def test_without_the_record_the_same_rounds_run_requests_twice(tmp_path: Path) -> None:
+    outcome = play_rounds(keyed_plan(record=False, unheard=0.4), 1, tmp_path).outcome
     assert outcome.twice > 0 and "happened" in outcome.breach
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The real program over loopback sockets: every failure it must live through, seen from outside."""
+"""The gateway process over loopback sockets, with failures of clients, servers, discovery and counter."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return b""
 
 
-def test_serves_and_passes_on_unchanged(tmp_path: Path) -> None:
+def test_requests_and_answers_are_passed_on_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")) as rig:
             answer = await rig.ask(message("put", body=b"x" * 3000, target="/api/v2/00000000b4d65521?a=1"))
@@ -46,13 +46,13 @@
             assert seen.headers["x-request-id"] == "9b1f03aa5c7e2d41"
             assert seen.headers["idempotency-key"] == "5c0f6e1a"
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
-            # The units of the guess, then what the answer billed beyond it, reach the counter.
+            # The counter receives the estimated units, then those that the answer billed beyond them.
             await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
 
     on_loop(scenario)
 
 
-def test_answers_keep_their_order_on_one_connection(tmp_path: Path) -> None:
+def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
             reader, writer = await rig.connect()
@@ -64,7 +64,7 @@
     on_loop(scenario)
 
 
-def test_white_space_around_a_value_is_no_part_of_it(tmp_path: Path) -> None:
+def test_white_space_around_a_header_value_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             data = message("put", body=b"abc")
@@ -78,7 +78,7 @@
     on_loop(scenario)
 
 
-def test_a_target_may_name_its_host(tmp_path: Path) -> None:
+def test_a_request_target_may_be_in_absolute_form(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             assert await rig.status(message(target="HTTP://origin.svc:80/api/00000000b4d65521?a=/b")) == 200
@@ -87,8 +87,8 @@
     on_loop(scenario)
 
 
-def test_a_refusal_comes_at_once_with_advice(tmp_path: Path) -> None:
-    """What the module gives up on is not held: other answers on the way to it do not matter."""
+def test_a_refusal_is_immediate_and_carries_retry_after(tmp_path: Path) -> None:
+    """A request refused by the policy is answered at once, not near its deadline."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
@@ -97,10 +97,10 @@
             assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
 
-    on_loop(scenario, 5)  # six that were held to near their deadlines of 6 s would take longer
+    on_loop(scenario, 5)  # requests held until near their deadlines of 6 s would take longer
 
 
-BAD = [
+INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (b"GET / HTTP/9.9\r\n\r\n", 400),
     (message(target="/other"), 404),
@@ -127,10 +127,10 @@
 ]
 
 
-def test_bad_input_reaches_no_host(tmp_path: Path) -> None:
+def test_invalid_requests_reach_no_server(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            for data, status in BAD:
+            for data, status in INVALID_REQUESTS:
                 assert await rig.status(data) == status, data[:200]
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
@@ -140,19 +140,19 @@
 
 
 @pytest.mark.parametrize("start", [b"", b"\r\n", message()[:40], message("put", body=b"12")[:-1]])
-def test_a_peer_without_a_whole_request_is_let_go_soon(tmp_path: Path, start: bytes) -> None:
+def test_a_connection_without_a_complete_request_times_out(tmp_path: Path, start: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(start)
-            got = await reader.read()  # an error or nothing, then the end
+            got = await reader.read()  # an error answer or nothing, then the end
             assert not got or got.startswith(b"HTTP/1.1 408 ")
             assert not rig.hosts[0].seen
 
-    on_loop(scenario, 8)  # TERMS give it 3 s; a slow machine more
+    on_loop(scenario, 8)  # the limit is about 3 s; the rest is for a slow machine
 
 
-def test_a_peer_that_drips_blank_lines_is_let_go(tmp_path: Path) -> None:
+def test_a_connection_that_only_sends_blank_lines_times_out(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -170,7 +170,9 @@
     ("data", "status"),
     [(message(target="/other"), "404"), (message("nope"), "400"), (b"GET /ready HTTP/1.1\r\n\r\n", "200")],
 )
-def test_who_sends_no_clients_request_keeps_no_place(tmp_path: Path, data: bytes, status: str) -> None:
+def test_a_connection_is_closed_after_an_invalid_request_or_a_readiness_check(
+    tmp_path: Path, data: bytes, status: str
+) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -181,7 +183,7 @@
     on_loop(scenario, 8)
 
 
-def test_bad_input_behind_an_open_request_waits_for_its_answer(tmp_path: Path) -> None:
+def test_invalid_input_behind_an_open_request_is_answered_after_it(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             reader, writer = await rig.connect()
@@ -196,7 +198,9 @@
 
 
 @pytest.mark.parametrize(("cls", "status", "attempts"), [("read", 200, 2), ("put", 200, 2), ("pay", 502, 1)])
-def test_reset_after_the_last_byte_may_have_run(tmp_path: Path, cls: str, status: int, attempts: int) -> None:
+def test_a_reset_after_the_last_byte_is_retried_only_where_a_repeat_is_safe(
+    tmp_path: Path, cls: str, status: int, attempts: int
+) -> None:
     async def scenario() -> None:
         answers = iter((b"", reply(b"served")))
         async with Rig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
@@ -220,31 +224,31 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 502, 1),
     ],
 )
-def test_only_x_not_run_lets_an_unsafe_request_go_again(
+def test_an_unsafe_request_is_retried_only_after_x_not_run(
     tmp_path: Path, answer: bytes, status: int, attempts: int
 ) -> None:
     async def scenario() -> None:
         answers = iter((answer, reply(b"served")))
 
-        def behave(seen: Seen) -> bytes:
+        def handler(seen: Seen) -> bytes:
             data = next(answers)
             if data.endswith(b"half"):
                 seen.writer.write(data)
-                seen.writer.close()  # ends in the middle of its answer
+                seen.writer.close()  # closes within its answer
                 return None
             return data
 
-        async with Rig(tmp_path, behave) as rig:
+        async with Rig(tmp_path, handler) as rig:
             assert await rig.status(message("pay")) == status
             assert len(rig.hosts[0].seen) == attempts
 
     on_loop(scenario)
 
 
-def test_a_refused_connection_never_ran(tmp_path: Path) -> None:
+def test_an_unsafe_request_is_retried_after_a_refused_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
-            rig.hosts[0].stop()  # its port refuses from now on
+            rig.hosts[0].stop()  # its port refuses connections from now on
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
@@ -252,20 +256,20 @@
     on_loop(scenario)
 
 
-def test_silence_is_failed_in_time_and_its_connection_not_used_again(tmp_path: Path) -> None:
+def test_a_silent_server_times_out_and_its_connection_is_not_reused(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the host is told by the close
+            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the close tells the server
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
 
     on_loop(scenario)
 
 
-def test_a_client_that_closes_has_its_work_dropped(tmp_path: Path) -> None:
+def test_a_request_is_cancelled_when_its_client_closes(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             _, writer = await rig.connect()
@@ -280,8 +284,8 @@
 
 
 @pytest.mark.parametrize("size", [0, 50_000])
-def test_what_a_client_sent_ahead_is_dropped_when_it_closes(tmp_path: Path, size: int) -> None:
-    """Nothing begins for a client who has left, also where its end lies unread behind all that it sent."""
+def test_pipelined_requests_are_dropped_when_their_client_closes(tmp_path: Path, size: int) -> None:
+    """This also holds where the client's FIN is unread behind all that it sent."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
@@ -290,8 +294,8 @@
                 writer.write(message("put", rid=b"id-%d" % i, body=b"x" * size))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             writer.close()
-            await writer.wait_closed()  # its end is in the system before the server says another word
-            if size:  # past what is read ahead: its end is looked for before the next one begins
+            await writer.wait_closed()  # the FIN is sent before the server answers
+            if size:  # reading is paused: the disconnect is found before the next request
                 rig.hosts[0].seen[0].writer.write(reply(b"served"))
             await rig.logged("id-1" if size else "id-0")
             assert await rig.status(message(rid=b"last", deadline="200m")) in (502, 504)
@@ -301,13 +305,13 @@
 
 
 @pytest.mark.parametrize("behind", [reply(b"nobody's"), reply(b"nobody's")[:20], b"nonsense"])
-def test_what_comes_behind_an_answer_is_not_the_next_requests(tmp_path: Path, behind: bytes) -> None:
+def test_bytes_behind_an_answer_are_not_taken_for_the_next_answer(tmp_path: Path, behind: bytes) -> None:
     async def scenario() -> None:
-        def behave(seen: Seen) -> bytes:
+        def handler(seen: Seen) -> bytes:
             first = seen.headers["x-request-id"] == "first"
             return reply(b"first") + behind if first else reply(b"second")
 
-        async with Rig(tmp_path, behave) as rig:
+        async with Rig(tmp_path, handler) as rig:
             reader, writer = await rig.connect()
             writer.write(message("pay", rid=b"first") + message("pay", rid=b"second"))
             for body in (b"first", b"second"):
@@ -316,7 +320,7 @@
     on_loop(scenario)
 
 
-def test_kept_connections_are_used_again(tmp_path: Path) -> None:
+def test_server_connections_are_reused(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
@@ -328,24 +332,24 @@
     on_loop(scenario)
 
 
-def test_an_answer_read_after_a_stall_beats_its_time_out(tmp_path: Path) -> None:
-    """Our own stall must not turn an answer that came in time into a time-out."""
+def test_an_answer_that_arrived_during_a_stall_is_not_timed_out(tmp_path: Path) -> None:
+    """After a stall of the gateway, unread answers must be read before time-outs are handled."""
 
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("pay")))
+            status = asyncio.create_task(rig.status(message("pay")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGSTOP)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
             await rig.hosts[0].seen[0].writer.drain()
             await asyncio.sleep(3.3)  # past the attempt's time-out of 3 s, not past the client's 6 s
             rig.process.send_signal(signal.SIGCONT)
-            assert await asked == 200
+            assert await status == 200
 
     on_loop(scenario)
 
 
-def test_sigterm_accepts_a_little_longer_finishes_and_exits(tmp_path: Path) -> None:
+def test_sigterm_accepts_for_a_grace_period_completes_requests_and_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
             first = asyncio.create_task(rig.ask(message(rid=b"first")))
@@ -355,7 +359,7 @@
             await rig.logged("draining")
             late = asyncio.create_task(rig.ask(message(rid=b"late")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 2)
-            assert await idle_reader.read() == b""  # closed though the others are still served
+            assert await idle_reader.read() == b""  # closed while the others are still served
             assert rig.process.returncode is None
             for seen in rig.hosts[0].seen:
                 seen.writer.write(reply(b"served"))
@@ -367,20 +371,20 @@
     on_loop(scenario)
 
 
-def test_sigterm_answers_what_cannot_finish_and_exits_before_sigkill(tmp_path: Path) -> None:
+def test_sigterm_answers_requests_that_cannot_complete_and_exits_before_sigkill(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, silent) as rig:
-            asked = asyncio.create_task(rig.status(message("put", deadline="60000m")))
+            status = asyncio.create_task(rig.status(message("put", deadline="60000m")))
             await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
-            assert await asked == 504  # by the program itself, not by chance while it falls apart
+            assert await status == 504  # an answer, not a reset by the exit
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
 
     on_loop(scenario)
 
 
-def test_sighup_moves_to_the_addresses_in_the_file(tmp_path: Path) -> None:
+def test_sighup_applies_new_addresses_of_discovery_and_counter(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
             assert await rig.status(message(rid=b"before")) == 200
@@ -391,14 +395,14 @@
             moved = {"discovery": f"{LOOP}:{directory.fake.port}", "counter": f"{LOOP}:{counter.port}"}
             rig.path.write_text(json.dumps({**rig.config, **moved}))
             rig.process.send_signal(signal.SIGHUP)
-            await directory.fake.until(lambda fake: bool(directory.waiting))  # it has the new list
+            await directory.fake.until(lambda fake: bool(directory.waiting))  # it has received the new list
             await rig.directory.fake.until(lambda fake: fake.closed == 1)
             await rig.counter.until(lambda fake: fake.closed == 4)
-            sent = len(rig.hosts[0].seen)
+            sent_count = len(rig.hosts[0].seen)
             for i in range(6):
                 data = message(rid=b"after-%d" % i, customer=f"{i:016x}")
                 assert await rig.status(data) == 200
-            assert len(rig.hosts[0].seen) == sent
+            assert len(rig.hosts[0].seen) == sent_count
             await counter.until(lambda fake: sum(totals.values()) >= 6)
             directory.fake.stop()
             counter.stop()
@@ -432,14 +436,14 @@
     on_loop(scenario)
 
 
-def test_clients_beyond_the_descriptors_wait_and_accept_goes_on(tmp_path: Path) -> None:
+def test_clients_above_the_connection_limit_wait_and_accepting_goes_on(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, sockets=128) as rig:
-            crowd = [await rig.connect() for _ in range(150)]
-            for i, (reader, writer) in enumerate(crowd[:64]):  # those that there is room for are served
+            clients = [await rig.connect() for _ in range(150)]
+            for i, (reader, writer) in enumerate(clients[:64]):  # those within the limit are served
                 writer.write(message(rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).line.split()[1] == "200"
-            for _, writer in crowd:
+            for _, writer in clients:
                 writer.close()
             assert await rig.status(message(rid=b"after")) == 200
             assert rig.process.returncode is None
@@ -447,7 +451,7 @@
     on_loop(scenario)
 
 
-def test_a_draining_host_gets_nothing_new_and_a_whole_list_replaces(tmp_path: Path) -> None:
+def test_a_draining_server_gets_no_new_request_and_a_whole_list_replaces_the_old(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
@@ -455,15 +459,15 @@
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[0].seen) == 0
             await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
-            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its kept connection goes
+            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its idle connection is closed
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
 
-    on_loop(scenario, 10)  # before an idle connection would be retired
+    on_loop(scenario, 10)  # before the idle time-out of the connection
 
 
-def test_a_host_may_move_to_another_address(tmp_path: Path) -> None:
+def test_a_server_may_move_to_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
@@ -476,7 +480,7 @@
 
 
 @pytest.mark.parametrize(
-    "nonsense",
+    "invalid_answer",
     [
         reply(b"{"),
         reply(b'{"generation":9,"reset":true,"instances":[{}]}'),
@@ -484,21 +488,22 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_discoverys_nonsense_keeps_the_list(tmp_path: Path, nonsense: bytes) -> None:
+def test_an_invalid_answer_of_discovery_keeps_the_list(tmp_path: Path, invalid_answer: bytes) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            await rig.directory.answer_watch(lambda: nonsense)  # returns once it has asked again
+            # Returns once the gateway has asked again.
+            await rig.directory.answer_watch(lambda: invalid_answer)
             assert await rig.status(message()) == 200
 
-    on_loop(scenario, 12)  # before the watch's own time-out would begin a new one
+    on_loop(scenario, 12)  # before the time-out of the watch
 
 
-def test_a_counter_that_breaks_does_not_stop_service(tmp_path: Path) -> None:
+def test_requests_are_served_while_the_counter_fails(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
-            for i, behave in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
-                rig.counter.behave = behave
-                for j in range(3):  # a customer not seen before makes the module ask
+            for i, handler in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
+                rig.counter.behave = handler
+                for j in range(3):  # a new customer causes a call to the counter
                     data = message(rid=b"%d-%d" % (i, j), customer=f"{1 + 3 * i + j:016x}")
                     assert await rig.status(data) == 200
             rig.counter.stop()
@@ -526,7 +531,9 @@
         ('{"settings": {"penalties": {"handshake": "dear"}}}', "penalties.handshake"),
     ],
 )
-def test_bad_configuration_ends_the_start_with_one_line(tmp_path: Path, raw: str, field: str) -> None:
+def test_an_invalid_configuration_ends_the_start_with_a_one_line_error(
+    tmp_path: Path, raw: str, field: str
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(raw)
     done = subprocess.run(
@@ -542,7 +549,7 @@
     assert field in done.stderr
 
 
-def test_a_badly_ended_request_is_told_in_one_line_of_the_log(tmp_path: Path) -> None:
+def test_a_failed_request_is_logged_in_one_line(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, reset) as rig:
             assert await rig.status(message("pay")) == 502
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' address: readiness, figures that are true, and callers who never finish."""
+"""Operators' address: readiness, correct metrics, and callers that never complete a call."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 from yewstage.policy import Gateway
 
 
-def behave(seen: Seen) -> bytes | None:
-    """A host that serves reads, fails payments and never answers what is put."""
+def handle(seen: Seen) -> bytes | None:
+    """A server that answers GET, fails other requests, and is silent on those with an idempotency key."""
     if seen.line.startswith("GET"):
         return reply(b"ok")
     return None if "idempotency-key" in seen.headers else reply(status=500)
 
 
-def test_figures_count_what_clients_saw(tmp_path: Path) -> None:
+def test_metrics_match_the_answers_that_clients_received(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, behave) as rig:
-            figures = await rig.metrics()
+        async with Rig(tmp_path, handle) as rig:
+            metrics = await rig.metrics()
             for kind in ("fulfilled", "throttled", "faulted"):
                 for name in ("read", "put", "pay"):
-                    assert figures[f'gateway_{kind}_total{{priority="{name}"}}'] == 0
-            assert figures["gateway_registry_entries"] == 1 and figures["gateway_out_of_rotation"] == 0
+                    assert metrics[f'gateway_{kind}_total{{priority="{name}"}}'] == 0
+            assert metrics["gateway_registry_entries"] == 1 and metrics["gateway_out_of_rotation"] == 0
             for _ in range(3):
                 assert await rig.status(message()) == 200
             assert await rig.status(message("pay", key=False)) == 502
-            small = [await rig.status(message(plan="small")) for _ in range(6)]
+            codes = [await rig.status(message(plan="small")) for _ in range(6)]
             reader, writer = await rig.connect()
             writer.write(message("put"))
             await rig.hosts[0].until(lambda fake: any("idempotency-key" in s.headers for s in fake.seen))
-            figures = await rig.metrics()
-            assert figures['gateway_fulfilled_total{priority="read"}'] == 3 + small.count(200)
-            assert figures['gateway_throttled_total{priority="read"}'] == small.count(503) > 0
-            assert figures['gateway_refusals_total{reason="quota"}'] == small.count(503)
-            assert sum(v for k, v in figures.items() if k.startswith("gateway_refusals")) == small.count(503)
-            assert figures['gateway_faulted_total{priority="pay"}'] == 1
-            assert figures["gateway_relayed_total"] == len(rig.hosts[0].seen)
-            assert figures["gateway_open_requests"] == 1
+            metrics = await rig.metrics()
+            assert metrics['gateway_fulfilled_total{priority="read"}'] == 3 + codes.count(200)
+            assert metrics['gateway_throttled_total{priority="read"}'] == codes.count(503) > 0
+            assert metrics['gateway_refusals_total{reason="quota"}'] == codes.count(503)
+            assert sum(v for k, v in metrics.items() if k.startswith("gateway_refusals")) == codes.count(503)
+            assert metrics['gateway_faulted_total{priority="pay"}'] == 1
+            assert metrics["gateway_relayed_total"] == len(rig.hosts[0].seen)
+            assert metrics["gateway_open_requests"] == 1
             writer.close()
             while (await rig.metrics())["gateway_open_requests"]:
                 await asyncio.sleep(0.01)
@@ -64,9 +64,11 @@
         (b"GET /ops/stats HTTP/1.1\r\nX: " + b"x" * 20000, 400),
     ],
 )
-def test_a_call_has_one_answer_and_ends(tmp_path: Path, call: bytes, status: int) -> None:
+def test_each_call_gets_one_answer_and_the_connection_is_closed(
+    tmp_path: Path, call: bytes, status: int
+) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, behave) as rig:
+        async with Rig(tmp_path, handle) as rig:
             reader, writer = await asyncio.open_connection(LOOP, rig.ops_port)
             writer.write(call)
             assert int((await read_message(reader, writer)).line.split()[1]) == status
@@ -77,7 +79,7 @@
     on_loop(scenario)
 
 
-def test_callers_who_finish_nothing_crowd_nobody_out() -> None:
+def test_a_new_caller_replaces_the_oldest_stalled_one() -> None:
     async def scenario() -> None:
         ops = Ops(asyncio.get_running_loop(), lambda: False, lambda: "")
         address = await ops.start((LOOP, 0))
@@ -87,15 +89,15 @@
         assert (await reader.readline()).split()[1] == b"503"
         first, _ = stalled[0]
         with contextlib.suppress(ConnectionResetError):
-            assert await first.read() == b""  # the one that came first gave way
+            assert await first.read() == b""  # the oldest connection was closed
         for _, other in [*stalled, (reader, writer)]:
             other.close()
         ops.stop()
 
-    on_loop(scenario, 4)  # less than CALL_TIMEOUT_S, so the place came from giving way
+    on_loop(scenario, 4)  # less than CALL_TIMEOUT_S, so that no time-out freed the place
 
 
-def test_a_dropped_class_keeps_its_counts_and_labels_are_escaped() -> None:
+def test_a_removed_class_keeps_its_counts_and_labels_are_escaped() -> None:
     stats = Stats(["a", 'b"\\'])
     stats.ended("a", 200)
     stats.know(["c"])
@@ -105,7 +107,7 @@
     assert 'gateway_faulted_total{priority="c"} 0' in lines
 
 
-def test_the_module_tells_what_it_avoids() -> None:
+def test_the_policy_reports_servers_out_of_rotation() -> None:
     gateway = Gateway(api.Settings((api.RequestClass("read", 1000, 4000),), (api.Plan("open"),)), 1)
     gateway.handle(0, api.ServerList("full", (api.Server("a:1"), api.Server("b:1", status="draining"))))
     assert gateway.rotation() == (2, 1)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,4 @@
-"""Other settings at SIGHUP: taken whole or not at all; what is open keeps the rules that it came under."""
+"""New settings at SIGHUP: applied whole or not at all; open requests keep the settings they came under."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from yewstage.net.stats import Stats
 
 
-def raw() -> dict:
+def raw_config() -> dict:
     return {
         "name": "n0",
         "listen": "127.0.0.1:1",
@@ -50,7 +50,7 @@
     }
 
 
-def told(folder: Path, text: str) -> dict[str, str]:
+def environment_with(folder: Path, text: str) -> dict[str, str]:
     path = folder / "config.json"
     path.write_text(text)
     return {"ROUTER_CONFIG": str(path)}
@@ -58,8 +58,8 @@
 
 def change(path: str, value: object = None, drop: bool = False) -> Callable[[dict], None]:
     def apply(tree: dict) -> None:
-        *way, last = path.split(".")
-        for key in way:
+        *parents, last = path.split(".")
+        for key in parents:
             tree = tree[int(key)] if key.isdigit() else tree[key]
         if drop:
             del tree[last]
@@ -94,15 +94,15 @@
         "settings.family_info",
     ],
 )
-def test_a_file_that_lacks_a_key_is_turned_down(tmp_path: Path, path: str) -> None:
-    first = load(told(tmp_path, json.dumps(raw())))
-    tree = raw()
+def test_a_file_without_a_required_key_is_rejected(tmp_path: Path, path: str) -> None:
+    first = load(environment_with(tmp_path, json.dumps(raw_config())))
+    tree = raw_config()
     change(path, drop=True)(tree)
     with pytest.raises(ConfigError):
-        reload(told(tmp_path, json.dumps(tree)), first)
+        reload(environment_with(tmp_path, json.dumps(tree)), first)
 
 
-BAD = [
+INVALID_NUMBERS = [
     "NaN",
     "Infinity",
     "-Infinity",
@@ -119,44 +119,46 @@
 
 
 @pytest.mark.parametrize("path", ["settings.grades.1.deadline_ms", "settings.bounds.try_limit"])
-@pytest.mark.parametrize("value", BAD)
-def test_a_value_that_is_no_number_above_0_is_turned_down(tmp_path: Path, path: str, value: str) -> None:
-    first = load(told(tmp_path, json.dumps(raw())))
-    tree = raw()
+@pytest.mark.parametrize("value", INVALID_NUMBERS)
+def test_a_value_that_is_not_a_positive_number_is_rejected(tmp_path: Path, path: str, value: str) -> None:
+    first = load(environment_with(tmp_path, json.dumps(raw_config())))
+    tree = raw_config()
     change(path, "HERE")(tree)
     with pytest.raises(ConfigError):
-        reload(told(tmp_path, json.dumps(tree).replace('"HERE"', value)), first)
+        reload(environment_with(tmp_path, json.dumps(tree).replace('"HERE"', value)), first)
 
 
 @pytest.mark.parametrize(
     ("path", "value"),
-    [(path, value) for path in ("bounds.conn_idle_ms", "bounds.dial_timeout_ms") for value in BAD]
-    + [("penalties.handshake", value) for value in BAD if value != "0"],
+    [(path, value) for path in ("bounds.conn_idle_ms", "bounds.dial_timeout_ms") for value in INVALID_NUMBERS]
+    + [("penalties.handshake", value) for value in INVALID_NUMBERS if value != "0"],
 )
-def test_nonsense_about_links_is_turned_down_at_start_and_at_reload(
+def test_invalid_connection_settings_are_rejected_at_start_and_at_reload(
     tmp_path: Path, path: str, value: str
 ) -> None:
-    tree = raw()
+    tree = raw_config()
     tree["settings"].setdefault("penalties", {})["handshake"] = 0.05
-    first = load(told(tmp_path, json.dumps(tree)))
+    first = load(environment_with(tmp_path, json.dumps(tree)))
     assert first.settings.handshake == 0.05
     change(f"settings.{path}", "HERE")(tree)
     text = json.dumps(tree).replace('"HERE"', value)
     for read in (load, lambda environ: reload(environ, first)):
         with pytest.raises(ConfigError, match=f"{path}|is not a number$"):
-            read(told(tmp_path, text))
+            read(environment_with(tmp_path, text))
 
 
-@pytest.mark.parametrize("text", ["", "   ", json.dumps(raw())[:-40], "[]", "null", "[" * 100_000, "\udc80"])
-def test_a_file_that_is_not_whole_is_turned_down(tmp_path: Path, text: str) -> None:
-    first = load(told(tmp_path, json.dumps(raw())))
+@pytest.mark.parametrize(
+    "text", ["", "   ", json.dumps(raw_config())[:-40], "[]", "null", "[" * 100_000, "\udc80"]
+)
+def test_an_incomplete_file_is_rejected(tmp_path: Path, text: str) -> None:
+    first = load(environment_with(tmp_path, json.dumps(raw_config())))
     (tmp_path / "config.json").write_bytes(text.encode("utf-8", "surrogateescape"))
     with pytest.raises(ConfigError):
         reload({"ROUTER_CONFIG": str(tmp_path / "config.json")}, first)
 
 
 @pytest.mark.parametrize(
-    "tune",
+    "edit",
     [
         change("settings.bounds.try_limit", 1),
         change("settings.grades.0.effect", "unsafe"),
@@ -167,18 +169,18 @@
         change("known.instances", [{"instanceId": "s", "hostPort": "127.0.0.1:4"}]),
     ],
 )
-def test_a_file_with_other_classes_is_taken(tmp_path: Path, tune: Callable[[dict], None]) -> None:
-    first = load(told(tmp_path, json.dumps(raw())))
-    tree = raw()
-    tune(tree)
-    assert reload(told(tmp_path, json.dumps(tree)), first).settings.classes
+def test_a_file_with_other_settings_is_accepted(tmp_path: Path, edit: Callable[[dict], None]) -> None:
+    first = load(environment_with(tmp_path, json.dumps(raw_config())))
+    tree = raw_config()
+    edit(tree)
+    assert reload(environment_with(tmp_path, json.dumps(tree)), first).settings.classes
 
 
-def test_classes_come_and_go_while_requests_are_open(tmp_path: Path) -> None:
+def test_classes_are_added_and_removed_while_requests_are_open(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, lambda seen: None if seen.line.startswith("GET") else reply(b"ok")) as rig:
 
-            async def hup(text: str) -> None:
+            async def reload_with(text: str) -> None:
                 rig.path.write_text(text)
                 before = await rig.metrics()
                 rig.process.send_signal(signal.SIGHUP)
@@ -192,55 +194,59 @@
             put, new = dict(GRADES[1]), {**GRADES[0], "name": "new", "effect": "unsafe"}
             tree["settings"]["grades"] = [put, new]
             for bad in ("", json.dumps(tree)[:-9], json.dumps(tree).replace("6000.0", "NaN")):
-                await hup(bad)
+                await reload_with(bad)
                 assert await rig.status(message("new", key=False)) == 400
-            await hup(json.dumps(tree))
-            figures = await rig.metrics()
-            assert (figures["gateway_cfg_accepted_total"], figures["gateway_cfg_invalid_total"]) == (1, 3)
-            assert figures['gateway_fulfilled_total{priority="new"}'] == 0
+            await reload_with(json.dumps(tree))
+            metrics = await rig.metrics()
+            assert (metrics["gateway_cfg_accepted_total"], metrics["gateway_cfg_invalid_total"]) == (1, 3)
+            assert metrics['gateway_fulfilled_total{priority="new"}'] == 0
             assert await rig.status(message("new", key=False)) == 200
             assert await rig.status(message("put")) == 200
             while await rig.status(message("pay", key=False)) != 400:
                 await asyncio.sleep(0.05)
-            rig.hosts[0].seen[0].writer.write(reply(b"old"))  # its class is gone, its request is not
+            rig.hosts[0].seen[0].writer.write(
+                reply(b"old")
+            )  # its class is removed, the request is still open
             assert (await read_message(reader, writer)).body == b"old"
-            figures = await rig.metrics()
-            assert figures['gateway_fulfilled_total{priority="read"}'] == 1
-            assert figures['gateway_fulfilled_total{priority="new"}'] == 1
+            metrics = await rig.metrics()
+            assert metrics['gateway_fulfilled_total{priority="read"}'] == 1
+            assert metrics['gateway_fulfilled_total{priority="new"}'] == 1
             writer.close()
 
     on_loop(scenario)
 
 
-def test_a_dropped_class_is_taken_a_little_longer() -> None:
+def test_a_removed_class_is_accepted_for_a_while() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         core = type("Core", (), {"settings": settings(), "stats": Stats(()), "longest_upload": 1})
         server = clients_module.ClientListener(core, loop, 100)
         timers = []
-        server.loop = type("Loop", (), {"call_later": lambda s, wait, *call: timers.append((wait, call))})()
+        server.loop = type(
+            "Loop", (), {"call_later": lambda s, delay_s, *call: timers.append((delay_s, call))}
+        )()
         server.retune(clients_module.ClassAndPlanNames(settings(classes=(SAFE,))))
         assert set(server.names.classes) == {b"read", b"put", b"pay"}
-        ((wait, (call, *args)),) = timers
+        ((delay_s, (call, *args)),) = timers
         call(*args)
-        assert wait == clients_module.CLASS_REMOVAL_DELAY_S and set(server.names.classes) == {b"read"}
+        assert delay_s == clients_module.CLASS_REMOVAL_DELAY_S and set(server.names.classes) == {b"read"}
 
     on_loop(scenario)
 
 
-def test_an_open_request_keeps_its_effect_and_its_attempts() -> None:
+def test_an_open_request_keeps_its_effect_and_its_attempt_limit() -> None:
     d = Driver(counter_enabled=False)
     rid, out = d.ask("read")
     (first,) = of(out, api.Send)
     d.give(
         api.Retuned(settings(classes=(api.RequestClass("read", 1000, 4000, effect="unsafe"),), try_limit=1))
     )
-    assert of(d.end(rid, api.RESET), api.Send)  # safe to repeat, as it was when it came
+    assert of(d.end(rid, api.RESET), api.Send)  # safe to repeat, as on its arrival
     later, out = d.ask("read")
     assert of(out, api.Send) and not of(d.end(later, api.RESET), api.Send)
 
 
-def test_a_request_that_came_before_keeps_the_class_it_came_with() -> None:
+def test_a_request_that_carries_its_class_is_sent_after_the_class_was_removed() -> None:
     d = Driver(counter_enabled=False)
     d.give(api.Retuned(settings(classes=(UNSAFE,))))
     out = d.give(api.Request("r", "read", "open", "c", 4000, cls=SAFE))
@@ -251,7 +257,7 @@
     assert isinstance(d.give(api.Request("s", "read", "open", "c", 4000))[0], api.Refuse)
 
 
-def test_a_request_that_waits_for_a_total_outlives_its_class() -> None:
+def test_a_request_waiting_for_the_counter_outlives_its_class() -> None:
     d = Driver()
     rid, out = d.ask("read", plan="basic")
     if not of(out, api.Count):
@@ -262,7 +268,7 @@
     assert any(isinstance(a, (api.Send, api.Refuse)) and a.request == rid for _, a in d.log)
 
 
-def test_quota_health_and_pressure_survive() -> None:
+def test_quotas_server_health_and_pressure_survive_new_settings() -> None:
     d = Driver(counter_enabled=False)
     sent = sum(bool(of(d.ask(plan="basic", width=1)[1], api.Send)) for _ in range(20))
     gateway = d.gateway
@@ -276,5 +282,5 @@
     assert (gateway.servers["h1"].fails, gateway.q, gateway.customer_quotas["c"].own) == (3, 0.3, before)
     assert sent and not of(d.ask(plan="basic", width=1)[1], api.Send)
     d.give(api.Retuned(settings(counter_enabled=False, plans=(api.Plan("basic", rate=3, burst=6),))))
-    assert not of(d.ask(plan="basic", width=1)[1], api.Send)  # its use counts under the new rate, too
+    assert not of(d.ask(plan="basic", width=1)[1], api.Send)  # usage still counts under the new rate
     assert gateway.customer_quotas["c"].plan is gateway.plans["basic"] != PLAN
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways at once, under pressure, broken off and lying about themselves."""
+"""Streamed bodies in both directions: under memory pressure, aborted, and with wrong framing."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 BIG = bytes(range(256)) * 4096  # 1 MB
 
 
-async def settled(rig: Rig) -> dict[str, float]:
-    """The figures once nothing is held and no stream is open."""
+async def idle_metrics(rig: Rig) -> dict[str, float]:
+    """Return the metrics once no bytes are held and no stream or request is open."""
     while True:
-        figures = await rig.metrics()
-        held = sum(value for name, value in figures.items() if name.startswith("gateway_held_bytes{"))
-        if not held and not figures["gateway_streams_open"] and not figures["gateway_open_requests"]:
-            return figures
+        metrics = await rig.metrics()
+        held = sum(value for name, value in metrics.items() if name.startswith("gateway_held_bytes{"))
+        if not held and not metrics["gateway_streams_open"] and not metrics["gateway_open_requests"]:
+            return metrics
         await asyncio.sleep(0.02)
 
 
-class Endless:
-    """A host whose answers have no end, and who counts what its readers make it keep."""
+class LongAnswerServer:
+    """A server that answers with 32 MB, or at once where the request head contains "small"."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -49,9 +49,9 @@
             await writer.drain()
 
 
-def test_a_hundred_long_answers_to_readers_that_stop_leave_memory_flat(tmp_path: Path) -> None:
+def test_streamed_answers_to_clients_that_do_not_read_keep_within_the_budget(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, Endless()) as rig:
+        async with Scripted(tmp_path, LongAnswerServer()) as rig:
             peaks, clients = [], []
             before = resident_mb(rig.process.pid)
             for count in (25, 100):
@@ -60,27 +60,27 @@
                     clients[-1][0]._transport.pause_reading()
                     clients[-1][1].write(message())
                 open_now = 0
-                while open_now < min(count, 40):  # as many as find a link
+                while open_now < min(count, 40):  # as many as get a server connection
                     open_now = (await rig.metrics())["gateway_streams_open"]
                 peaks.append((await rig.metrics())["gateway_held_bytes_peak"])
-            figures = await rig.metrics()
-            assert peaks[-1] <= 0.8 * figures["gateway_held_bytes_limit"] + 256 * 1024
-            assert resident_mb(rig.process.pid) - before < 2 * figures["gateway_held_bytes_limit"] / MB + 10
+            metrics = await rig.metrics()
+            assert peaks[-1] <= 0.8 * metrics["gateway_held_bytes_limit"] + 256 * 1024
+            assert resident_mb(rig.process.pid) - before < 2 * metrics["gateway_held_bytes_limit"] / MB + 10
             for _, writer in clients:
                 writer.transport.abort()
-            assert (await settled(rig))['gateway_streams_short_total{cause="client"}'] >= 25
+            assert (await idle_metrics(rig))['gateway_streams_short_total{cause="client"}'] >= 25
 
-    rig_with(tmp_path, memory_mb=32)
+    set_limits(tmp_path, memory_mb=32)
     on_loop(scenario, 60)
 
 
-def rig_with(folder: Path, **limits: object) -> None:
-    """Limits of the rigs of this test: they write their configuration themselves."""
+def set_limits(folder: Path, **limits: object) -> None:
+    """Set limits for the rigs of this test; the autouse fixture puts them into their configuration."""
     (folder / "limits.json").write_text(json.dumps(limits))
 
 
 @pytest.fixture(autouse=True)
-def limits_of_the_test(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def apply_limits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     spawn = Rig.spawn
 
     async def limited(rig: Rig) -> None:
@@ -93,18 +93,18 @@
     monkeypatch.setattr(Rig, "spawn", limited)
 
 
-def test_a_budget_used_up_by_slow_uploads_refuses_further_ones_at_once_and_serves_small_requests(
+def test_uploads_above_the_budget_are_refused_at_once_and_small_requests_served(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        stuck = asyncio.Event()
+        release_server = asyncio.Event()
 
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 if head.startswith(b"POST"):
-                    reader._transport.pause_reading()  # it takes nothing of it
-                    await stuck.wait()
+                    reader._transport.pause_reading()  # the server does not read the body
+                    await release_server.wait()
                 writer.write(reply(b"small"))
 
         async with Scripted(tmp_path, host) as rig:
@@ -125,22 +125,22 @@
             assert status == 503
             for n in range(5):
                 assert await rig.status(message(rid=b"small%d" % n)) == 200
-            figures = await rig.metrics()
-            limit = figures["gateway_held_bytes_limit"]
-            assert figures['gateway_held_bytes{use="uploads"}'] <= 0.8 * limit + 256 * 1024
+            metrics = await rig.metrics()
+            limit = metrics["gateway_held_bytes_limit"]
+            assert metrics['gateway_held_bytes{use="uploads"}'] <= 0.8 * limit + 256 * 1024
             for writer in uploads:
                 writer.transport.abort()
-            await settled(rig)
+            await idle_metrics(rig)
             reader, writer = await rig.connect()
-            stuck.set()
+            release_server.set()
             writer.write(message("put", body=BIG, rid=b"after"))
             assert (await read_message(reader, writer)).line.split()[1] == "200"
 
-    rig_with(tmp_path, memory_mb=24)
+    set_limits(tmp_path, memory_mb=24)
     on_loop(scenario, 60)
 
 
-def test_a_slow_reader_holds_up_its_own_answer_and_no_other(tmp_path: Path) -> None:
+def test_a_slow_reader_delays_only_its_own_answer(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -159,14 +159,14 @@
                 assert await body_of(await quick.readuntil(b"\r\n\r\n"), quick) == BIG * 8
                 writer.close()
             got = 0
-            while got < 8 * MB:  # as slow as it likes: it gets all of it
+            while got < 8 * MB:  # the slow reader receives all of it
                 reader._transport.resume_reading()
                 got += len(await reader.read(64_000))
                 reader._transport.pause_reading()
             slow.close()
-            figures = await settled(rig)
-            assert figures['gateway_passed_bytes_total{way="down"}'] == 6 * 8 * MB
-            assert not any(value for name, value in figures.items() if "streams_short" in name)
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_passed_bytes_total{way="down"}'] == 6 * 8 * MB
+            assert not any(value for name, value in metrics.items() if "streams_short" in name)
 
     on_loop(scenario, 60)
 
@@ -175,7 +175,7 @@
     ("answer", "status"),
     [(reply(b"early"), 200), (reply(b"no", 500), 502), (reply(b"", 503, b"X-Not-Run: 1\r\n"), 503)],
 )
-def test_an_answer_before_the_upload_has_ended_is_passed_on_and_the_rest_is_cut_off(
+def test_an_answer_before_the_end_of_the_upload_is_passed_on_and_the_rest_discarded(
     tmp_path: Path, answer: bytes, status: int
 ) -> None:
     async def scenario() -> None:
@@ -183,27 +183,28 @@
             await reader.readuntil(b"\r\n\r\n")
             await reader.readexactly(MB // 2)
             writer.write(answer)
-            await reader.read()  # until the gateway ends the link
+            await reader.read()  # until the gateway closes the connection
 
         async with Scripted(tmp_path, host) as rig:
             reader, writer = await rig.connect()
-            writer.write(message("put", body=BIG * 4)[: 2 * MB])  # and goes on sending later
+            writer.write(message("put", body=BIG * 4)[: 2 * MB])  # the rest is sent later
             seen = await read_message(reader, writer)
             assert int(seen.line.split()[1]) == status and seen.headers["connection"] == "close"
             with contextlib.suppress(ConnectionError):
-                for _ in range(100):  # the rest is read for a while, then cut off: never sent on
+                for _ in range(100):  # the rest is read and discarded until a time limit
                     writer.write(b"x" * 1000)
                     await writer.drain()
                     await asyncio.sleep(0.1)
-            figures = await settled(rig)
-            assert figures['gateway_streams_short_total{cause="answered"}'] == 1
-            assert rig.connections == 1 and figures["gateway_links_open"] == 0  # the link was not clean
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_streams_short_total{cause="answered"}'] == 1
+            # A server connection with a partial request is not reused.
+            assert rig.connections == 1 and metrics["gateway_links_open"] == 0
             writer.close()
 
     on_loop(scenario, 60)
 
 
-def test_a_long_answer_may_flow_while_the_upload_is_still_on_its_way(tmp_path: Path) -> None:
+def test_a_streamed_answer_may_begin_before_the_upload_has_ended(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -221,26 +222,26 @@
             body = data.index(b"\r\n\r\n") + 4
             writer.write(data[: body + MB])
             head = await reader.readuntil(b"\r\n\r\n")
-            first = await reader.readexactly(MB // 2)  # before the rest was even sent
+            first = await reader.readexactly(MB // 2)  # before the rest is sent
             writer.write(data[body + MB :])
             rest = await reader.readexactly(6 * MB - MB // 2)
             assert b" 200 " in head and first + rest == BIG * 6
             writer.close()
-            figures = await settled(rig)
-            assert figures['gateway_fulfilled_total{priority="put"}'] == 1
-            assert figures["gateway_relayed_total"] == 1
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_fulfilled_total{priority="put"}'] == 1
+            assert metrics["gateway_relayed_total"] == 1
 
     on_loop(scenario)
 
 
-def test_the_first_bytes_of_an_answer_that_cannot_be_had_again_are_not_held(tmp_path: Path) -> None:
+def test_the_first_bytes_of_an_answer_to_an_unsafe_request_are_passed_on_at_once(tmp_path: Path) -> None:
     async def scenario() -> None:
-        go_on = asyncio.Event()
+        send_rest = asyncio.Event()
 
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n")
-            await go_on.wait()  # only once the client has those
+            await send_rest.wait()  # set once the client has received these bytes
             writer.write(b"4\r\nlast\r\n0\r\n\r\n")
 
         async with Scripted(tmp_path, host) as rig:
@@ -248,14 +249,14 @@
             writer.write(message("pay", key=False))
             head = await reader.readuntil(b"\r\n\r\n")
             assert b"chunked" in head and await reader.readuntil(b"first\r\n") == b"5\r\nfirst\r\n"
-            go_on.set()
+            send_rest.set()
             assert (await reader.readuntil(b"0\r\n\r\n")).startswith(b"4\r\nlast")
             writer.close()
 
     on_loop(scenario)
 
 
-def test_a_short_answer_that_breaks_before_its_end_is_had_again_where_it_may_be(tmp_path: Path) -> None:
+def test_a_truncated_short_answer_to_a_safe_request_is_retried(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -272,7 +273,7 @@
     on_loop(scenario)
 
 
-def test_requests_that_follow_a_long_one_on_its_connection_are_answered_in_order(tmp_path: Path) -> None:
+def test_requests_pipelined_behind_an_upload_are_answered_in_order(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             reader, writer = await rig.connect()
@@ -285,14 +286,14 @@
             sizes = [int((await read_message(reader, writer)).body.split()[0]) for _ in range(3)]
             assert sizes == [MB, 10, MB]
             writer.close()
-            await settled(rig)
+            await idle_metrics(rig)
 
     on_loop(scenario)
 
 
 @pytest.mark.parametrize("how", ["leaves", "half closes", "resets"])
 @pytest.mark.parametrize("way", ["up", "down"])
-def test_a_client_that_goes_in_the_middle_ends_its_servers_link_and_gives_its_bytes_back(
+def test_a_client_that_leaves_during_a_stream_closes_the_server_connection_and_frees_memory(
     tmp_path: Path, how: str, way: str
 ) -> None:
     async def scenario() -> None:
@@ -320,20 +321,20 @@
             writer.write(message("put", body=BIG * 4)[: 2 * MB] if way == "up" else message())
             await begun.wait()
             if how == "half closes":
-                writer.write_eof()  # by the protocol, who closes has gone away
+                writer.write_eof()  # treated as a disconnect
             else:
                 (writer.close if how == "leaves" else writer.transport.abort)()
             await ended.wait()
-            figures = await settled(rig)
-            assert figures['gateway_streams_short_total{cause="client"}'] == 1
-            assert figures["gateway_links_open"] == 0
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_streams_short_total{cause="client"}'] == 1
+            assert metrics["gateway_links_open"] == 0
             writer.transport.abort()
 
     on_loop(scenario)
 
 
 @pytest.mark.parametrize(("length", "sent"), [(b"200000", BIG[:150_000]), (b"200000", BIG[:200_050])])
-def test_a_server_that_lies_about_its_length_is_not_used_again(
+def test_a_connection_with_a_wrong_content_length_is_not_reused(
     tmp_path: Path, length: bytes, sent: bytes
 ) -> None:
     async def scenario() -> None:
@@ -352,15 +353,15 @@
                 body = await reader.read(200_000)
                 while len(body) < 200_000 and (more := await reader.read(200_000 - len(body))):
                     body += more
-                assert body == sent[:200_000]  # too short shows: the connection ends before its end
+                assert body == sent[:200_000]  # a missing rest shows as an early end of the connection
                 writer.close()
             assert rig.connections == 2
-            await settled(rig)
+            await idle_metrics(rig)
 
     on_loop(scenario)
 
 
-def test_a_client_that_sends_more_than_it_said_is_answered_and_its_rest_is_a_bad_request(
+def test_bytes_beyond_the_content_length_are_answered_as_a_bad_request(
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
@@ -370,12 +371,12 @@
             assert (await read_message(reader, writer)).body.split()[0] == b"1048576"
             assert (await read_message(reader, writer)).line.split()[1] == "400"
             writer.close()
-            await settled(rig)
+            await idle_metrics(rig)
 
     on_loop(scenario)
 
 
-def test_uploads_end_at_the_limit_of_the_settings(tmp_path: Path) -> None:
+def test_uploads_above_the_configured_limit_are_answered_413(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Scripted(tmp_path, told) as rig:
             assert await rig.status(message("put", body=BIG)) == 200
@@ -385,21 +386,21 @@
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 assert (await read_message(reader, writer)).line.split()[1] == "413"
             writer.close()
-            await settled(rig)
+            await idle_metrics(rig)
 
-    rig_with(tmp_path, upload_mb=2)
+    set_limits(tmp_path, upload_mb=2)
     on_loop(scenario)
 
 
 @pytest.mark.parametrize(
     "limits", [{"memory_mb": 0}, {"memory_mb": "many"}, {"upload_mb": -1}, {"upload_mb": True}]
 )
-def test_limits_out_of_range_end_the_start(limits: dict) -> None:
-    from test_retune import raw
+def test_limits_out_of_range_are_configuration_errors(limits: dict) -> None:
+    from test_retune import raw_config
 
     from yewstage.net.config import ConfigError, parse
 
-    tree = raw()
+    tree = raw_config()
     tree["limits"].update(limits)
     with pytest.raises(ConfigError, match=f"limits.{next(iter(limits))}"):
         parse(tree)
@@ -409,20 +410,20 @@
     return reply(b"ok")
 
 
-def test_the_figures_tell_what_bodies_come_to(tmp_path: Path) -> None:
+def test_metrics_count_the_bytes_of_bodies(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Rig(tmp_path, serve) as rig:
             assert await rig.status(message("put", body=BIG)) == 200
-            figures = await settled(rig)
-            assert figures['gateway_passed_bytes_total{way="up"}'] == MB
-            assert 0 < figures["gateway_held_bytes_peak"] <= figures["gateway_held_bytes_limit"]
-            assert figures["gateway_bodies_refused_total"] == figures["gateway_streams_stopped_total"] == 0
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_passed_bytes_total{way="up"}'] == MB
+            assert 0 < metrics["gateway_held_bytes_peak"] <= metrics["gateway_held_bytes_limit"]
+            assert metrics["gateway_bodies_refused_total"] == metrics["gateway_streams_stopped_total"] == 0
 
     on_loop(scenario)
 
 
-class Full:
-    """A client's transport of which a test says when its buffer is full."""
+class FullTransport:
+    """A client's transport whose buffer a test can declare full."""
 
     def __init__(self, connection: ClientConnection) -> None:
         self._connection, self.full = connection, False
@@ -441,34 +442,35 @@
             self._connection.pause_writing()
 
 
-def test_the_end_of_an_answer_does_not_hold_a_link_that_is_free_again(
+def test_the_end_of_an_answer_does_not_pause_a_reused_server_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         host = Fake(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         connection = ClientConnection(ClientListener(core, asyncio.get_running_loop(), 100))
-        transport = Full(connection)
+        transport = FullTransport(connection)
         connection.connection_made(transport)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         connection.data_received(message())
-        holds: list[bool] = []
-        connection.begin(None, b"", type("Link", (), {"pause": lambda link, held: holds.append(held)})())
+        pauses: list[bool] = []
+        connection.begin(None, b"", type("Link", (), {"pause": lambda link, held: pauses.append(held)})())
         connection.more(b"all of it")
-        assert True not in holds
+        assert True not in pauses
         transport.full = True
-        connection.finish()  # its last chunk finds the buffer full, and the link has another's answer by now
+        # The last chunk fills the buffer when the server connection may already serve another request.
+        connection.finish()
         transport.full = False
         connection.resume_writing()
-        assert True not in holds
+        assert True not in pauses
         host.stop()
 
     on_loop(scenario)
 
 
-@pytest.mark.parametrize("spoil", [b"zz\r\n", b"ffffffffffffffffff\r\n", b"5\r\nabcdefg\r\n"])
-def test_an_upload_that_breaks_its_framing_ends_without_a_further_byte_to_its_server(
-    tmp_path: Path, spoil: bytes
+@pytest.mark.parametrize("invalid_chunk", [b"zz\r\n", b"ffffffffffffffffff\r\n", b"5\r\nabcdefg\r\n"])
+def test_an_upload_with_invalid_chunks_is_aborted_without_a_further_byte_to_its_server(
+    tmp_path: Path, invalid_chunk: bytes
 ) -> None:
     async def scenario() -> None:
         got: list[bytes] = []
@@ -480,28 +482,33 @@
 
         async with Scripted(tmp_path, host) as rig:
             reader, writer = await rig.connect()
-            writer.write(message("put", drop="Content-Length", more=CHUNKED) + in_chunks(BIG, last=spoil))
+            writer.write(
+                message("put", drop="Content-Length", more=CHUNKED) + in_chunks(BIG, last=invalid_chunk)
+            )
             writer.write(in_chunks(b"never"))
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
                 assert (await read_message(reader, writer)).line.split()[1] == "400"
             writer.close()
-            await settled(rig)
+            await idle_metrics(rig)
             sent = b"".join(got)
-            assert b"never" not in sent and not sent.endswith(b"0\r\n\r\n")  # and it can tell
+            # Without the last chunk the server sees the body as incomplete.
+            assert b"never" not in sent and not sent.endswith(b"0\r\n\r\n")
 
     on_loop(scenario)
 
 
-def test_an_upgrade_lets_bodies_that_are_on_their_way_end_in_the_old_process(tmp_path: Path) -> None:
+def test_during_a_hot_upgrade_open_streams_end_in_the_old_process(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             head = await reader.readuntil(b"\r\n\r\n")
             if head.startswith(b"POST"):
-                await told_of(head, reader, writer)
+                await answer_with_size(head, reader, writer)
             else:
                 writer.write(reply(BIG * 8))
 
-        async def told_of(head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def answer_with_size(
+            head: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             body = await body_of(head, reader)
             writer.write(reply(b"%d" % len(body)))
 
@@ -509,13 +516,13 @@
         rig.hold()
         async with rig:
             old = rig.process
-            down, asks = await rig.connect()
-            asks.write(message(rid=b"down"))
+            down, down_writer = await rig.connect()
+            down_writer.write(message(rid=b"down"))
             await down.readuntil(b"\r\n\r\n")
             down._transport.pause_reading()
-            up, sends = await rig.connect()
+            up, up_writer = await rig.connect()
             data = message("put", body=BIG * 2, rid=b"up")
-            sends.write(data[:MB])
+            up_writer.write(data[:MB])
             while (await rig.metrics())["gateway_streams_open"] < 2:
                 await asyncio.sleep(0.01)
             await rig.spawn()
@@ -523,12 +530,12 @@
                 await asyncio.sleep(0.02)
             old.send_signal(signal.SIGTERM)
             await rig.logged("taking over")
-            sends.write(data[MB:])
-            answer = await read_message(up, sends)
+            up_writer.write(data[MB:])
+            answer = await read_message(up, up_writer)
             assert (answer.body, answer.headers["connection"]) == (b"%d" % (2 * MB), "close")
             down._transport.resume_reading()
             assert await down.readexactly(8 * MB) == BIG * 8
-            for writer in (asks, sends):
+            for writer in (down_writer, up_writer):
                 writer.close()
             assert await old.wait() == 0
             assert await rig.status(message("put", body=BIG, rid=b"new")) == 200
@@ -536,7 +543,7 @@
     on_loop(scenario)
 
 
-def test_one_byte_pieces_both_ways(tmp_path: Path) -> None:
+def test_bodies_in_one_byte_writes_in_both_directions(tmp_path: Path) -> None:
     async def scenario() -> None:
         async def host(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
@@ -559,8 +566,8 @@
             )
             assert (await read_message(reader, writer)).body == BIG[:200]
             writer.close()
-            figures = await settled(rig)
-            assert figures['gateway_passed_bytes_total{way="up"}'] == 70_000
-            assert figures['gateway_fulfilled_total{priority="put"}'] == 2
+            metrics = await idle_metrics(rig)
+            assert metrics['gateway_passed_bytes_total{way="up"}'] == 70_000
+            assert metrics['gateway_fulfilled_total{priority="put"}'] == 2
 
     on_loop(scenario)
