--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -204,9 +204,8 @@
             assert await rig.status(message("put")) == 200
             while await rig.status(message("pay", key=False)) != 400:
                 await asyncio.sleep(0.05)
-            rig.hosts[0].seen[0].writer.write(
-                reply(b"old")
-            )  # its class is removed, the request is still open
+            # The class is removed, its request is still open.
+            rig.hosts[0].seen[0].writer.write(reply(b"old"))
             assert (await read_message(reader, writer)).body == b"old"
             metrics = await rig.metrics()
             assert metrics['gateway_fulfilled_total{priority="read"}'] == 1
--- a/yewstage/net/budget.py
+++ b/yewstage/net/budget.py
@@ -47,18 +47,18 @@
         self.pause_reading: Callable[[bool], None] | None = None  # set while it is a stream
         self.evict: Callable[[], None] | None = None
 
-    def set(self, size: int) -> None:
+    def set(self, held_bytes: int) -> None:
         """Set the number of bytes held; the frequent cases are handled here, as every request calls this."""
-        change_bytes = size - self.bytes
+        change_bytes = held_bytes - self.bytes
         if not change_bytes and not self.has_turn:
             return
         budget = self._budget
-        self.bytes = size
+        self.bytes = held_bytes
         self._purpose_total.bytes += change_bytes
         budget.held += change_bytes
         if budget.held > budget.peak:
             budget.peak = budget.held
-        if self.pause_reading is not None or budget.is_under_pressure or budget.held > budget.high:
+        if self.pause_reading is not None or budget.is_under_pressure or budget.held > budget.high_bytes:
             budget.account_changed(self, change_bytes)
 
     def begin(self, pause_reading: Callable[[bool], None], evict: Callable[[], None]) -> None:
@@ -86,30 +86,32 @@
     itself. If streams without progress hold all of the memory, the one stalled for longest is evicted.
     """
 
-    def __init__(self, most: int, clock_s: Callable[[], float]) -> None:
+    def __init__(self, limit_bytes: int, clock_s: Callable[[], float]) -> None:
         self._clock_s = clock_s
         self.held = self.peak = 0
-        self.uses = {use: PurposeTotal() for use in PURPOSES}
+        self._totals_by_purpose = {purpose: PurposeTotal() for purpose in PURPOSES}
         self.is_under_pressure = False
         self.stops = self.evicted = self.refused = 0
-        self._turn_started_at_s: dict[
-            MemoryAccount, float
-        ] = {}  # streams that may make one read, and since when
+        self._turn_started_at_s: dict[MemoryAccount, float] = {}  # streams that may make one read
         self._streams: dict[MemoryAccount, None] = {}
         self._paused_streams: dict[MemoryAccount, None] = {}  # in the order of their turns
-        self.limit(most)
+        self.limit(limit_bytes)
 
-    def limit(self, most: int) -> None:
+    def limit(self, limit_bytes: int) -> None:
         """Set the budget in bytes."""
-        self.most, self.high, self._low_bytes = most, int(HIGH_SHARE * most), int(LOW_SHARE * most)
+        self.most, self.high_bytes, self._low_bytes = (
+            limit_bytes,
+            int(HIGH_SHARE * limit_bytes),
+            int(LOW_SHARE * limit_bytes),
+        )
 
-    def open_account(self, use: str) -> MemoryAccount:
+    def open_account(self, purpose: str) -> MemoryAccount:
         """Open the account of one connection for a purpose, one of PURPOSES."""
-        return MemoryAccount(self, self.uses[use])
+        return MemoryAccount(self, self._totals_by_purpose[purpose])
 
     def by_use(self) -> dict[str, int]:
         """Return the held bytes by purpose."""
-        return {use: purpose_total.bytes for use, purpose_total in self.uses.items()}
+        return {purpose: total.bytes for purpose, total in self._totals_by_purpose.items()}
 
     def streams(self) -> int:
         """Return the number of open streams."""
@@ -117,7 +119,7 @@
 
     def admits_stream(self) -> bool:
         """Whether another stream may begin."""
-        return not self.is_under_pressure and self.held + READ_BYTES <= self.high
+        return not self.is_under_pressure and self.held + READ_BYTES <= self.high_bytes
 
     def admits(self, size: int) -> bool:
         """Whether a buffered request body of this size fits into the budget."""
@@ -129,7 +131,7 @@
             account.progressed_at_s = self._clock_s()
         if account.has_turn:
             self._finish_turn(account)
-        if self.held > self.high and not self.is_under_pressure:
+        if self.held > self.high_bytes and not self.is_under_pressure:
             self._pause_all_streams()
         elif self.is_under_pressure:
             self._resume_streams()
@@ -153,18 +155,20 @@
             self._resume_streams()
 
     def check(self) -> None:
-        """Pass unused turns on, and evict the longest stalled stream if no other one can get a turn."""
+        """Pass unused turns on; evict the longest stalled stream if others wait and none has a turn."""
         if not self.is_under_pressure:
             return
         now = self._clock_s()
         for account in [
-            account for account, since in self._turn_started_at_s.items() if now - since > TURN_TIMEOUT_S
+            account
+            for account, started_at_s in self._turn_started_at_s.items()
+            if now - started_at_s > TURN_TIMEOUT_S
         ]:
             self._finish_turn(account)
         self._resume_streams()
         if self._turn_started_at_s or not any(not account.bytes for account in self._paused_streams):
             return
-        account = min((h for h in self._streams if h.bytes), key=lambda h: h.progressed_at_s, default=None)
+        account = min((s for s in self._streams if s.bytes), key=lambda s: s.progressed_at_s, default=None)
         if account is not None and now - account.progressed_at_s > STALL_TIMEOUT_S:
             self.evicted += 1
             account.evict()
@@ -204,7 +208,7 @@
                     self._resume_stream(account)
             return
         for account in list(self._paused_streams):
-            if self.held + (len(self._turn_started_at_s) + 1) * READ_BYTES > self.high:
+            if self.held + (len(self._turn_started_at_s) + 1) * READ_BYTES > self.high_bytes:
                 return
             if not account.bytes and account.is_paused:
                 account.has_turn = True
--- a/yewstage/net/claim_record.py
+++ b/yewstage/net/claim_record.py
@@ -16,19 +16,15 @@
 from dataclasses import dataclass
 
 from yewstage.log import Event
-from yewstage.net.holding_client import TRY_S, HoldingClient
+from yewstage.net.holding_client import ATTEMPT_TIMEOUT_S, HoldingClient
 from yewstage.net.http1 import Reply
 from yewstage.registry.client import ServiceReply
 
 log = logging.getLogger(__name__)
 
 SETTLE_TIMEOUT_S = 20.0  # a settlement is repeated for so long until it is acknowledged
-MAX_PENDING_SETTLEMENTS = (
-    2000  # ends that wait to be heard; past that a key stays claimed deadline_s its window is over
-)
-MAX_STORED_ANSWER_BYTES = (
-    8 * 1024
-)  # a longer body is not stored, so that a repeated request cannot be answered with it
+MAX_PENDING_SETTLEMENTS = 2000  # a further one is dropped: its key stays claimed until its window is over
+MAX_STORED_ANSWER_BYTES = 8 * 1024  # of a body; a longer one cannot be returned to a repeated request
 RESULTS = ("yours", "done", "held", "silent")
 
 
@@ -37,7 +33,7 @@
     """One request's claim of an idempotency key."""
 
     key: str
-    by: str
+    claimant: str  # unique to the gateway process and the request
     result: str = ""  # one of RESULTS; empty until known
     is_abandoned: bool = False  # the request no longer needs it
     answer: Reply | None = None  # the stored answer, for the result "done"
@@ -46,8 +42,8 @@
 class ClaimRecord:
     """Makes and settles the claims of one gateway process.
 
-    Claims carry an id that is unique to the process, so that a restarted gateway cannot take over the claims
-    of its predecessor.
+    Claims carry an id that is unique to the process: a claimant may repeat its own claim, and a restarted
+    gateway must not count as the same claimant.
     """
 
     def __init__(
@@ -164,7 +160,7 @@
         """Repeat a settlement until it is acknowledged; the call is idempotent."""
         deadline_s = self._loop.time() + SETTLE_TIMEOUT_S
         while self._loop.time() < deadline_s:
-            answer = await self._call(claim, verb, body, TRY_S)
+            answer = await self._call(claim, verb, body, ATTEMPT_TIMEOUT_S)
             if answer is not None and answer.status not in (421, 503):
                 return
             await self._client.pause_before_retry()
@@ -174,7 +170,7 @@
         self, claim: KeyClaim, verb: str, body: dict[str, object], timeout_s: float
     ) -> ServiceReply | None:
         path = f"/v1/keys/{claim.key}/{verb}"
-        return await self._client.call(claim.key, path, {"by": claim.by, **body}, timeout_s)
+        return await self._client.call(claim.key, path, {"by": claim.claimant, **body}, timeout_s)
 
     def _spawn(self, coroutine: Coroutine) -> None:
         task = self._loop.create_task(coroutine)
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -37,12 +37,12 @@
 MAX_PIPELINED_BYTES = 64 * 1024  # queued before reading pauses; a client's end is seen only while reading
 SPARE_S = 2.0  # a connection idle for longer is closed when a new client needs room
 STALE_S = 0.5  # so is one without a request yet, once it has received nothing for so long
-CROWDED_SHARE = 0.7  # above this share of the places connections are closed after each answer
+CROWDED_SHARE = 0.7  # above this share of the maximum each connection is closed after its answer
 LINGER_TIMEOUT_S = 1.0  # for reading on after the last answer, unless the client closes first
 SWEEP_INTERVAL_S = 0.2
 CLASS_REMOVAL_DELAY_S = 1.2  # how long requests of a removed class are still accepted
 ACCEPT_RETRY_DELAY_S = 0.05
-FULL_LOG_INTERVAL_S = 5.0  # between two log events that all places are taken
+FULL_LOG_INTERVAL_S = 5.0  # between two clients_full log events
 
 REASON_PHRASES = {
     200: b"OK",
@@ -325,9 +325,9 @@
         self._update_source_flow()
         self._process_queue()
 
-    def _pause_for_budget(self, stopped: bool) -> None:
+    def _pause_for_budget(self, is_paused: bool) -> None:
         """Pause or resume the streamed answer on behalf of the memory budget."""
-        self._is_budget_paused = stopped
+        self._is_budget_paused = is_paused
         self._update_source_flow()
 
     def _update_source_flow(self) -> None:
@@ -376,7 +376,7 @@
         self._release_open_request()
 
     def _release_open_request(self) -> None:
-        """Report the disconnect for the open request, if there is one."""
+        """Cancel the open request, if there is one, as abandoned by its client."""
         request_id, self._open = self._open, None
         if request_id is not None:
             self._core.client_disconnected(request_id)
@@ -542,10 +542,10 @@
         else:
             self.transport.abort()
 
-    def _pause_upload(self, held: bool) -> None:
+    def _pause_upload(self, is_paused: bool) -> None:
         """Pause or resume reading an uploaded body, as its server connection asks."""
-        if held != self._is_upload_paused:
-            self._is_upload_paused = held
+        if is_paused != self._is_upload_paused:
+            self._is_upload_paused = is_paused
             self._update_reading()
 
     def _update_reading(self) -> None:
@@ -611,7 +611,7 @@
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _answer_and_close(self, status: int) -> None:
-        """Answer a readiness check or an invalid request and close, so that it keeps no place."""
+        """Answer a readiness check or an invalid request and close, to free the connection for others."""
         self._is_closing = True
         self.answer(status, retry_after_ms=RETRY_AFTER_MS if status == 503 else 0.0)
 
@@ -773,8 +773,8 @@
         """Return when the message times out: a fixed limit for its head, a minimum rate for its body."""
         if not message.head_complete_at_s:
             return self.phase_started_at_s + HEAD_TIMEOUT_S
-        start = max(self.phase_started_at_s + HEAD_TIMEOUT_S, message.head_complete_at_s + BODY_GRACE_S)
-        return start + message.body_bytes / MIN_BODY_BYTES_PER_S + message.paused_s
+        deadline_s = max(self.phase_started_at_s + HEAD_TIMEOUT_S, message.head_complete_at_s + BODY_GRACE_S)
+        return deadline_s + message.body_bytes / MIN_BODY_BYTES_PER_S + message.paused_s
 
     def _handle_read_timeout(self, message: _RequestMessage) -> None:
         if self.has_unread_bytes():
@@ -793,12 +793,12 @@
         """Whether the connection may be closed for a new client: idle, or without a request for too long."""
         if self._is_answer_due or self.transport.is_closing():
             return False
-        waits = (
+        is_unused = (
             now - self.phase_started_at_s >= SPARE_S and self.is_idle()
             if self.answered_count
             else now - self.heard_at >= STALE_S
         )
-        return waits and not self.has_unread_bytes()
+        return is_unused and not self.has_unread_bytes()
 
     def has_unread_bytes(self) -> bool:
         """Whether the socket holds unread bytes; closing it now would reset the connection."""
@@ -926,7 +926,7 @@
         return len(self.connections) + len(self._accept_tasks) < self._max_connections()
 
     def is_crowded(self) -> bool:
-        """Whether places are short, so that connections are closed after their answer instead of kept."""
+        """Whether connections are short, so that each is closed after its answer instead of kept."""
         return len(self.connections) > CROWDED_SHARE * self._max_connections()
 
     def _accept_waiting(self) -> None:
@@ -961,7 +961,7 @@
         """Close one evictable connection; accepting resumes once it is lost.
 
         Otherwise clients that leave their connections open and connect anew, or peers that send no request or
-        an incomplete one, would hold all places. Connections that have been answered before go first,
+        an incomplete one, would use up all connections. Connections that have been answered before go first,
         then those without a request; within each group the one that has been silent for longest.
         """
         now = self.now()
@@ -976,7 +976,7 @@
             self._log_full()
 
     def _log_full(self) -> None:
-        """Log the states of the connections that take all places, at most once per FULL_LOG_INTERVAL_S."""
+        """Log how many connections are in which state, at most once per FULL_LOG_INTERVAL_S."""
         if self.now() - self._full_logged_at_s < FULL_LOG_INTERVAL_S:
             return
         self._full_logged_at_s = self.now()
--- a/yewstage/net/holding_client.py
+++ b/yewstage/net/holding_client.py
@@ -1,4 +1,7 @@
-"""Calls to the holding about a key; all calls about one key use the same connection, in order."""
+"""Calls to the holding about a key.
+
+All calls about one key use the same connection, in order, and usually reach the same leader.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 
 CONNECTION_COUNT = 16
-TRY_S = 0.5  # per attempt; the next one asks another member
+ATTEMPT_TIMEOUT_S = 0.5  # per attempt; the next one asks another member
 RETRY_DELAY_S = 0.02, 0.08  # bounds of a random delay
 
 
@@ -29,7 +32,7 @@
         """Make one attempt; None without a valid answer in time, although the call may have taken effect."""
         client = self._clients[xxhash.xxh64_intdigest(key.encode()) % CONNECTION_COUNT]
         try:
-            async with asyncio.timeout(min(timeout_s, TRY_S)):
+            async with asyncio.timeout(min(timeout_s, ATTEMPT_TIMEOUT_S)):
                 return await client.call("POST", path, body)
         except (NoAnswerError, TimeoutError):
             return None
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -18,7 +18,11 @@
 LONGEST_LIST = 4 * 1024 * 1024  # bytes of an answer with a list of servers
 CONNECT_GRACE_S = 0.002  # after the time-out, for a connection that is up but not yet seen by the event loop
 # Causes of a failed attempt to connect that have no error of the operating system.
-TOO_LATE, GIVEN_UP, BROKEN = "connect timed out", "connect cancelled", "connection lost while connecting"
+TOO_LATE, GIVEN_UP, CONNECTION_LOST = (
+    "connect timed out",
+    "connect cancelled",
+    "connection lost while connecting",
+)
 NO_DESCRIPTOR = "no file descriptor available"
 # Errors of this machine, not of the peer.
 OUT_OF_RESOURCES_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
@@ -173,7 +177,7 @@
                 None, NO_DESCRIPTOR if getattr(error, "errno", 0) in OUT_OF_RESOURCES_ERRNOS else str(error)
             )
         elif task.result()[0].is_closing():
-            on_end(None, BROKEN)
+            on_end(None, CONNECTION_LOST)
         else:
             on_end(task.result()[1], "")
 
@@ -181,7 +185,7 @@
 class ReplyProtocol(asyncio.Protocol):
     """Parses answers; subclasses implement `replied` and `lost`.
 
-    An answer whose head and body exceed the limit aborts the connection.
+    An answer that exceeds `max_body_bytes` and the allowance for its head aborts the connection.
     """
 
     def __init__(self, max_body_bytes: int = LONGEST_BODY) -> None:
--- a/yewstage/net/stats.py
+++ b/yewstage/net/stats.py
@@ -30,13 +30,13 @@
         """Count a descriptor that was opened."""
         self.held += 1
         if self._totals is not None:
-            self._totals.note(1)
+            self._totals.add(1)
 
     def closed(self) -> None:
         """Count a descriptor that was closed."""
         self.held -= 1
         if self._totals is not None:
-            self._totals.note(-1)
+            self._totals.add(-1)
 
 
 class Descriptors:
@@ -46,7 +46,7 @@
         self.uses = {name: DescriptorUse(self) for name in DESCRIPTOR_USES}
         self.held = self.peak = 0
 
-    def note(self, change: int) -> None:
+    def add(self, change: int) -> None:
         """Add the change of one purpose to the total."""
         self.held += change
         self.peak = max(self.peak, self.held)
