--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -626,5 +626,5 @@
     def figures(self) -> r.Figures:
         """What operators would read."""
         refusals = {why: float(n) for why, n in sorted(self.refusals.items())}
-        pressure, admitted = round(self.module.q, 4), round(self.module.f, 4)
+        pressure, admitted = round(self.module.smoothed_occupancy, 4), round(self.module.admit_fraction, 4)
         return r.Figures(self.clock.now, self.spec.name, refusals, pressure, admitted)
--- a/tests/rogue.py
+++ b/tests/rogue.py
@@ -42,23 +42,23 @@
 
 def drains() -> None:
     """Take no server that drains or is gone out of the list."""
-    take = Gateway._server_list
+    take = Gateway._on_server_list
 
     def take_up_only(gateway: Gateway, event: api.ServerList) -> None:
         take(gateway, api.ServerList(event.kind, tuple(s for s in event.servers if s.status == "up")))
 
-    Gateway._server_list = take_up_only
+    Gateway._on_server_list = take_up_only
 
 
 def cold() -> None:
     """Send all to a server that has just started."""
-    Gateway._cold_room = lambda *ignored: True
-    Gateway.handed = property(lambda gateway: False, lambda gateway, value: None)
+    Gateway._cold_budget_allows = lambda *ignored: True
+    Gateway.handed_over = property(lambda gateway: False, lambda gateway, value: None)
 
 
 def ceilings() -> None:
     """Let in whatever is asked."""
-    Gateway._quota_has = Gateway._ceiling_has = lambda *ignored: True
+    Gateway._quota_allows = Gateway._ceiling_allows = lambda *ignored: True
 
 
 if __name__ == "__main__":
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -421,10 +421,12 @@
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
     first = of([act for _, act in d.log], api.Send)[0]
     (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send)
-    assert second.server != first.server and d.gateway.open_requests["u"].loading
+    assert second.server != first.server and d.gateway.open_requests["u"].is_uploading
     (refused,) = of(d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse)
     assert (
-        refused.request == "u" and not d.gateway.open_requests and d.gateway.customer_quotas["c"].loading == 0
+        refused.request == "u"
+        and not d.gateway.open_requests
+        and d.gateway.customer_quotas["c"].uploading == 0
     )
 
 
@@ -450,44 +452,44 @@
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
         assert of(d.give(upload), api.Send)
-    d.gateway.customer_quotas["c"].left = 1e6  # the quota is not what is looked at
+    d.gateway.customer_quotas["c"].remaining = 1e6  # the quota is not what is looked at
     d.sweep(100)
-    assert d.gateway.customer_quotas["c"].loading == 10
-    d.gateway._ceiling_has(d.gateway.customer_quotas["c"], 0)
-    assert d.gateway.customer_quotas["c"].ceiling == 10  # with the 10 on their way, the store's 20
+    assert d.gateway.customer_quotas["c"].uploading == 10
+    d.gateway._ceiling_allows(d.gateway.customer_quotas["c"], 0)
+    assert d.gateway.customer_quotas["c"].ceiling_tokens == 10  # with the 10 on their way, the store's 20
     d.give(api.Uploaded("u0"))
-    assert d.gateway.customer_quotas["c"].loading == 9
+    assert d.gateway.customer_quotas["c"].uploading == 9
 
 
 def test_a_started_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     host = d.gateway.servers["h0"]
-    assert host.open == 1
+    assert host.in_flight == 1
     d.give(api.StreamStarted(rid, 0))
-    assert host.open == 0
+    assert host.in_flight == 0
     assert not of(d.end(rid, api.RESET), api.Send)  # nor is it tried again
-    assert host.open == 0 and not d.gateway.open_requests
+    assert host.in_flight == 0 and not d.gateway.open_requests
 
 
 def test_a_body_on_its_way_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
     host = d.gateway.servers["h0"]
-    assert host.open == 0
+    assert host.in_flight == 0
     d.give(api.Uploaded("u"), 3000)
-    assert host.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
+    assert host.in_flight == 1 and d.gateway.open_requests["u"].attempts[0].sent_at == d.now
     d.give(api.Outcome("u", 0, "h0", api.OK, 20, True))
-    assert host.open == 0
+    assert host.in_flight == 0
 
 
 def test_what_a_server_needed_is_learnt_when_its_answer_begins() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     d.give(api.StreamStarted(rid, 0, 40), 40)
-    assert (d.gateway.done, d.gateway.q_n) == (1, 1)
+    assert (d.gateway.completions, d.gateway.occupancy_samples) == (1, 1)
     d.give(api.Outcome(rid, 0, "h0", api.OK, 40, True), 9000)
-    assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # once
+    assert (d.gateway.completions, d.gateway.occupancy_samples) == (1, 1)  # once
     assert not d.gateway.open_requests
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -250,9 +250,9 @@
             "held though it is over"
         )
         for host in gateway.servers.values():
-            assert host.open >= 0
+            assert host.in_flight >= 0
         for use in gateway.customer_quotas.values():
-            assert use.open >= 0 and use.loading >= -1e-9
+            assert use.open_requests >= 0 and use.uploading >= -1e-9
 
     def teardown(self) -> None:
         """All that is out ends at last; then nothing may be owed or held."""
@@ -268,10 +268,10 @@
             self.give(api.TimerDue("sweep"))
         assert not self.out(), "begun though time was up"
         owed = [rid for rid, asked in self.asked.items() if asked.owed()]
-        assert not owed and not self.gateway.open_requests and not self.gateway.asking
+        assert not owed and not self.gateway.open_requests and not self.gateway.waiting_requests
         for use in self.gateway.customer_quotas.values():
-            assert use.open == 0 and not use.asking and abs(use.loading) < 1e-9
-        assert all(host.open == 0 for host in self.gateway.servers.values())
+            assert use.open_requests == 0 and not use.waiting and abs(use.uploading) < 1e-9
+        assert all(host.in_flight == 0 for host in self.gateway.servers.values())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -14,7 +14,7 @@
 
 from yewstage import interface as api
 from yewstage import policy
-from yewstage.policy import Gateway, ramp
+from yewstage.policy import Gateway, admission_ramp
 
 SOURCE = Path(policy.__file__)
 
@@ -24,39 +24,40 @@
 
 def test_ramp_by_hand() -> None:
     lo, hi = policy.Q_MIN, policy.Q_MAX
-    assert ramp(0.0) == 1.0
-    assert ramp(lo) == 1.0
-    assert ramp((lo + hi) / 2) == pytest.approx(0.5)
-    assert ramp(hi) == policy.F_MIN
-    assert ramp(1.0) == policy.F_MIN
+    assert admission_ramp(0.0) == 1.0
+    assert admission_ramp(lo) == 1.0
+    assert admission_ramp((lo + hi) / 2) == pytest.approx(0.5)
+    assert admission_ramp(hi) == policy.F_MIN
+    assert admission_ramp(1.0) == policy.F_MIN
 
 
 def test_accumulator_lets_in_two_of_five_at_f_04() -> None:
     d = Driver()
     d.ask()
-    cell = d.gateway.cells[("read", "open")]
-    cell.f, cell.r = 0.4, 0.0
+    cell = d.gateway.groups[("read", "open")]
+    cell.admit_fraction, cell.accumulator = 0.4, 0.0
     sent = [bool(of(d.ask()[1], api.Send)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
 def test_q_moves_by_w_of_the_mean() -> None:
     d = Driver()
-    d.gateway.q_seen = 100  # a fresh gateway's q is the plain mean
+    d.gateway.samples_seen = 100  # a fresh gateway's q is the plain mean
     for _ in range(2):
         rid, _ = d.ask()
         d.end(rid, took=500)
-    assert d.gateway.q_n == 2
+    assert d.gateway.occupancy_samples == 2
     d.sweep()
-    assert d.gateway.q == pytest.approx(policy.W * 0.5)
+    assert d.gateway.smoothed_occupancy == pytest.approx(policy.OCCUPANCY_WEIGHT * 0.5)
     rid, _ = d.ask()
     d.sweep()
-    assert d.gateway.q == pytest.approx(policy.W * 0.5)  # holds with no outcomes while one is out
+    # Without outcomes q does not change while an attempt is open.
+    assert d.gateway.smoothed_occupancy == pytest.approx(policy.OCCUPANCY_WEIGHT * 0.5)
 
 
 def test_a_lone_gateway_finds_out_that_a_jam_is_over() -> None:
     d = Driver()
-    d.gateway.q = 1.0
+    d.gateway.smoothed_occupancy = 1.0
     served = 0
     for _ in range(20):  # two requests a second, answered fast
         rid, out = d.ask(after=0)
@@ -71,11 +72,11 @@
     d = Driver()
     rids = [d.ask(after=20)[0] for _ in range(8)]
     d.sweep(6)
-    assert d.gateway.f < 0.1  # nothing has come back, much is older than Qmax of its aim
+    assert d.gateway.admit_fraction < 0.1  # nothing has come back, much is older than Qmax of its aim
     for rid in rids:
         d.end(rid, took=60)
     d.sweep()
-    assert d.gateway.f == 1.0
+    assert d.gateway.admit_fraction == 1.0
 
 
 def test_pressed_sheds_least_worth_per_work_first() -> None:
@@ -83,10 +84,10 @@
     for _ in range(5):
         d.ask("read")
         d.ask("put")
-    d.gateway.q = (policy.Q_MIN + policy.Q_MAX) / 2
+    d.gateway.smoothed_occupancy = (policy.Q_MIN + policy.Q_MAX) / 2
     d.sweep()
-    cells = d.gateway.cells
-    assert cells[("put", "open")].f > 0.9 > cells[("read", "open")].f
+    cells = d.gateway.groups
+    assert cells[("put", "open")].admit_fraction > 0.9 > cells[("read", "open")].admit_fraction
 
 
 def test_nothing_is_shed_while_nothing_is_pressed() -> None:
@@ -104,16 +105,16 @@
     d = Driver()
     rid, _ = d.ask()
     d.end(rid, took=5000, after=5000)
-    assert d.gateway.q_n == 0
+    assert d.gateway.occupancy_samples == 0
     d.sweep()
     rid, _ = d.ask()
     d.end(rid, took=40, after=40)
-    assert d.gateway.q_n == 1
+    assert d.gateway.occupancy_samples == 1
 
 
 def test_one_bad_host_does_not_cut_f() -> None:
     d = Driver(servers=6)
-    d.gateway.servers["h0"].slow = 10.0
+    d.gateway.servers["h0"].latency_ratio = 10.0
     held_on_bad = None
     for _ in range(200):
         rid, out = d.ask(after=5)
@@ -124,17 +125,17 @@
         else:
             d.end(rid, took=50)
     d.sweep(5)
-    assert d.gateway.f == 1.0
-    assert held_on_bad is None or d.gateway.servers["h0"].slow > 1
+    assert d.gateway.admit_fraction == 1.0
+    assert held_on_bad is None or d.gateway.servers["h0"].latency_ratio > 1
 
 
 def test_an_unwell_host_gives_no_samples_but_a_slow_fleet_does() -> None:
     for mid, samples in ((1.0, 0), (10.0, 1)):
         d = Driver(servers=1)
         rid, _ = d.ask()
-        d.gateway.servers["h0"].slow, d.gateway.mid, d.gateway.ok_q = 10.0, mid, 0.5
+        d.gateway.servers["h0"].latency_ratio, d.gateway.median_ratio, d.gateway.ok_occupancy = 10.0, mid, 0.5
         d.end(rid, api.TIMED_OUT, took=90)
-        assert d.gateway.q_n == samples
+        assert d.gateway.occupancy_samples == samples
 
 
 # --- One timely answer ---
@@ -307,19 +308,19 @@
 def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
-    d.gateway.customer_quotas["c"].left = 0.0  # the estimate says no; the last total left one unit
+    d.gateway.customer_quotas["c"].remaining = 0.0  # the estimate says no; the last total left one unit
     rid, out = d.ask(plan="basic")
     assert not of(out, api.Send) and not of(out, api.Refuse) and of(out, api.Count)
     out = d.give(api.CountReply(calls_of(d)[-1].name, api.TIMED_OUT, 0.0), 30)
     assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
-    assert rid not in d.gateway.asking
+    assert rid not in d.gateway.waiting_requests
 
 
 def test_a_refused_reservation_is_given_back_while_the_counter_answers() -> None:
     for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
         d = Driver()
         d.ask(plan="basic")
-        d.gateway.heard = heard
+        d.gateway.answer_share = heard
         d.gateway.rng.random = lambda: 0.5
         d.give(api.CountReply(calls_of(d)[0].name, api.OK, 100.0))
         assert [c.amount for c in calls_of(d)] == amounts
@@ -330,17 +331,17 @@
     d = Driver(count_wait_ms=30)
     rid, out = d.ask(plan="basic", left=left)
     assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
-    assert rid not in d.gateway.asking
+    assert rid not in d.gateway.waiting_requests
 
 
 def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
     d = Driver()
     drive(d, 5, plan="basic")
-    d.gateway.customer_quotas["c"].left = 0.0
+    d.gateway.customer_quotas["c"].remaining = 0.0
     rid, out = d.ask(plan="basic")
     d.sweep(3)
     finals = [a for _, a in d.log if isinstance(a, api.Send | api.Refuse) and a.request == rid]
-    assert len(finals) == 1 and not d.gateway.asking
+    assert len(finals) == 1 and not d.gateway.waiting_requests
 
 
 def test_silent_counter_keeps_to_the_split() -> None:
@@ -358,7 +359,8 @@
 def test_counter_that_comes_back_empty_does_not_open_the_quota_anew() -> None:
     d = Driver()
     assert drive(d, 20, lose_at=3, plan="basic") == 6
-    assert d.gateway.customer_quotas["c"].others >= 0  # a total that falls is no use given back by the others
+    # A falling total must not count as quota that the others returned.
+    assert d.gateway.customer_quotas["c"].others_rate >= 0
 
 
 def a_window_begins() -> float:
@@ -381,8 +383,8 @@
         d.ask(plan="basic", width=30)
         total = used * PLAN.rate * elapsed / 1000
         d.give(api.CountReply(calls_of(d)[0].name, api.OK, calls_of(d)[0].amount + total), 70)
-        d.gateway.call_at = math.inf
-        d.gateway.heard = 0.6  # no more is asked: what was read must do
+        d.gateway.called_at = math.inf
+        d.gateway.answer_share = 0.6  # no more is asked: what was read must do
         d.gateway.rng.random = lambda: 0.99
     sent = sum(bool(of(d.ask(plan="basic", width=30, after=900)[1], api.Send)) for d in fleet)
     assert least <= sent <= most
@@ -413,7 +415,7 @@
         if rid in d.gateway.open_requests:
             d.end(rid)
     d.sweep(400)
-    assert not d.gateway.customer_quotas and not d.gateway.calls and not d.gateway.open_requests
+    assert not d.gateway.customer_quotas and not d.gateway.customer_by_counter and not d.gateway.open_requests
 
 
 @pytest.mark.parametrize(
@@ -424,7 +426,7 @@
     marks: bool, repeat: bool, kind: type
 ) -> None:
     d = Driver(marks_retry=marks)
-    for _ in range(policy.TRIES):
+    for _ in range(policy.TRY_SAMPLES):
         rid, _ = d.ask(after=20)
         d.end(rid)
     out = d.give(api.Request("short", "read", "open", "c", 500, 1, 3, 0, repeat))
@@ -436,7 +438,7 @@
 )
 def test_only_attempts_that_met_a_server_spend_what_retries_may(result: str, tries: int) -> None:
     d = Driver(servers=8)
-    d.gateway.bank = 0.0
+    d.gateway.retry_budget = 0.0
     rid, out = d.ask()
     sends = 0
     while of(out, api.Send):
@@ -524,7 +526,7 @@
     d.give(
         api.ServerList("changes", tuple(api.Server(name, up_since_ms=d.now) for name in d.gateway.servers))
     )
-    assert all(host.linked == 0 for host in d.gateway.servers.values())  # those were of their earlier lives
+    assert all(host.idle_conns == 0 for host in d.gateway.servers.values())  # closed by the restart
 
 
 # --- A fleet's sum ---
@@ -652,7 +654,7 @@
         d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
         for i, host in enumerate(d.gateway.servers.values()):
             if i % 4:
-                host.fails, host.down_until = 1, math.inf
+                host.ejections, host.ejected_until = 1, math.inf
         d.sweep()
         own = Counter(act.server for _ in range(24) for act in of(d.ask(after=1)[1], api.Send))
         assert len(own) >= 12 and max(own.values()) <= 3  # all are still out
@@ -671,7 +673,8 @@
         retuned.give(api.Retuned(settings(gateway_index=me, fleet_size=size)))
         assert ranks(retuned) == ranks(Driver(servers=30, gateway_index=me, fleet_size=size))
         assert (
-            retuned.gateway.holders == Driver(servers=30, gateway_index=me, fleet_size=size).gateway.holders
+            retuned.gateway.server_gateways
+            == Driver(servers=30, gateway_index=me, fleet_size=size).gateway.server_gateways
         )
 
 
@@ -685,7 +688,7 @@
     for me in range(40):
         d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
         for host in d.gateway.servers.values():
-            host.fails = host.name == "h0"  # its rest is over
+            host.ejections = host.name == "h0"  # its rest is over
         tried |= {me for _ in range(20) for act in of(d.ask(after=20)[1], api.Send) if act.server == "h0"}
     assert 5 <= len(tried) <= 14
 
@@ -772,7 +775,7 @@
         d.end(rid, took=10 if of(out, api.Send)[0].server == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerDue("sweep"))
-    assert to_cold <= policy.COLD_MARGIN * 3 * 0.4 * to_all / 4 + 1
+    assert to_cold <= policy.COLD_BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
 
 
 def test_cold_budget_by_hand() -> None:
@@ -782,8 +785,8 @@
     d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 5000),)))
     cold = gw.servers["h9"]
     saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
-    assert gw._cold_room(cold, 0.2, saved - 0.1)
-    gw.latency["read"] = saved / 4.5
+    assert gw._cold_budget_allows(cold, 0.2, saved - 0.1)
+    gw.unit_latency["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     assert 4 <= sum(len(of(out, api.Send)) for out in outs) <= 5  # other hosts gone: the budget still holds
 
@@ -795,16 +798,16 @@
         gw = d.gateway
         gw.warm_rate = 0.1
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 5000),)))
-        cold, gw.latency["read"] = gw.servers["h9"], 1.0
+        cold, gw.unit_latency["read"] = gw.servers["h9"], 1.0
         if util is not None:
             rid, _ = d.ask()
             d.give(api.Outcome(rid, 0, "h9", api.OK, 50, True, load_report={"util": util}))
-        given[util], cold.credit, cold.credit_at = 0.0, 0.0, d.now
+        given[util], cold.cold_tokens, cold.cold_tokens_at = 0.0, 0.0, d.now
         for _ in range(100):  # within one second: the news stays fresh
             d.now += 10
             gw.now = d.now
-            if gw._cold_room(cold, 0.2, 0.5):
-                cold.credit -= 0.5
+            if gw._cold_budget_allows(cold, 0.2, 0.5):
+                cold.cold_tokens -= 0.5
                 given[util] += 0.5
     assert given[0.9] <= given[None] + 0.5
     assert 1.2 * given[None] < given[0.3] < 0.6 * 3 * 0.2 * 0.1 * 1000
@@ -817,7 +820,7 @@
         d = Driver(servers=1, seed=i, fleet_size=300)
         d.gateway.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 2000),)))
-        d.gateway.latency["read"] = work
+        d.gateway.unit_latency["read"] = work
         sent += any(of(d.ask()[1], api.Send) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
@@ -835,16 +838,16 @@
     d = Driver(servers=4)
     d.give(api.Request("k", "put", "open", "c", 4000.0))
     held = d.gateway.open_requests["k"]
-    first = held.attempts[0].host
+    first = held.attempts[0].server
     same = [h for h in d.gateway.servers.values() if h.zone == first.zone and h is not first][0]
     other = [h for h in d.gateway.servers.values() if h.zone != first.zone][0]
-    assert not d.gateway._may_go_on(held) and d.gateway._pick(held) is None  # the first one is still out
-    held.attempts[0].open = False
-    assert d.gateway._repeats(held, held.attempts, same)
-    assert not d.gateway._repeats(held, held.attempts, other)
-    assert all(d.gateway._pick(held).zone == first.zone for _ in range(20))
+    assert not d.gateway._may_send(held) and d.gateway._pick_server(held) is None  # one is still open
+    held.attempts[0].is_open = False
+    assert d.gateway._may_repeat_on(held, held.attempts, same)
+    assert not d.gateway._may_repeat_on(held, held.attempts, other)
+    assert all(d.gateway._pick_server(held).zone == first.zone for _ in range(20))
     d.gateway.now += 3000
-    assert d.gateway._pick(held) is None
+    assert d.gateway._pick_server(held) is None
 
 
 def test_a_repeat_of_a_key_must_begin_while_the_key_is_remembered() -> None:
@@ -869,7 +872,7 @@
     assert of(out, api.Send)
     d.end(rid)
     host = d.gateway.servers["h0"]
-    assert d.gateway._warmth(host) < 0.3
+    assert d.gateway._warm_fraction(host) < 0.3
 
 
 def test_dials_that_broke_together_do_not_count_as_a_start() -> None:
@@ -879,14 +882,14 @@
     rid, out = d.ask(after=600)
     assert of(out, api.Send)
     d.end(rid)
-    assert d.gateway._warmth(d.gateway.servers["h0"]) == 1
+    assert d.gateway._warm_fraction(d.gateway.servers["h0"]) == 1
 
 
 def test_failing_host_rests_and_is_tried_again() -> None:
     d = Driver(servers=4)
     d.sweep()
     host = d.gateway.servers["h0"]
-    d.gateway._down(host)
+    d.gateway._eject(host)
     seen = {of(d.ask(after=1)[1], api.Send)[0].server for _ in range(20)}
     assert "h0" not in seen
     assert of(d.ask(after=policy.BACKOFF_MS)[1], api.Send)[0].server == "h0"
@@ -902,7 +905,7 @@
             if rid not in d.gateway.open_requests:
                 break
             sends += len(of(d.end(rid, api.FULL), api.Send))
-    assert sends <= 300 * (1 + policy.RETRY_SHARE) + policy.RETRY_BANK + 1
+    assert sends <= 300 * (1 + policy.RETRY_RATIO) + policy.RETRY_BUDGET_MAX + 1
 
 
 # --- Answers that never come ---
@@ -939,7 +942,7 @@
             if rid in d.gateway.open_requests:
                 d.end(rid, took=took)
             d.give(api.TimerDue("sweep"))
-        assert (d.gateway.f < 1) == pressed
+        assert (d.gateway.admit_fraction < 1) == pressed
 
 
 # --- A crowded counter ---
@@ -978,20 +981,20 @@
             rid, out = d.ask(plan="basic", width=300)
             sent += len(of(out, api.Send))
     extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
-    assert extra <= 2 * policy.SPLIT * min(PLAN.burst, PLAN.rate * age_s) + 3
+    assert extra <= 2 * policy.SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
 
 
 def test_a_single_reset_neither_rests_nor_cools_a_host() -> None:
     """A connection may break on its way; a host that died breaks all it holds and refuses new ones."""
     d = Driver(servers=1)
-    for _ in range(2 * policy.STRIKES):  # never so many in a row
+    for _ in range(2 * policy.EJECTION_FAILURES):  # never so many in a row
         rid, _ = d.ask("pay", after=50)
         d.end(rid, api.RESET, took=1)
         rid, out = d.ask("pay", after=50)
         assert of(out, api.Send)
         d.end(rid)
     (host,) = d.gateway.servers.values()
-    assert d.gateway._warmth(host) == 1
+    assert d.gateway._warm_fraction(host) == 1
 
 
 def test_resets_in_a_row_rest_a_host() -> None:
@@ -1000,7 +1003,7 @@
         rid, out = d.ask("pay", after=10)
         d.end(rid, api.RESET if of(out, api.Send)[0].server == "h0" else api.OK, took=1)
     sent = [a.server for _, a in d.log if isinstance(a, api.Send)]
-    assert sent.count("h0") <= policy.STRIKES
+    assert sent.count("h0") <= policy.EJECTION_FAILURES
 
 
 # --- The module itself ---
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -266,14 +266,18 @@
     d = Driver(counter_enabled=False)
     sent = sum(bool(of(d.ask(plan="basic", width=1)[1], api.Send)) for _ in range(20))
     gateway = d.gateway
-    gateway.servers["h1"].fails, gateway.q = 3, 0.3
-    before = gateway.customer_quotas["c"].own
+    gateway.servers["h1"].ejections, gateway.smoothed_occupancy = 3, 0.3
+    before = gateway.customer_quotas["c"].used
     d.give(
         api.Retuned(
             settings(counter_enabled=False, plans=(api.Plan("basic", rate=2, burst=6), api.Plan("other")))
         )
     )
-    assert (gateway.servers["h1"].fails, gateway.q, gateway.customer_quotas["c"].own) == (3, 0.3, before)
+    assert (
+        gateway.servers["h1"].ejections,
+        gateway.smoothed_occupancy,
+        gateway.customer_quotas["c"].used,
+    ) == (3, 0.3, before)
     assert sent and not of(d.ask(plan="basic", width=1)[1], api.Send)
     d.give(api.Retuned(settings(counter_enabled=False, plans=(api.Plan("basic", rate=3, burst=6),))))
     assert not of(d.ask(plan="basic", width=1)[1], api.Send)  # its use counts under the new rate, too
--- a/tests/test_simulate.py
+++ b/tests/test_simulate.py
@@ -78,14 +78,17 @@
 
     def drains(self, event: api.ServerList) -> None:
         up = tuple(s for s in event.servers if s.status == "up")
-        Gateway._server_list(self, api.ServerList(event.kind, up))
+        Gateway._on_server_list(self, api.ServerList(event.kind, up))
 
 
 def rogue(rule: str) -> type[Gateway]:
     changed = {
-        "drains": {"_server_list": Rogue.drains},
-        "cold": {"_cold_room": lambda *ignored: True, "handed": property(lambda g: False, lambda g, v: None)},
-        "ceilings": {"_quota_has": lambda *ignored: True, "_ceiling_has": lambda *ignored: True},
+        "drains": {"_on_server_list": Rogue.drains},
+        "cold": {
+            "_cold_budget_allows": lambda *ignored: True,
+            "handed_over": property(lambda g: False, lambda g, v: None),
+        },
+        "ceilings": {"_quota_allows": lambda *ignored: True, "_ceiling_allows": lambda *ignored: True},
     }[rule]
     return type(f"Breaks{rule.title()}", (Gateway,), changed)
 
@@ -118,9 +121,9 @@
     replies: list[api.CountReply] = []
 
     class Noted(Gateway):
-        def _count_reply(self, reply: api.CountReply) -> None:
+        def _on_count_reply(self, reply: api.CountReply) -> None:
             replies.append(reply)
-            super()._count_reply(reply)
+            super()._on_count_reply(reply)
 
     slow = FOUR + "[counter]\ncall_ms = 900\n"
     simulation, _ = simulated(tmp_path, slow, make=Noted)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -246,5 +246,5 @@
     new = Driver(counter_enabled=False)
     new.sweep(100)
     new.give(api.TakenOver(state))
-    assert new.gateway.born == new.now
+    assert new.gateway.started_at == new.now
     assert spend(new, 5, "capped") == 0  # the ceiling is earned from now on
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -291,7 +291,10 @@
 
     def _ramp_figures(self) -> dict[str, float]:
         """How pressed the back end looks, and what part of new work is let in by that."""
-        return {"pressure": round(self._gateway.q, 4), "admitted_share": round(self._gateway.f, 4)}
+        return {
+            "pressure": round(self._gateway.smoothed_occupancy, 4),
+            "admitted_share": round(self._gateway.admit_fraction, 4),
+        }
 
     def _body_figures(self) -> dict[str, float]:
         budget = self.budget
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -1,6 +1,11 @@
-"""Every decision of yewstage. Settings, events and actions: yewstage/interface.py (times in milliseconds).
+"""The decisions of a gateway: admission, quotas, load balancing, retries and the final answers.
 
-A request's life: quota and ceiling, admission by SiRED, choice of a server, attempts, one final answer.
+Reads no clock and does no I/O: events go in and actions come out (yewstage/interface.py). Times and durations
+are in milliseconds, quotas and ceilings in units, work in milliseconds of expected server time.
+
+The life of a request: quota and ceiling, admission by SiRED, choice of a server, attempts, one final answer.
+SiRED's symbols: q is the smoothed occupancy (the part of a class's objective that answers take), f the
+fraction of new requests that is admitted, r the accumulator that spreads the admitted ones evenly.
 """
 
 from __future__ import annotations
@@ -13,1233 +18,1292 @@
 from yewstage import interface as api
 
 # --- Constants -------------------------------------------------------------------------------------------
-SWEEP_MS = 100.0  # spacing of the housekeeping timer and of the q updates: a tenth of the quickest trouble
-OUTCOMES = 125  # outcomes that also close a q interval (design page)
-W = 0.3  # weight of a new mean in q: at SWEEP_MS apart it forgets in about 0.3 s, under every aim seen
-FEW = 5.0  # outcomes in an estimate's memory: a mean of fewer weighs less, whatever its interval
-Q_MIN, Q_MAX, F_MIN = 0.2, 0.45, 0.05  # idle service takes 0.1 to 0.15 of an aim; its tail is longer
-STALL = 2.0  # a sweep this many spacings late is a stall of ours, not of the back end
-RATE_MEMORY_MS = 1000.0  # memory of observed rates (completions, work sent to warm hosts)
-GAIN = 0.2  # weight of one outcome in a host's or class's running mean
-BACKOFF_MS, BACKOFF_MAX_MS = 500.0, 4000.0  # a failing host's rest before one trial, doubled to the second
-STRIKES = 3  # slow or failed answers in a row that count as a host's failure
-HOLDERS, HELD = 10, 12  # gateways that send to one server, where that leaves each so many well ones
-NOISE = 0.2  # chance in the choice of a server; a dial, where it has a price, weighs as much
-LINK_SHARE = 0.5  # of the servers' idle limit, in which an idle link is still there
-FAR = 4.0  # a server that others hold is sought at so many times the load
-BAD = 2.5  # a host this many times slower than the fleet is unwell: no q samples, no patience
-COLD_MARGIN = 0.5  # part of the cold budget that we use: capacity is only guessed and others may run ahead
-IDLE, NEWS_MS = 0.7, 2000.0  # a cold host that reported less use is warmer than it must be; for how long
-RETRY_SHARE, RETRY_BANK = 0.2, 10.0  # further attempts per admitted request, and how many may be saved up
-PATIENCE, LOST = 2.5, 0.06  # usual latencies before an answer is missed; share missed that shows a loss
-TRIES = 64  # last tries of a class that tell its usual time left
-ROOM = 0.5  # beyond-quota work is let in only while q is under this part of Q_MIN
-WINDOWS = 2.0  # a count's window, in burst / rate: what idle times left unused in one is not lent out later
-SPLIT = 1.5  # our part of a silent counter's even split while there is room: use is uneven, peers may be dead
-OTHERS_MS = 1000.0  # memory of the others' rate of use
-HEED, CROWD = 0.35, 4  # weight of one counter reply in a mean of them; the power of the mean that thins calls
-RESERVE = 0.5  # part of our asking that found something, under which we ask without reserving
-CALL_REST_MS = 1000.0  # one call in this time is made however few are answered: it finds the counter's return
-FORGET_WINDOWS = 6.0  # windows without a request after which a customer is forgotten
-KEEP_MAX_MS = 60000.0  # longest life of a count
-SHARE_MS, SHARE_OF_MS = 3000.0, 1000.0  # life of a share; it is asked for as what is used in so long
-# What a next process takes over, beside names and windows.
-HANDED = ("born", "q", "f", "q_seen", "ok_q", "lost", "mid", "done_rate", "warm_rate", "bank", "heard")
-HANDED_HOST = (
-    "born",
-    "slow",
-    "strikes",
-    "fails",
-    "down_until",
-    "died",
-    "cold_from_ms",
-    "credit",
-    "credit_at",
-)
-HANDED_USE = (
-    "width",
-    "own",
-    "added",
-    "base_own",
-    "base_at",
-    "base_use",
-    "base_left",
-    "most",
-    "left",
-    "left_at",
-    "others",
-    "seen",
-    "ceiling",
-    "ceiling_at",
-    "luck",
-)
-
-
-def _finite(value: object) -> float:
-    """A number that another process told; ValueError where it is none."""
+SWEEP_MS = 100.0  # interval of housekeeping and of q updates: a tenth of the fastest overload to react to
+INTERVAL_OUTCOMES = 125  # this many outcomes close a q interval early
+OCCUPANCY_WEIGHT = 0.3  # EWMA weight in q: a time constant of about 0.3 s, below every objective in use
+MIN_OUTCOMES = 5.0  # a mean of fewer outcomes gets less weight, however long its interval is
+Q_MIN, Q_MAX, F_MIN = 0.2, 0.45, 0.05  # an idle back end takes 0.1 to 0.15 of an objective, its tail more
+STALL_INTERVALS = 2.0  # a sweep that is this many intervals late shows that this process has stalled
+RATE_EWMA_MS = 1000.0  # time constant of observed rates (completions, work sent to warm servers)
+EWMA_WEIGHT = 0.2  # weight of one outcome in a server's latency ratio; a quarter of it in a class's latency
+BACKOFF_MS, BACKOFF_MAX_MS = 500.0, 4000.0  # ejection time, doubled on each consecutive ejection
+EJECTION_FAILURES = 3  # consecutive failures after which a server is ejected
+MIN_GATEWAYS, MIN_SERVERS = 10, 12  # subset: gateways for each server, healthy servers for each gateway
+SCORE_JITTER = 0.2  # random part of a score; also the penalty of a new connection where it has a cost
+IDLE_CONN_SHARE = 0.5  # part of the servers' idle limit for which an idle connection counts as usable
+OUTSIDE_FACTOR = 4.0  # load factor of a server outside the subset
+OUTLIER_RATIO = 2.5  # an outlier is this many times slower than the median: no q samples, time-outs count
+COLD_BUDGET_SHARE = 0.5  # part of the cold budget in use: capacity is estimated, others may exceed their part
+LOW_UTILIZATION, REPORT_MAX_AGE_MS = 0.7, 2000.0  # a cold server that reports less may take more work
+RETRY_RATIO, RETRY_BUDGET_MAX = 0.2, 10.0  # retries earned by each admitted request; most retries saved up
+EARLY_TIMEOUT, MAX_LOST_SHARE = 2.5, 0.06  # early time-out in usual latencies; minimum share of lost answers
+TRY_SAMPLES = 64  # recent requests of a class that show the usual time left
+OVER_QUOTA_PART = 0.5  # requests over quota are admitted only while q is under this part of Q_MIN
+COUNT_WINDOW_BURSTS = 2.0  # length of a count's window, in burst / rate; bounds what idle time carries over
+SPLIT_FACTOR = 1.5  # factor on an even split at f = 1: use is uneven, and peers may be down
+OTHERS_EWMA_MS = 1000.0  # time constant of the other gateways' rate of use
+COUNTER_WEIGHT, THINNING_POWER = 0.35, 4  # EWMA weight of one reply; calls are made at answer_share**power
+MIN_FOUND_SHARE = 0.5  # below it a gateway asks for the total without reserving
+PROBE_MS = 1000.0  # one counter call per interval is always made, to notice its recovery
+FORGET_AFTER_WINDOWS = 6.0  # a customer without requests for this many windows is dropped
+COUNT_TTL_MAX_MS = 60000.0
+SHARE_TTL_MS, SHARE_SPAN_MS = 3000.0, 1000.0  # life of a quota share; it is sized for the use in this span
+# State that the next process takes over. The keys of HANDOVER_FIELDS and the order of the two lists are the
+# format: processes of other versions read and write it, so an attribute's name may change but not its key.
+HANDOVER_FIELDS = {
+    "born": "started_at",
+    "q": "smoothed_occupancy",
+    "f": "admit_fraction",
+    "q_seen": "samples_seen",
+    "ok_q": "ok_occupancy",
+    "lost": "lost_share",
+    "mid": "median_ratio",
+    "done_rate": "completion_rate",
+    "warm_rate": "warm_rate",
+    "bank": "retry_budget",
+    "heard": "answer_share",
+}
+HANDOVER_SERVER_FIELDS = (
+    "started_at", "latency_ratio", "failures", "ejections", "ejected_until", "maybe_restarted",
+    "cold_from_ms", "cold_tokens", "cold_tokens_at",
+)  # fmt: skip
+HANDOVER_QUOTA_FIELDS = (
+    "gateway_count", "used", "reported", "total_reported", "total_at", "total_used", "total_bound",
+    "max_remaining", "remaining", "remaining_at", "others_rate", "seen_at", "ceiling_tokens",
+    "ceiling_at", "found_share",
+)  # fmt: skip
+
+
+def _finite_number(value: object) -> float:
+    """Check a value read from another process; raises ValueError unless it is a finite number."""
     if not isinstance(value, (int, float)) or not math.isfinite(value):
         raise ValueError(f"{value!r} is not a finite number")
     return value
 
 
 def quota_account_name(plan: str, customer: str) -> str:
-    """The name of a customer's account, where shares are granted; it tells nobody who that is."""
+    """The name of the account that grants a customer's quota shares; hashed, so it does not identify them."""
     return hashlib.blake2s(f"{plan}/{customer}".encode(), digest_size=16).hexdigest()
 
 
-def ramp(q: float) -> float:
-    """The SiRED fraction for smoothed occupancy q."""
+def admission_ramp(q: float) -> float:
+    """The fraction f of new requests that SiRED admits at smoothed occupancy q."""
     return max(F_MIN, min((Q_MAX - q) / (Q_MAX - Q_MIN), 1.0))
 
 
-class _Host:
-    """What this gateway knows of one server."""
+class _ServerState:
+    """Health, load and budget of one server, as this gateway sees them."""
 
     __slots__ = (
-        "name",
-        "zone",
-        "cell",
-        "nominal",
-        "up",
-        "born",
-        "cold_from_ms",
-        "open",
-        "slow",
-        "strikes",
-        "fails",
-        "down_until",
-        "died",
-        "credit",
-        "credit_at",
-        "rank",
-        "util",
-        "told_at",
-        "linked",
-        "linked_until",
-    )
+        "name", "zone", "cell", "capacity", "is_up", "started_at", "cold_from_ms", "in_flight",
+        "latency_ratio", "failures", "ejections", "ejected_until", "maybe_restarted", "cold_tokens",
+        "cold_tokens_at", "rank", "utilization", "utilization_at", "idle_conns", "idle_until",
+    )  # fmt: skip
 
     def __init__(self, server: api.Server, rank: int) -> None:
         self.name, self.rank = server.name, rank
-        self.util, self.told_at = 1.0, 0.0  # how busy it reported to be, and when
-        self.linked, self.linked_until = 0, 0.0  # idle links to it, by what came back, and until when
-        self.open = 0
-        self.slow = 1.0  # running latency over its class's usual one
-        self.strikes = self.fails = 0
-        self.down_until = 0.0
-        self.died = False  # connections failed: what answers next may have just started
-        self.born = self.cold_from_ms = 0.0
-        self.credit = self.credit_at = 0.0  # work that we may send it while cold, as of when
+        self.utilization, self.utilization_at = 1.0, 0.0  # last reported
+        self.idle_conns, self.idle_until = 0, 0.0  # estimated from the answers received
+        self.in_flight = 0
+        self.latency_ratio = 1.0  # EWMA of latency / the class's usual latency
+        self.failures = self.ejections = 0  # both consecutive; ejections is 0 while in rotation
+        self.ejected_until = 0.0
+        self.maybe_restarted = False  # set by failed connections: the next answer may be of a new process
+        self.started_at = self.cold_from_ms = 0.0
+        self.cold_tokens = self.cold_tokens_at = 0.0  # work that may be sent to it while cold
         self.update(server)
 
     def update(self, server: api.Server) -> None:
-        self.zone, self.cell, self.nominal = server.zone, server.cell, max(server.nominal_capacity, 1e-6)
-        self.up = server.status == "up"
-        if server.up_since_ms > self.born:
-            self.born = self.cold_from_ms = server.up_since_ms
-            self.strikes = self.fails = self.linked = 0
-            self.down_until, self.died, self.slow = 0.0, False, 1.0
+        self.zone, self.cell, self.capacity = server.zone, server.cell, max(server.nominal_capacity, 1e-6)
+        self.is_up = server.status == "up"
+        if server.up_since_ms > self.started_at:
+            self.started_at = self.cold_from_ms = server.up_since_ms
+            self.failures = self.ejections = self.idle_conns = 0
+            self.ejected_until, self.maybe_restarted, self.latency_ratio = 0.0, False, 1.0
 
 
 class _Attempt:
-    __slots__ = ("host", "sent", "open", "ran", "works", "touched")
+    """One attempt of a request, at one server."""
+
+    __slots__ = ("server", "sent_at", "is_open", "may_have_run", "is_running", "may_have_sent")
 
-    def __init__(self, host: _Host) -> None:
-        self.host = host
-        self.sent = math.inf  # not yet, or its body is still on its way
-        self.open = self.ran = True  # may be running until an outcome proves that it never did
-        self.works = False  # its server is at it, as far as we know
-        self.touched = True  # something of it may have left
+    def __init__(self, server: _ServerState) -> None:
+        self.server = server
+        self.sent_at = math.inf  # infinite until its whole body is sent
+        self.is_open = self.may_have_run = True  # until an outcome proves otherwise
+        self.is_running = False  # counted in the server's in_flight
+        self.may_have_sent = True  # at least one byte of it
 
     def start(self, now: float) -> None:
-        self.sent, self.works = now, True
-        self.host.open += 1
+        self.sent_at, self.is_running = now, True
+        self.server.in_flight += 1
 
     def stop(self) -> None:
-        self.host.open -= self.works
-        self.works = False
+        self.server.in_flight -= self.is_running
+        self.is_running = False
 
 
-class _Held:
-    """A request that is owed an answer, or whose attempts are still out."""
+class _PendingRequest:
+    """A request that has no final answer yet, or has open attempts."""
 
     __slots__ = (
-        "req",
-        "cls",
-        "use",
-        "aim_at",
-        "end_at",
-        "attempts",
-        "answered",
-        "stream",
-        "work",
-        "loading",
-        "most",
-        "claim",
-    )
+        "request", "cls", "quota", "objective_at", "deadline_at", "attempts", "is_answered",
+        "is_streaming", "work", "is_uploading", "attempt_limit", "claim_state",
+    )  # fmt: skip
 
     def __init__(
         self,
-        req: api.Request,
+        request: api.Request,
         cls: api.RequestClass,
-        use: _Use,
-        aim_at: float,
-        end_at: float,
+        quota: _CustomerQuota,
+        objective_at: float,
+        deadline_at: float,
         work: float,
-        most: int,
+        limit: int,
     ) -> None:
-        self.req, self.cls, self.use, self.work, self.most = req, cls, use, work, most
-        self.aim_at, self.end_at = aim_at, end_at
+        self.request, self.cls, self.quota, self.work, self.attempt_limit = request, cls, quota, work, limit
+        self.objective_at, self.deadline_at = objective_at, deadline_at
         self.attempts: list[_Attempt] = []
-        self.answered = self.stream = False
-        self.loading = not req.body_is_buffered  # its body is on its way
-        self.claim = ""  # "asked" or "yours", where a record has to be asked first
+        self.is_answered = self.is_streaming = False
+        self.is_uploading = not request.body_is_buffered
+        self.claim_state = ""  # "asked" or "yours" where the claim record is used
 
 
-class _Use:
-    """One customer's use: the count of this window, and this gateway's part of the ceiling."""
+class _CustomerQuota:
+    """One customer's use in this window, and this gateway's part of the quota and of the ceiling."""
 
     __slots__ = (
-        "plan",
-        "width",
-        "window",
-        "name",
-        "own",
-        "added",
-        "base",
-        "base_own",
-        "base_at",
-        "base_use",
-        "base_left",
-        "most",
-        "left",
-        "left_at",
-        "others",
-        "calling",
-        "in_call",
-        "call_at",
-        "asking",
-        "open",
-        "elsewhere",
-        "seen",
-        "ceiling",
-        "ceiling_at",
-        "luck",
-        "loading",
-        "share",
-        "share_until",
-        "share_rests",
-        "taken",
-        "floored",
-    )
-
-    def __init__(self, plan: api.Plan, width: int, now: float, age: float) -> None:
-        self.plan, self.width, self.seen = plan, width, now
-        self.window, self.name = -1, ""
-        self.own = self.added = self.in_call = 0.0  # our use in the window; told; in a call
-        self.calling, self.call_at = False, 0.0
-        self.base: float | None = None  # last total read; None: nothing read in this life
-        self.base_own = self.base_use = self.base_at = 0.0  # what it held of ours, our use then, when
-        self.most = self.base_left = plan.burst  # left if the others use nothing; the same at base
-        self.others = plan.rate / 1000 * (1 - 1 / width)  # estimate of the others' use, units per ms
-        # Danger: a gateway back from the dead has spent what it no longer knows. It earns its split anew.
-        self.left, self.left_at = min(plan.burst, plan.rate * age / 1000) / width, now
-        # Wait for a total: request, class, aim, end.
-        self.asking: list[tuple[api.Request, api.RequestClass, float, float]] = []
-        self.open = self.elsewhere = 0  # out here; out at the process that handed over
-        self.ceiling = self.ceiling_at = 0.0
-        self.loading = 0.0  # units of bodies on their way: taken from our part, not yet from the store
-        self.luck = 1.0  # part of our asking that found something left
-        self.share = self.taken = 0.0  # units that are ours alone; what was spent since we asked for them
-        self.share_until = self.share_rests = 0.0  # and until when; when to ask again at the soonest
-        self.floored = False  # nobody was heard, and what may be spent so was begun
-
-
-class _Cell:
-    """Requests of one class and plan: their worth per work, share of the work, fraction let in."""
-
-    __slots__ = ("value", "work", "f", "r")
+        "plan", "gateway_count", "window", "counter_name", "used", "reported", "total",
+        "total_reported", "total_at", "total_used", "total_bound", "max_remaining", "remaining",
+        "remaining_at", "others_rate", "is_calling", "in_call", "call_at", "waiting", "open_requests",
+        "predecessor_requests", "seen_at", "ceiling_tokens", "ceiling_at", "found_share", "uploading",
+        "share", "share_until", "next_share_at", "share_spent", "floor_used",
+    )  # fmt: skip
+
+    def __init__(self, plan: api.Plan, gateway_count: int, now: float, age: float) -> None:
+        self.plan, self.gateway_count, self.seen_at = plan, gateway_count, now
+        self.window, self.counter_name = -1, ""
+        self.used = self.reported = self.in_call = 0.0  # in this window; of it reported; in the open call
+        self.is_calling, self.call_at = False, 0.0
+        self.total: float | None = None  # last total read; None: none since this process started
+        self.total_reported = self.total_used = self.total_at = 0.0  # reported, used and time at that total
+        self.max_remaining = self.total_bound = plan.burst  # remaining if the others use nothing; at total
+        self.others_rate = plan.rate / 1000 * (1 - 1 / gateway_count)  # estimated, units per ms
+        # A restarted gateway does not know what it spent before: its part fills from empty.
+        self.remaining, self.remaining_at = min(plan.burst, plan.rate * age / 1000) / gateway_count, now
+        # Requests that wait for a total: request, class, time of the objective, time of the deadline.
+        self.waiting: list[tuple[api.Request, api.RequestClass, float, float]] = []
+        self.open_requests = self.predecessor_requests = 0  # here; at the process that handed over
+        self.ceiling_tokens = self.ceiling_at = 0.0
+        self.uploading = 0.0  # units of requests whose body is still being sent
+        self.found_share = 1.0  # EWMA: part of the waits that found enough quota left
+        self.share = self.share_spent = 0.0  # units left of it; spent since it was requested
+        self.share_until = self.next_share_at = 0.0  # expiry; earliest time of the next request
+        self.floor_used = False  # the floor for an unreachable account has been granted
+
+
+class _AdmissionGroup:
+    """Admission state of the requests of one class and plan: worth per work, recent work, SiRED's f and r."""
+
+    __slots__ = ("worth_per_ms", "work", "admit_fraction", "accumulator")
 
     def __init__(self) -> None:
-        self.value = self.work = self.r = 0.0
-        self.f = 1.0
+        self.worth_per_ms = self.work = self.accumulator = 0.0
+        self.admit_fraction = 1.0
 
 
 class Gateway:
-    """The decisions of one gateway."""
+    """Makes the decisions of one gateway; `seed` fixes its random draws."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         settings.check()
-        self.s = settings
+        self.settings = settings
         self.rng = random.Random(seed)
         self.classes = {c.name: c for c in settings.classes}
-        self.aim = min(c.objective_ms for c in settings.classes)  # the shortest
+        self.min_objective_ms = min(c.objective_ms for c in settings.classes)
         self.plans = {p.name: p for p in settings.plans}
-        self.out: list[api.Action] = []
-        self.servers: dict[str, _Host] = {}
-        self.open_requests: dict[str, _Held] = {}
-        self.customer_quotas: dict[str, _Use] = {}
-        self.calls: dict[str, str] = {}  # name of a count -> customer
-        self.asking: dict[str, str] = {}  # requests that wait for a total -> customer
-        self.cells: dict[tuple[str, str], _Cell] = {}
-        self.latency = {c.name: c.objective_ms / 10 for c in settings.classes}  # usual latency per unit
-        self.lefts: dict[str, deque[float]] = {}  # times left of the last tries, by class
+        self.actions: list[api.Action] = []
+        self.servers: dict[str, _ServerState] = {}
+        self.open_requests: dict[str, _PendingRequest] = {}
+        self.customer_quotas: dict[str, _CustomerQuota] = {}
+        self.customer_by_counter: dict[str, str] = {}  # name of a counter or account -> customer
+        self.waiting_requests: dict[str, str] = {}  # id of a request that waits for a total -> customer
+        self.groups: dict[tuple[str, str], _AdmissionGroup] = {}
+        self.unit_latency = {c.name: c.objective_ms / 10 for c in settings.classes}  # EWMA by class
+        self.times_left: dict[str, deque[float]] = {}  # of recent requests, by class
         self.now = 0.0
-        self.born: float | None = None
+        self.started_at: float | None = None
         self.sweep_due = 0.0
         self.stalled_at = -1.0
-        self.q, self.f = 0.0, 1.0
-        self.q_sum, self.q_n, self.q_seen = 0.0, 0, 0
-        self.ok_q = self.lost = 0.0  # part of the aim that good answers take; share of answers that are lost
-        self.holders = settings.fleet_size  # gateways that send to one server
-        self.mid, self.many_fail = 1.0, False  # the hosts' median slowness; whether over half of them fail
-        self.done = self.done_rate = 0.0  # good completions since the last sweep, and per ms
-        self.size = 1.0  # of the servers that we hold, together
-        self.warm_work = self.warm_rate = 0.0  # work sent to warm hosts, and per ms and host
-        self.bank = RETRY_BANK
-        self.heard, self.call_at = 1.0, 0.0  # part of our counter calls answered; the last one's time
-        self.said: dict[str, float] = {}
-        self.handed = False  # a next process holds our parts of ceilings, caps and cold budgets
+        self.smoothed_occupancy, self.admit_fraction = 0.0, 1.0
+        self.occupancy_sum, self.occupancy_samples, self.samples_seen = 0.0, 0, 0
+        self.ok_occupancy = self.lost_share = 0.0  # EWMA of successes' occupancy, of lost answers
+        self.server_gateways = settings.fleet_size  # gateways whose subset has a given server
+        self.median_ratio, self.most_ejected = 1.0, False  # of all servers
+        self.completions = self.completion_rate = 0.0  # successes since the last sweep, and per ms
+        self.subset_capacity = 1.0  # total of the servers in the subset
+        self.warm_work = self.warm_rate = 0.0  # since the last sweep; per ms and warm server
+        self.retry_budget = RETRY_BUDGET_MAX
+        self.answer_share, self.called_at = 1.0, 0.0  # EWMA of answered calls; last call
+        self.logged_at: dict[str, float] = {}
+        self.handed_over = False  # the next process spends quotas, ceilings and cold budgets
 
     # --- Events -------------------------------------------------------------------------------------------
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """The actions that answer one event at `now_ms`; times never run backwards."""
+        """Process one event and return the actions to take; a clock that goes back counts as still."""
         self.now = max(self.now, now_ms)
-        self.out = []
-        if self.born is None:
-            self.born, self.sweep_due = self.now, self.now + SWEEP_MS
-            self.out.append(api.Timer("sweep", SWEEP_MS))
-            if self.s.server_list_on_request:
-                self.out.append(api.Subscribe())
-        if self.now > self.sweep_due + STALL * SWEEP_MS:
-            # Danger: our own stall looks like a slow back end. What was out during it is no q sample.
-            # Holds also for a paused machine or a jammed network card. Hurts: a real jam is seen later.
+        self.actions = []
+        if self.started_at is None:
+            self.started_at, self.sweep_due = self.now, self.now + SWEEP_MS
+            self.actions.append(api.Timer("sweep", SWEEP_MS))
+            if self.settings.server_list_on_request:
+                self.actions.append(api.Subscribe())
+        if self.now > self.sweep_due + STALL_INTERVALS * SWEEP_MS:
+            # A stall of this process, a paused machine or a stuck network card looks like a slow back end,
+            # so attempts sent before now give no q samples. A real overload is then noticed later.
             self.stalled_at = self.now
         match event:
             case api.Request():
-                self._request(event)
+                self._on_request(event)
             case api.Outcome():
-                self._outcome(event)
+                self._on_outcome(event)
             case api.TimerDue(name="sweep"):
-                self._sweep()
+                self._on_sweep()
             case api.TimerDue(name="subscribe"):
-                self.out.append(api.Subscribe())
+                self.actions.append(api.Subscribe())
             case api.CountReply():
-                self._count_reply(event)
+                self._on_count_reply(event)
             case api.ServerList():
-                self._server_list(event)
+                self._on_server_list(event)
             case api.StreamStarted():
-                self._stream_started(event)
+                self._on_stream_started(event)
             case api.Uploaded():
-                self._uploaded(self.open_requests.get(event.request))
+                self._on_uploaded(self.open_requests.get(event.request))
             case api.Claimed():
-                self._claimed(event)
+                self._on_claimed(event)
             case api.ClientLeft():
-                self.asking.pop(event.request, None)
+                self.waiting_requests.pop(event.request, None)
                 self._finish(self.open_requests.get(event.request))
             case api.Retuned():
-                self._retune(event.settings)
+                self._on_retuned(event.settings)
             case api.TakenOver():
-                self._take_over(event.state)
+                self._on_taken_over(event.state)
             case api.PredecessorGone():
-                for use in self.customer_quotas.values():
-                    use.elsewhere = 0
+                for quota in self.customer_quotas.values():
+                    quota.predecessor_requests = 0
             case api.TimerDue():
                 pass
             case _:
                 raise TypeError(f"not an event of yewstage.interface: {event!r}")
-        return self.out
+        return self.actions
 
-    def _server_list(self, event: api.ServerList) -> None:
+    def _on_server_list(self, event: api.ServerList) -> None:
         if event.kind == "failed":
-            self.out.append(api.Timer("subscribe", BACKOFF_MS * (1 + self.rng.random())))
+            self.actions.append(api.Timer("subscribe", BACKOFF_MS * (1 + self.rng.random())))
             return
         if event.kind != "changes":
             named = {s.name for s in event.servers}
-            self.servers = {n: h for n, h in self.servers.items() if n in named}
+            self.servers = {n: s for n, s in self.servers.items() if n in named}
         for server in event.servers:
             if server.status == "removed":
                 self.servers.pop(server.name, None)
             elif server.name in self.servers:
                 self.servers[server.name].update(server)
             else:
-                self.servers[server.name] = _Host(server, self._rank(server.name))
-        self._share_out()
+                self.servers[server.name] = _ServerState(server, self._rank(server.name))
+        self._choose_subset()
 
-    def _share_out(self) -> None:
-        """Choose the servers that we hold.
+    def _choose_subset(self) -> None:
+        """Choose how many gateways connect to each server (subsetting).
 
-        Danger: all dial all, and know each from one answer in many seconds. A server needs some gateways,
-        which keep connections and hear of it often. A gateway needs some servers: left with few, by chance or
-        by a loss, it would fill them before it looked further. A small fleet holds all.
+        If every gateway connected to every server, each connection would be rarely used and each server's
+        state known from one answer in many seconds. A gateway with too few healthy servers, by chance or
+        after a loss, would overload them, so more gateways per server are allowed until it has enough. In a
+        small fleet the subset is all servers.
         """
-        ranks = sorted(h.rank for h in self.servers.values() if h.up and not h.fails)
-        enough = ranks[min(HELD, len(ranks)) - 1] + 1 if ranks else 0
-        self.holders = min(self.s.fleet_size, max(HOLDERS, enough))
+        ranks = sorted(s.rank for s in self.servers.values() if s.is_up and not s.ejections)
+        enough = ranks[min(MIN_SERVERS, len(ranks)) - 1] + 1 if ranks else 0
+        self.server_gateways = min(self.settings.fleet_size, max(MIN_GATEWAYS, enough))
 
     def _rank(self, name: str) -> int:
-        """Our place in a server's own order of all gateways, on which they agree without a word."""
-        order = list(range(self.s.fleet_size))
+        """This gateway's place in the server's random order of gateways, which all gateways compute alike."""
+        order = list(range(self.settings.fleet_size))
         random.Random(name).shuffle(order)
-        return order.index(self.s.gateway_index)
+        return order.index(self.settings.gateway_index)
 
-    def _ours(self, host: _Host) -> bool:
-        """Whether we are one of the gateways that hold this server."""
-        return host.rank < self.holders
+    def _in_subset(self, server: _ServerState) -> bool:
+        """Whether this server is in this gateway's subset."""
+        return server.rank < self.server_gateways
 
     def links(self, name: str) -> int:
-        """The most links that we may have to a server: what it bears of us within the shortest aim.
+        """The limit on connections to a server: what it answers for this gateway in the shortest objective.
 
-        As many as it answers in that time at the rate at which we send to it, with what chance adds. Who
-        sends much has a larger part; the parts of all add up to what the server does within the aim.
-        Danger: links beyond that carry requests that are late already, and take the others' places.
+        That is this gateway's completion rate there, with a margin of one standard deviation for random
+        variation. The limits of all gateways add up to what the server answers in that time. Requests on
+        connections beyond it would be late already, and would take the place of other gateways' requests.
         """
-        host = self.servers.get(name)
-        if host is None:
+        server = self.servers.get(name)
+        if server is None:
             return 1
-        if self.q_seen < FEW:  # nothing seen yet: an even part of what its size does, at the usual latency
-            mean = host.nominal * self.aim / max(self.latency.values()) / self.holders
+        if self.samples_seen < MIN_OUTCOMES:  # no rate yet: an even part of its capacity
+            mean = (
+                server.capacity
+                * self.min_objective_ms
+                / max(self.unit_latency.values())
+                / self.server_gateways
+            )
         else:
-            mean = self.done_rate * self.aim * host.nominal / self.size
+            mean = self.completion_rate * self.min_objective_ms * server.capacity / self.subset_capacity
         return max(1, math.ceil(mean + mean**0.5))
 
     def may_repeat(self, request: str) -> bool:
-        """Whether a request could be sent on again if the answer that is coming broke.
+        """Whether a request could be retried if the answer that is arriving broke off.
 
-        While it could, an answer that may soon be whole is better held than begun: what was passed on cannot
-        be taken back.
+        While it could, an answer is better buffered than streamed: bytes passed on cannot be taken back.
         """
-        held = self.open_requests.get(request)
+        pending = self.open_requests.get(request)
         return (
-            held is not None
-            and held.req.body_is_buffered
-            and not held.answered
-            and held.cls.effect == "safe"
-            and len(held.attempts) < held.most
-            and self.bank >= 1
+            pending is not None
+            and pending.request.body_is_buffered
+            and not pending.is_answered
+            and pending.cls.effect == "safe"
+            and len(pending.attempts) < pending.attempt_limit
+            and self.retry_budget >= 1
         )
 
     def rotation(self) -> tuple[int, int]:
-        """How many servers are listed, and how many of these get no ordinary work now."""
-        return len(self.servers), sum(1 for h in self.servers.values() if not h.up or h.fails)
+        """The number of listed servers, and of those that are draining or ejected."""
+        return len(self.servers), sum(1 for s in self.servers.values() if not s.is_up or s.ejections)
 
     def failing(self) -> dict[str, int]:
-        """Listed servers that rest after failures or are tried again: how often in a row each has failed."""
-        return {h.name: h.fails for h in self.servers.values() if h.up and h.fails}
+        """Listed servers that are ejected or on trial, with their number of consecutive ejections."""
+        return {s.name: s.ejections for s in self.servers.values() if s.is_up and s.ejections}
 
-    # --- Retuning ------------------------------------------------------------------------------------------
+    # --- Settings changes ------------------------------------------------------------------------------
 
-    def _retune(self, settings: api.Settings) -> None:
-        """Other classes, plans and bounds; what was learnt of customers, hosts and pressure stays."""
+    def _on_retuned(self, settings: api.Settings) -> None:
+        """Apply new settings; the state of customers, servers and admission is kept."""
         classes = {c.name: c for c in settings.classes}
-        same = {name for name, cls in classes.items() if self.classes.get(name) == cls}
-        waiting = {cls.name for use in self.customer_quotas.values() for _, cls, _, _ in use.asking}
-        known = {*classes, *waiting, *(held.cls.name for held in self.open_requests.values())}
-        moved = (settings.gateway_index, settings.fleet_size) != (self.s.gateway_index, self.s.fleet_size)
-        self.s, self.classes = settings, classes
-        for host in self.servers.values() if moved else ():
-            host.rank = self._rank(host.name)
-        self.aim = min(c.objective_ms for c in settings.classes)
-        # One that is the same is the same object, by which a customer's use is known.
+        unchanged = {name for name, cls in classes.items() if self.classes.get(name) == cls}
+        waiting = {cls.name for quota in self.customer_quotas.values() for _, cls, _, _ in quota.waiting}
+        known = {*classes, *waiting, *(pending.cls.name for pending in self.open_requests.values())}
+        moved = (settings.gateway_index, settings.fleet_size) != (
+            self.settings.gateway_index,
+            self.settings.fleet_size,
+        )
+        self.settings, self.classes = settings, classes
+        for server in self.servers.values() if moved else ():
+            server.rank = self._rank(server.name)
+        self.min_objective_ms = min(c.objective_ms for c in settings.classes)
+        # An unchanged plan keeps its object: a customer's quota is matched to its plan by identity.
         self.plans = {
             p.name: self.plans[p.name] if self.plans.get(p.name) == p else p for p in settings.plans
         }
-        self.latency = {name: value for name, value in self.latency.items() if name in known}
-        self.lefts = {name: recent for name, recent in self.lefts.items() if name in same}
-        self.cells = {key: cell for key, cell in self.cells.items() if key[0] in classes}
-        self._share_out()
+        self.unit_latency = {name: value for name, value in self.unit_latency.items() if name in known}
+        self.times_left = {name: recent for name, recent in self.times_left.items() if name in unchanged}
+        self.groups = {key: group for key, group in self.groups.items() if key[0] in classes}
+        self._choose_subset()
 
     # --- Upgrades ------------------------------------------------------------------------------------------
 
     def hand_over(self) -> dict[str, object]:
-        """All that the rules need of us, for the process that goes on; what it holds we no longer spend."""
-        self.handed = True
-        for use in self.customer_quotas.values():
-            self._left(use)
+        """The state for the process that takes over; this one stops spending quotas, ceilings and budgets."""
+        self.handed_over = True
+        for quota in self.customer_quotas.values():
+            self._refill(quota)
         state = {
-            "own": {name: getattr(self, name) for name in HANDED},
-            "latency": dict(self.latency),
-            "hosts": {h.name: [getattr(h, name) for name in HANDED_HOST] for h in self.servers.values()},
+            "own": {key: getattr(self, attribute) for key, attribute in HANDOVER_FIELDS.items()},
+            "latency": dict(self.unit_latency),
+            "hosts": {
+                s.name: [getattr(s, name) for name in HANDOVER_SERVER_FIELDS] for s in self.servers.values()
+            },
             "uses": {
                 customer: [
-                    use.plan.name,
-                    use.window,
-                    use.name,
-                    use.base,
-                    use.open + use.elsewhere,
-                    *(getattr(use, name) for name in HANDED_USE),
+                    quota.plan.name,
+                    quota.window,
+                    quota.counter_name,
+                    quota.total,
+                    quota.open_requests + quota.predecessor_requests,
+                    *(getattr(quota, name) for name in HANDOVER_QUOTA_FIELDS),
                 ]
-                for customer, use in self.customer_quotas.items()
+                for customer, quota in self.customer_quotas.items()
             },
         }
-        for use in self.customer_quotas.values():
-            use.added = use.own  # what was not told yet is told by the next process
+        for quota in self.customer_quotas.values():
+            quota.reported = quota.used  # the next process reports the rest
         return state
 
-    def _take_over(self, state: dict[str, object] | None) -> None:
-        """Go on from another process's state; from nothing where there is none or it makes no sense.
+    def _on_taken_over(self, state: dict[str, object] | None) -> None:
+        """Continue from another process's state, or from none if it is absent or invalid.
 
-        Danger: without one the parts of ceilings and quotas are earned anew, as after a restart, from now on
-        and not from our start, when the other process still spent them.
+        Without it, this gateway's parts of quotas and ceilings fill from empty as after a restart: from now,
+        not from this process's start, because the other process spent them until now.
         """
-        self.born = self.now
+        self.started_at = self.now
         if state is None:
             return
         try:
-            own = {name: _finite(state["own"][name]) for name in HANDED}
-            latency = {name: _finite(v) for name, v in state["latency"].items() if name in self.classes}
-            hosts = {
-                name: [_finite(v) for v in values]
+            own = {attribute: _finite_number(state["own"][key]) for key, attribute in HANDOVER_FIELDS.items()}
+            latency = {
+                name: _finite_number(v) for name, v in state["latency"].items() if name in self.classes
+            }
+            servers = {
+                name: [_finite_number(v) for v in values]
                 for name, values in state["hosts"].items()
-                if len(values) == len(HANDED_HOST)
+                if len(values) == len(HANDOVER_SERVER_FIELDS)
             }
-            uses = {
-                customer: self._handed_use(values)
+            quotas = {
+                customer: self._restore_quota(values)
                 for customer, values in state["uses"].items()
                 if values[0] in self.plans
             }
         except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-            self.out.append(api.Log(f"what was handed over makes no sense: {error!r}"))
+            self.actions.append(api.Log(f"ignoring invalid state from the previous process: {error!r}"))
             return
         for name, value in own.items():
             setattr(self, name, value)
-        self.latency.update(latency)
-        for name, values in hosts.items():
-            host = self.servers.get(name)
-            if host is not None and values[0] >= host.born:  # else it has started since
-                for field, value in zip(HANDED_HOST, values, strict=True):
-                    setattr(host, field, type(getattr(host, field))(value))
-        self.customer_quotas = uses
-
-    def _handed_use(self, values: list) -> _Use:
-        plan, window, name, base, out, *rest = values
-        use = _Use(self.plans[plan], 1, self.now, 0.0)
-        use.window, use.name = int(_finite(window)), str(name)
-        use.base = None if base is None else _finite(base)
-        use.elsewhere = int(_finite(out))
-        for field, value in zip(HANDED_USE, rest, strict=True):
-            setattr(use, field, _finite(value))
-        use.width = max(1, int(use.width))
-        return use
+        self.unit_latency.update(latency)
+        for name, values in servers.items():
+            server = self.servers.get(name)
+            if server is not None and values[0] >= server.started_at:  # otherwise it has restarted since
+                for field, value in zip(HANDOVER_SERVER_FIELDS, values, strict=True):
+                    setattr(server, field, type(getattr(server, field))(value))
+        self.customer_quotas = quotas
+
+    def _restore_quota(self, values: list) -> _CustomerQuota:
+        plan, window, name, total, open_requests, *rest = values
+        quota = _CustomerQuota(self.plans[plan], 1, self.now, 0.0)
+        quota.window, quota.counter_name = int(_finite_number(window)), str(name)
+        quota.total = None if total is None else _finite_number(total)
+        quota.predecessor_requests = int(_finite_number(open_requests))
+        for field, value in zip(HANDOVER_QUOTA_FIELDS, rest, strict=True):
+            setattr(quota, field, _finite_number(value))
+        quota.gateway_count = max(1, int(quota.gateway_count))
+        return quota
 
     # --- Admission (SiRED) ------------------------------------------------------------------------------
 
-    def _request(self, req: api.Request) -> None:
-        cls, plan = req.cls or self.classes.get(req.class_name), self.plans.get(req.plan_name)
-        if req.id in self.open_requests or req.id in self.asking:
+    def _on_request(self, request: api.Request) -> None:
+        cls, plan = request.cls or self.classes.get(request.class_name), self.plans.get(request.plan_name)
+        if request.id in self.open_requests or request.id in self.waiting_requests:
             return
-        if cls is None or plan is None or req.time_left_ms <= 0 or not self.servers:
-            self.out.append(api.Refuse(req.id, reason="no host" if not self.servers else "unservable"))
+        if cls is None or plan is None or request.time_left_ms <= 0 or not self.servers:
+            self.actions.append(
+                api.Refuse(request.id, reason="no host" if not self.servers else "unservable")
+            )
             return
-        self.latency.setdefault(cls.name, cls.objective_ms / 10)
-        end_at = self.now + req.time_left_ms
-        aim_at = (
-            end_at if cls.late_worth > 0 else min(self.now + cls.objective_ms - self._spent(req, cls), end_at)
+        self.unit_latency.setdefault(cls.name, cls.objective_ms / 10)
+        deadline_at = self.now + request.time_left_ms
+        objective_at = (
+            deadline_at
+            if cls.late_worth > 0
+            else min(self.now + cls.objective_ms - self._time_spent_ms(request, cls), deadline_at)
         )
-        if aim_at <= self.now:
-            # Its aim has passed: whatever we did would be waste.
-            self.out.append(api.Refuse(req.id, reason="too late"))
+        if objective_at <= self.now:
+            # The objective has passed: any work would be wasted.
+            self.actions.append(api.Refuse(request.id, reason="too late"))
             return
-        use = self._use(req, plan)
-        # Danger: a try with little time left would be held past its end; it is decided at once.
-        if aim_at - self.now > self.s.count_wait_ms + 2 * SWEEP_MS and self._unsure(use, req.units):
-            if not self._admit(cls, plan, req.units):  # danger: asking for what f sheds crowds the counter
-                self._refuse_new(req, use, "pressed")
+        quota = self._quota_of(request, plan)
+        # A request with little time left is decided at once: waiting for a total could outlast its deadline.
+        if objective_at - self.now > self.settings.count_wait_ms + 2 * SWEEP_MS and self._needs_total(
+            quota, request.units
+        ):
+            if not self._admit(cls, plan, request.units):  # calls for rejected requests overload the counter
+                self._refuse(request, quota, "pressed")
                 return
-            # Exception to refusing at once: the total that settles it is a few ms away.
-            self.asking[req.id] = req.customer
-            use.asking.append((req, cls, aim_at, end_at))
-            # Danger: what is reserved and refused stands in the total until it is taken off, and all read it:
-            # for one whom the fleet mostly refuses, the asking alone would fill the quota.
-            self._sync(use, req.customer, req.units * (use.luck >= RESERVE or plan.uses_quota_shares), True)
+            # The total that decides the request arrives within a few milliseconds, so it can wait.
+            self.waiting_requests[request.id] = request.customer
+            quota.waiting.append((request, cls, objective_at, deadline_at))
+            # A reservation counts in everyone's total until it is returned. For a customer whom the fleet
+            # mostly refuses, reservations alone would use up the quota, so the total is read without one.
+            self._report(
+                quota,
+                request.customer,
+                request.units * (quota.found_share >= MIN_FOUND_SHARE or plan.uses_quota_shares),
+                True,
+            )
         else:
-            self._decide(req, cls, use, aim_at, end_at, False)
+            self._decide(request, cls, quota, objective_at, deadline_at, False)
 
-    def _spent(self, req: api.Request, cls: api.RequestClass) -> float:
-        """Time that the client spent on earlier tries, where its time left tells.
+    def _time_spent_ms(self, request: api.Request, cls: api.RequestClass) -> float:
+        """Time that the client has spent on earlier tries, inferred from its time left.
 
-        Danger: late retries take quota and work from those in time. First tries share one time left; a
-        shorter one was cut by the class's deadline. Hurts: clients with a short patience of their own; so it
-        acts only while a third of the last tries agree on the usual time, and takes what the deadline shows.
+        Late retries take quota and capacity from requests that can still be in time. First tries share one
+        time left; a shorter one is what the class's deadline leaves a retry. A client with a shorter timeout
+        of its own looks the same, so this applies only while a third of recent requests agree on one value.
         """
-        recent = self.lefts.setdefault(cls.name, deque(maxlen=TRIES))
-        recent.append(req.time_left_ms)
+        recent = self.times_left.setdefault(cls.name, deque(maxlen=TRY_SAMPLES))
+        recent.append(request.time_left_ms)
         usual = sorted(recent)[len(recent) * 7 // 10]
-        if self.s.marks_retry and not req.is_retry:
-            return 0.0  # a first try, and its client is in a hurry
-        agree = sum(1 for left in recent if abs(left - usual) <= 0.01 * usual)
-        if len(recent) < TRIES // 2 or 3 * agree < len(recent) or req.time_left_ms > 0.99 * usual:
+        if self.settings.marks_retry and not request.is_retry:
+            return 0.0  # a first try, with a short timeout of the client's own
+        agree = sum(1 for time_left in recent if abs(time_left - usual) <= 0.01 * usual)
+        if len(recent) < TRY_SAMPLES // 2 or 3 * agree < len(recent) or request.time_left_ms > 0.99 * usual:
             return 0.0
-        return max(cls.deadline_ms - req.time_left_ms, 0.0)
+        return max(cls.deadline_ms - request.time_left_ms, 0.0)
 
     def _decide(
-        self, req: api.Request, cls: api.RequestClass, use: _Use, aim_at: float, end_at: float, admitted: bool
+        self,
+        request: api.Request,
+        cls: api.RequestClass,
+        quota: _CustomerQuota,
+        objective_at: float,
+        deadline_at: float,
+        admitted: bool,
     ) -> None:
-        """Send on or refuse, at once."""
-        plan = use.plan
-        over = not self._quota_has(use, req.units)
-        if over:
-            fits = plan.over_worth > plan.over_cost and self.q < ROOM * Q_MIN
+        """Send the request or refuse it."""
+        plan = quota.plan
+        over_quota = not self._quota_allows(quota, request.units)
+        if over_quota:
+            fits = plan.over_worth > plan.over_cost and self.smoothed_occupancy < OVER_QUOTA_PART * Q_MIN
         else:
-            fits = admitted or self._admit(cls, plan, req.units)
-        if not fits or not self._ceiling_has(use, req.units):
-            self._refuse_new(req, use, "quota" if over else "ceiling" if fits else "pressed")
+            fits = admitted or self._admit(cls, plan, request.units)
+        if not fits or not self._ceiling_allows(quota, request.units):
+            self._refuse(request, quota, "quota" if over_quota else "ceiling" if fits else "pressed")
             return
-        held = _Held(
-            req, cls, use, aim_at, end_at, self.latency[cls.name] * max(req.units, 0.0), self.s.try_limit
+        pending = _PendingRequest(
+            request,
+            cls,
+            quota,
+            objective_at,
+            deadline_at,
+            self.unit_latency[cls.name] * max(request.units, 0.0),
+            self.settings.try_limit,
         )
-        host = self._pick(held) if held.aim_at > self.now else None
-        if host is None:
-            self._refuse_new(req, use, "quota" if over else "no host")
+        server = self._pick_server(pending) if pending.objective_at > self.now else None
+        if server is None:
+            self._refuse(request, quota, "quota" if over_quota else "no host")
             return
-        self.open_requests[req.id] = held
-        self.bank = min(self.bank + RETRY_SHARE, RETRY_BANK)
-        use.ceiling -= req.units
-        use.loading += req.units * held.loading
-        use.open += 1
-        if not over:
-            self._spend(use, req.units)
-        self._sync(use, req.customer)
-        if self.s.uses_claim_record and cls.effect == "keyed":
-            held.claim = "asked"
-            left = held.aim_at - self.now
-            wait = max(left - self._usual(held), left / 2)
-            # Its key must outlive whatever a client may still send for it: hosts count from the first send.
-            self.out.append(api.Claim(req.id, cls.window_ms + cls.deadline_ms, wait))
+        self.open_requests[request.id] = pending
+        self.retry_budget = min(self.retry_budget + RETRY_RATIO, RETRY_BUDGET_MAX)
+        quota.ceiling_tokens -= request.units
+        quota.uploading += request.units * pending.is_uploading
+        quota.open_requests += 1
+        if not over_quota:
+            self._spend(quota, request.units)
+        self._report(quota, request.customer)
+        if self.settings.uses_claim_record and cls.effect == "keyed":
+            pending.claim_state = "asked"
+            time_left = pending.objective_at - self.now
+            wait_ms = max(time_left - self._usual_latency(pending), time_left / 2)
+            # The key must outlast any retry by the client; servers count its window from the first send.
+            self.actions.append(api.Claim(request.id, cls.window_ms + cls.deadline_ms, wait_ms))
         else:
-            self._send(held, host)
+            self._send(pending, server)
 
-    def _claimed(self, event: api.Claimed) -> None:
-        """Send on what is ours to send; what another request has of this key is answered by what is known.
+    def _on_claimed(self, event: api.Claimed) -> None:
+        """Send the request if it got the key; otherwise answer with what the record knows of the key.
 
-        Danger: a key whose end nobody told may have run; a refusal would promise that it did not.
+        A key held by another request may have run: that is answered by Fail, as Refuse promises it did not.
         """
-        held = self.open_requests.get(event.request)
-        if held is None or held.claim != "asked" or held.answered:
+        pending = self.open_requests.get(event.request)
+        if pending is None or pending.claim_state != "asked" or pending.is_answered:
             return
-        held.claim = event.result if event.result == "yours" else ""
-        host = self._pick(held) if held.claim and held.aim_at > self.now else None
-        if host is not None:
-            self._send(held, host)
+        pending.claim_state = event.result if event.result == "yours" else ""
+        server = (
+            self._pick_server(pending) if pending.claim_state and pending.objective_at > self.now else None
+        )
+        if server is not None:
+            self._send(pending, server)
             return
         if event.result != "done":
-            self._spend(held.use, -held.req.units)
-        self.out.append(
-            api.Recall(held.req.id)
+            self._spend(pending.quota, -pending.request.units)
+        self.actions.append(
+            api.Recall(pending.request.id)
             if event.result == "done"
-            else api.Fail(held.req.id)
+            else api.Fail(pending.request.id)
             if event.result == "held"
-            else api.Refuse(held.req.id, reason="no record" if event.result == "silent" else "gave up")
+            else api.Refuse(pending.request.id, reason="no record" if event.result == "silent" else "gave up")
         )
-        self._finish(held)
+        self._finish(pending)
 
     def _admit(self, cls: api.RequestClass, plan: api.Plan, units: float) -> bool:
-        """The accumulator: r += f; at 1 or more, subtract 1 and let in."""
-        cell = self.cells.setdefault((cls.name, plan.name), _Cell())
-        cell.value = cls.worth * plan.worth / max(self.latency[cls.name], 1e-6)
-        cell.work += self.latency[cls.name] * max(units, 0.0)
-        cell.r += cell.f
-        if cell.r < 1.0 - 1e-9:  # the shares add up to one but for rounding
+        """SiRED's accumulator: r += f; at 1 or more, subtract 1 and admit."""
+        group = self.groups.setdefault((cls.name, plan.name), _AdmissionGroup())
+        group.worth_per_ms = cls.worth * plan.worth / max(self.unit_latency[cls.name], 1e-6)
+        group.work += self.unit_latency[cls.name] * max(units, 0.0)
+        group.accumulator += group.admit_fraction
+        if group.accumulator < 1.0 - 1e-9:  # tolerance for rounding in the shares
             return False
-        cell.r -= 1.0
+        group.accumulator -= 1.0
         return True
 
-    def _refuse_new(self, req: api.Request, use: _Use, why: str) -> None:
-        over = why == "quota" and use.plan.rate > 0
-        wait = 1000 * req.units / use.plan.rate if over else SWEEP_MS / self.f
-        self.out.append(api.Refuse(req.id, min(wait, self.s.max_retry_after_ms * self.s.retry_after), why))
+    def _refuse(self, request: api.Request, quota: _CustomerQuota, reason: str) -> None:
+        over_quota = reason == "quota" and quota.plan.rate > 0
+        wait_ms = 1000 * request.units / quota.plan.rate if over_quota else SWEEP_MS / self.admit_fraction
+        self.actions.append(
+            api.Refuse(
+                request.id, min(wait_ms, self.settings.max_retry_after_ms * self.settings.retry_after), reason
+            )
+        )
 
-    def _sample(self, held: _Held, attempt: _Attempt, event: api.Outcome) -> None:
-        """One outcome's occupancy: the part of the aim that it used up, or that a new one would."""
-        if attempt.sent < self.stalled_at or event.result in (api.CONNECT_FAILED, api.RESET, api.CANCELLED):
+    def _sample_occupancy(self, pending: _PendingRequest, attempt: _Attempt, event: api.Outcome) -> None:
+        """Add an outcome's occupancy: the part of the objective that it took, or a new request would take."""
+        if attempt.sent_at < self.stalled_at or event.result in (
+            api.CONNECT_FAILED,
+            api.RESET,
+            api.CANCELLED,
+        ):
             return
-        if self._unwell(attempt.host):
-            return  # danger: a few bad hosts cut f for all; they are the business of health
+        if self._is_outlier(attempt.server):
+            return  # left to outlier ejection: a few bad servers must not lower f for all
         q = 1.0
         if event.result in (api.OK, api.ERROR):
-            self.ok_q += (min(event.took_ms / held.cls.objective_ms, 1.0) - self.ok_q) / FEW
-            self.lost -= self.lost / (4 * FEW)
-            # Danger: foretold from two or three completions it is noise that cuts f for nothing.
-            foretold = sum(h.open for h in self.servers.values() if not h.fails) / max(self.done_rate, 1e-9)
-            trust = 0.5 * min(self.done_rate * (self.now - self.born) / (3 * FEW), 1.0)
-            q = min((event.took_ms + trust * (foretold - event.took_ms)) / held.cls.objective_ms, 1.0)
-        elif event.result == api.TIMED_OUT and self.ok_q < Q_MIN:
-            # Danger: answers lost on their way, or stuck on single hosts, look like a jam. While the others
-            # come fast, nothing waits. Hurts: the start of a jam is seen some answers later.
-            self.lost += (1 - self.lost) / (4 * FEW)
+            self.ok_occupancy += (
+                min(event.took_ms / pending.cls.objective_ms, 1.0) - self.ok_occupancy
+            ) / MIN_OUTCOMES
+            self.lost_share -= self.lost_share / (4 * MIN_OUTCOMES)
+            # A prediction from two or three completions is mostly noise, so it gets little weight.
+            predicted_ms = sum(s.in_flight for s in self.servers.values() if not s.ejections) / max(
+                self.completion_rate, 1e-9
+            )
+            weight = 0.5 * min(self.completion_rate * (self.now - self.started_at) / (3 * MIN_OUTCOMES), 1.0)
+            q = min((event.took_ms + weight * (predicted_ms - event.took_ms)) / pending.cls.objective_ms, 1.0)
+        elif event.result == api.TIMED_OUT and self.ok_occupancy < Q_MIN:
+            # Lost answers and single stuck servers look like an overload, but while other answers are fast
+            # nothing queues. A real overload is then noticed some answers later.
+            self.lost_share += (1 - self.lost_share) / (4 * MIN_OUTCOMES)
             return
-        self.q_sum += q
-        self.q_n += 1
-        if self.q_n >= OUTCOMES:
+        self.occupancy_sum += q
+        self.occupancy_samples += 1
+        if self.occupancy_samples >= INTERVAL_OUTCOMES:
             self._update_f()
 
     def _update_f(self) -> None:
-        if self.q_n:
-            self.q_seen += self.q_n
-            w = min(W, self.q_n / FEW) if self.q_seen > FEW else self.q_n / self.q_seen
-            self.q = (1 - w) * self.q + w * self.q_sum / self.q_n
-            self.q_sum, self.q_n = 0.0, 0
+        if self.occupancy_samples:
+            self.samples_seen += self.occupancy_samples
+            weight = (
+                min(OCCUPANCY_WEIGHT, self.occupancy_samples / MIN_OUTCOMES)
+                if self.samples_seen > MIN_OUTCOMES
+                else self.occupancy_samples / self.samples_seen
+            )
+            self.smoothed_occupancy = (
+                1 - weight
+            ) * self.smoothed_occupancy + weight * self.occupancy_sum / self.occupancy_samples
+            self.occupancy_sum, self.occupancy_samples = 0.0, 0
         elif not self.open_requests:
-            # Danger: near fmin a gateway of two requests a second has one outcome in ten seconds; q would
-            # hold on long after a jam, so it fades while nothing is out. Hurts: long jams get more than fmin.
-            self.q *= 1 - SWEEP_MS / max(c.objective_ms for c in self.s.classes)
-        late = 0
-        if self.q_seen < FEW:
-            # Danger: outcomes show a jam an aim late, and fresh gateways would fill it until then. What is
-            # out for longer than Qmax of its aim counts as full. Hurts: lost answers press a fresh gateway.
-            late = sum(
-                a.works and self.now - a.sent > Q_MAX * h.cls.objective_ms
-                for h in self.open_requests.values()
-                for a in h.attempts
+            # Near F_MIN a gateway with two requests a second has one outcome in ten seconds. Without decay
+            # q would stay high long after an overload; with it, a long overload gets more than F_MIN.
+            self.smoothed_occupancy *= 1 - SWEEP_MS / max(c.objective_ms for c in self.settings.classes)
+        late_attempts = 0
+        if self.samples_seen < MIN_OUTCOMES:
+            # Outcomes show an overload one objective late, and a new gateway would add to it until then. So
+            # attempts open for over Q_MAX of their objective count as occupancy 1, lost answers included.
+            late_attempts = sum(
+                a.is_running and self.now - a.sent_at > Q_MAX * pending.cls.objective_ms
+                for pending in self.open_requests.values()
+                for a in pending.attempts
+            )
+        self.admit_fraction = admission_ramp(
+            (MIN_OUTCOMES * self.smoothed_occupancy + late_attempts) / (MIN_OUTCOMES + late_attempts)
+        )
+        # Groups of low worth per work are shed first; the fractions, weighted by work, add up to f.
+        total, share_above = sum(c.work for c in self.groups.values()), 0.0
+        for group in sorted(self.groups.values(), key=lambda c: -c.worth_per_ms):
+            share = group.work / total if total > 0 else 1.0
+            group.admit_fraction = (
+                max(F_MIN, min((self.admit_fraction - share_above) / share, 1.0))
+                if share > 0
+                else self.admit_fraction
+            )
+            share_above += share
+        if self.admit_fraction < 0.9:
+            self._log_limited(
+                "pressed",
+                f"back end overloaded: q {self.smoothed_occupancy:.2f}, admitting {self.admit_fraction:.0%}",
             )
-        self.f = ramp((FEW * self.q + late) / (FEW + late))
-        # Staggered ramps: worth per work decides whose ramp f reaches first; the sum over cells stays f.
-        total, above = sum(c.work for c in self.cells.values()), 0.0
-        for cell in sorted(self.cells.values(), key=lambda c: -c.value):
-            share = cell.work / total if total > 0 else 1.0
-            cell.f = max(F_MIN, min((self.f - above) / share, 1.0)) if share > 0 else self.f
-            above += share
-        if self.f < 0.9:
-            self._say("pressed", f"back end pressed: q {self.q:.2f}, letting in {self.f:.0%}")
 
     # --- Quotas and ceiling -----------------------------------------------------------------------------
 
-    def _use(self, req: api.Request, plan: api.Plan) -> _Use:
-        use = self.customer_quotas.get(req.customer)
-        width = max(1, min(req.gateway_count, self.s.fleet_size))
-        if use is not None and use.plan is not plan and use.plan.name == plan.name:
-            use.plan = plan  # the plan was retuned: what the customer has used stays used
-        if use is None or use.plan is not plan:
-            if use is not None:
-                self._settle(use)
-            use = self.customer_quotas[req.customer] = _Use(
-                plan, width, self.now, self.now - (self.born or 0.0)
+    def _quota_of(self, request: api.Request, plan: api.Plan) -> _CustomerQuota:
+        quota = self.customer_quotas.get(request.customer)
+        gateway_count = max(1, min(request.gateway_count, self.settings.fleet_size))
+        if quota is not None and quota.plan is not plan and quota.plan.name == plan.name:
+            quota.plan = plan  # changed settings: what the customer has used still counts
+        if quota is None or quota.plan is not plan:
+            if quota is not None:
+                self._decide_waiting(quota)
+            quota = self.customer_quotas[request.customer] = _CustomerQuota(
+                plan, gateway_count, self.now, self.now - (self.started_at or 0.0)
             )
-            use.ceiling_at = self.born or 0.0
-        use.width, use.seen = max(use.width, width), self.now
+            quota.ceiling_at = self.started_at or 0.0
+        quota.gateway_count, quota.seen_at = max(quota.gateway_count, gateway_count), self.now
         if plan.uses_quota_shares:
-            use.name = quota_account_name(plan.name, req.customer)
-        elif plan.rate > 0:  # windows start at a phase of the customer's own: no herd of calls at their edges
-            digest, length = hashlib.blake2s(req.customer.encode(), digest_size=8), self._window_ms(plan)
-            clock = self.now / length + int.from_bytes(digest.digest()[:2], "big") / 65536
-            if int(clock) != use.window:
-                name = f"{digest.hexdigest()}.{int(clock)}"
-                self._roll(use, int(clock), name, self.now - clock % 1 * length)
-        return use
+            quota.counter_name = quota_account_name(plan.name, request.customer)
+        elif plan.rate > 0:  # windows start at a phase per customer, to spread the calls
+            digest, length = hashlib.blake2s(request.customer.encode(), digest_size=8), self._window_ms(plan)
+            window = self.now / length + int.from_bytes(digest.digest()[:2], "big") / 65536
+            if int(window) != quota.window:
+                name = f"{digest.hexdigest()}.{int(window)}"
+                self._start_window(quota, int(window), name, self.now - window % 1 * length)
+        return quota
 
     @staticmethod
     def _window_ms(plan: api.Plan) -> float:
-        return min(max(WINDOWS * 1000.0 * plan.burst / plan.rate, 1.0), KEEP_MAX_MS / 2)
+        return min(max(COUNT_WINDOW_BURSTS * 1000.0 * plan.burst / plan.rate, 1.0), COUNT_TTL_MAX_MS / 2)
 
-    def _roll(self, use: _Use, window: int, name: str, start: float) -> None:
-        """A new window: a new count. What was left unused is carried over, the burst at most.
+    def _start_window(self, quota: _CustomerQuota, window: int, name: str, start: float) -> None:
+        """Start a new window with a new count; the unused quota is carried over, up to the burst.
 
-        Danger: a gateway that sees a customer once in many seconds rolls late; what the others used since the
-        window's start is in its total, so what was left is taken at that start, too.
+        A gateway that rarely sees a customer starts the window late. Its total includes what others used
+        since the window began, so what remains is computed as of that time too.
         """
-        self.calls.pop(use.name, None)
-        self._settle(use)
-        use.window, use.name = window, name
-        self._left(use, start)
-        known = use.most if use.base is None else max(use.left, 0.0)
-        # A count holds what was used since its window began: with nothing read yet, so does the time it took.
-        use.base_at, use.base_left = start if use.base is None else max(start, use.left_at), known
-        use.own = use.base_use = use.own - use.added  # not told yet: told in the new window
-        use.added = use.base_own = 0.0
-        use.calling = False
-        use.base = None if use.base is None else 0.0
-
-    def _left(self, use: _Use, at: float | None = None) -> float:
-        """What is left of the quota: carried + rate x time - our use - the others' as read or estimated."""
-        span = max((self.now if at is None else at) - use.left_at, 0.0)
-        burst, rate = use.plan.burst, use.plan.rate / 1000
-        part = min(1.0, (SPLIT if self.f >= 1 else 1.0) / use.width)
-        use.most = min(burst, use.most + rate * span)
-        gain, most = (0.0, burst * part) if use.base is None else (rate - use.others, burst)
-        if use.base is None or self.heard < 0.5:  # nothing is known, or no more: our split at least
+        self.customer_by_counter.pop(quota.counter_name, None)
+        self._decide_waiting(quota)
+        quota.window, quota.counter_name = window, name
+        self._refill(quota, start)
+        bound = quota.max_remaining if quota.total is None else max(quota.remaining, 0.0)
+        # A count covers its window from the start, so without an earlier total the span starts there too.
+        quota.total_at, quota.total_bound = (
+            start if quota.total is None else max(start, quota.remaining_at),
+            bound,
+        )
+        quota.used = quota.total_used = quota.used - quota.reported  # the rest is reported in this window
+        quota.reported = quota.total_reported = 0.0
+        quota.is_calling = False
+        quota.total = None if quota.total is None else 0.0
+
+    def _refill(self, quota: _CustomerQuota, at: float | None = None) -> float:
+        """Refill and return the remaining quota: rate x time less the other gateways' estimated use."""
+        span = max((self.now if at is None else at) - quota.remaining_at, 0.0)
+        burst, rate = quota.plan.burst, quota.plan.rate / 1000
+        part = min(1.0, (SPLIT_FACTOR if self.admit_fraction >= 1 else 1.0) / quota.gateway_count)
+        quota.max_remaining = min(burst, quota.max_remaining + rate * span)
+        gain, limit = (0.0, burst * part) if quota.total is None else (rate - quota.others_rate, burst)
+        if quota.total is None or self.answer_share < 0.5:  # others' use is unknown: at least an even split
             gain = max(gain, rate * part)
-        # Others who are refused use nothing: what they ask beyond an empty store is not owed by those after.
-        use.left = max(min(most, use.left + gain * span), min(use.left, 0.0))
-        use.left_at += span
-        return use.left
-
-    def _unsure(self, use: _Use, units: float) -> bool:
-        """Nothing was read, or the estimate says no or maybe and the last total does not."""
-        if use.plan.uses_quota_shares:
-            return self.now >= use.share_rests and not self._share_has(use, units)
-        if not self.s.counter_enabled or use.plan.rate <= 0 or not self._may_call():
+        # Refused requests use nothing, so the others' estimated use never takes it below 0.
+        quota.remaining = max(min(limit, quota.remaining + gain * span), min(quota.remaining, 0.0))
+        quota.remaining_at += span
+        return quota.remaining
+
+    def _needs_total(self, quota: _CustomerQuota, units: float) -> bool:
+        """Whether to ask for a total: none was read, or only the estimate may refuse, not the last total."""
+        if quota.plan.uses_quota_shares:
+            return self.now >= quota.next_share_at and not self._share_allows(quota, units)
+        if not self.settings.counter_enabled or quota.plan.rate <= 0 or not self._may_call():
             return False
-        doubt = (max(use.others, 0.0) * (self.now - use.base_at)) ** 0.5  # the others' use may vary so much
-        maybe = self._left(use) - doubt < units <= use.most
-        return use.base is None or (maybe and self.rng.random() < max(use.luck, self.heard**CROWD))
+        deviation = (max(quota.others_rate, 0.0) * (self.now - quota.total_at)) ** 0.5  # of the others' use
+        may_fit = self._refill(quota) - deviation < units <= quota.max_remaining
+        return quota.total is None or (
+            may_fit and self.rng.random() < max(quota.found_share, self.answer_share**THINNING_POWER)
+        )
 
     def _may_call(self) -> bool:
-        """Danger: the crowd at the counter is us. Unanswered calls thin out ours; what was not told waits.
+        """Whether to call the counter now: at random, less often the more calls go unanswered.
 
-        Holds against a slow, silent or small counter alike. Hurts: totals are older while it acts.
+        The load on the counter comes from the gateways, and calling less helps whether it is slow, silent or
+        small. Use that is not reported yet is reported later, and totals get older.
         """
-        return self.rng.random() < self.heard**CROWD or self.now > self.call_at + CALL_REST_MS
+        return self.rng.random() < self.answer_share**THINNING_POWER or self.now > self.called_at + PROBE_MS
 
     @staticmethod
-    def _spend(use: _Use, units: float) -> None:
-        use.share, use.taken = use.share - units, use.taken + units
-        use.own += units
-        use.left -= units
-        use.most -= units
-
-    def _quota_has(self, use: _Use, units: float) -> bool:
-        plan = use.plan
-        if plan.parallel and (self.handed or use.open + use.elsewhere >= max(1, plan.parallel // use.width)):
+    def _spend(quota: _CustomerQuota, units: float) -> None:
+        quota.share, quota.share_spent = quota.share - units, quota.share_spent + units
+        quota.used += units
+        quota.remaining -= units
+        quota.max_remaining -= units
+
+    def _quota_allows(self, quota: _CustomerQuota, units: float) -> bool:
+        plan = quota.plan
+        if plan.parallel and (
+            self.handed_over
+            or quota.open_requests + quota.predecessor_requests
+            >= max(1, plan.parallel // quota.gateway_count)
+        ):
             return False
         if plan.rate <= 0:
             return True
         if plan.uses_quota_shares:
-            return self._share_has(use, units)
-        if use.base is None and use.own == 0:
-            return True  # one request costs nearly nothing, and its count call tells us more
-        self._left(use)
-        if use.base is None or self.heard < 0.5:
-            use.left = self._draw(use.left, units)  # hurts: small parts serve by luck
-        return use.left >= units - 1e-9
-
-    def _share_has(self, use: _Use, units: float) -> bool:
-        """Invariant: a share is taken out of the customer's account before it is ours, and its time began as
-        we asked for it, so that it is over here before the account lets others have what we left."""
-        return self.now < use.share_until and use.share >= units - 1e-9 and not self.handed
-
-    def _ceiling_has(self, use: _Use, units: float) -> bool:
-        """This gateway's part of the ceiling, 1 / width of its rate and burst, empty at our start.
-
-        Invariant: the parts of all gateways never sum to more than the customer's store, whatever happens to
-        messages, counters and clocks: they fill no faster, hold no more, and a restart only
-        loses what was held.
+            return self._share_allows(quota, units)
+        if quota.total is None and quota.used == 0:
+            return True  # a first request costs little, and its report returns the total
+        self._refill(quota)
+        if quota.total is None or self.answer_share < 0.5:
+            quota.remaining = self._round_randomly(quota.remaining, units)  # a part may be under one unit
+        return quota.remaining >= units - 1e-9
+
+    def _share_allows(self, quota: _CustomerQuota, units: float) -> bool:
+        """Whether the share granted to this gateway covers the units.
+
+        Invariant: the account debits a share before granting it, and its life starts when it is requested, so
+        it expires here before the account grants the unused part to others.
+        """
+        return self.now < quota.share_until and quota.share >= units - 1e-9 and not self.handed_over
+
+    def _ceiling_allows(self, quota: _CustomerQuota, units: float) -> bool:
+        """Whether this gateway's part of the ceiling covers the units: a token bucket, empty at start.
+
+        Invariant: the parts of all gateways (1 / gateway_count of rate and burst) never sum to more than the
+        customer's ceiling, whatever happens to messages, counters and clocks: they fill no faster, hold no
+        more, and a restart only loses tokens.
         """
-        plan = use.plan
+        plan = quota.plan
         if plan.ceiling_rate <= 0:
             return True
-        if self.handed:
+        if self.handed_over:
             return False
-        full = plan.ceiling_burst / use.width - use.loading
-        gained = (self.now - use.ceiling_at) * plan.ceiling_rate / 1000 / use.width
-        use.ceiling = min(full, use.ceiling + gained)
-        use.ceiling_at = self.now
-        return units <= use.ceiling + 1e-9
-
-    def _sync(self, use: _Use, customer: str, reserve: float = 0.0, asked: bool = False) -> None:
-        """Tell the counter, in batches that shrink as the customer nears its limit."""
-        if use.plan.uses_quota_shares:
-            if asked and not use.calling:
-                used = use.taken / max(self.now - use.call_at, SWEEP_MS) * SHARE_OF_MS
-                use.calling, use.call_at, use.taken = True, self.now, 0.0
-                use.share = min(use.share, 0.0)  # by asking we give up what is left of the one before
-                self.calls[use.name] = customer
-                want = min(reserve + used, use.plan.burst)
-                self.out.append(api.Count(use.name, want, SHARE_MS, use.plan.name, reserve))
+        limit = plan.ceiling_burst / quota.gateway_count - quota.uploading
+        gained = (self.now - quota.ceiling_at) * plan.ceiling_rate / 1000 / quota.gateway_count
+        quota.ceiling_tokens = min(limit, quota.ceiling_tokens + gained)
+        quota.ceiling_at = self.now
+        return units <= quota.ceiling_tokens + 1e-9
+
+    def _report(self, quota: _CustomerQuota, customer: str, reserve: float = 0.0, ask: bool = False) -> None:
+        """Report use to the counter, in batches that shrink as the customer nears its limit."""
+        if quota.plan.uses_quota_shares:
+            if ask and not quota.is_calling:
+                used = quota.share_spent / max(self.now - quota.call_at, SWEEP_MS) * SHARE_SPAN_MS
+                quota.is_calling, quota.call_at, quota.share_spent = True, self.now, 0.0
+                quota.share = min(quota.share, 0.0)  # a new request gives up the rest of the last share
+                self.customer_by_counter[quota.counter_name] = customer
+                wanted = min(reserve + used, quota.plan.burst)
+                self.actions.append(
+                    api.Count(quota.counter_name, wanted, SHARE_TTL_MS, quota.plan.name, reserve)
+                )
             return
-        newer = use.own - use.added + reserve  # asked and told in one; a refusal is taken off again
-        if not self.s.counter_enabled or use.plan.rate <= 0 or use.calling:
+        amount = quota.used - quota.reported + reserve  # a reservation that is not used is returned later
+        if not self.settings.counter_enabled or quota.plan.rate <= 0 or quota.is_calling:
             return
-        if not asked and (not newer or 0 < newer * use.width < self._left(use) or not self._may_call()):
+        if not ask and (
+            not amount or 0 < amount * quota.gateway_count < self._refill(quota) or not self._may_call()
+        ):
             return
-        use.calling, use.call_at, self.call_at = True, self.now, self.now
-        use.added += newer
-        use.in_call = newer
-        self.calls[use.name] = customer
-        self.out.append(api.Count(use.name, newer, min(2 * self._window_ms(use.plan), KEEP_MAX_MS)))
-
-    def _count_reply(self, reply: api.CountReply) -> None:
-        customer = self.calls.get(reply.name)
+        quota.is_calling, quota.call_at, self.called_at = True, self.now, self.now
+        quota.reported += amount
+        quota.in_call = amount
+        self.customer_by_counter[quota.counter_name] = customer
+        self.actions.append(
+            api.Count(quota.counter_name, amount, min(2 * self._window_ms(quota.plan), COUNT_TTL_MAX_MS))
+        )
+
+    def _on_count_reply(self, reply: api.CountReply) -> None:
+        customer = self.customer_by_counter.get(reply.name)
         ok = reply.result == api.OK
         if customer in self.customer_quotas and self.customer_quotas[customer].plan.uses_quota_shares:
-            return self._granted(self.customer_quotas[customer], reply, ok)
-        self.heard += HEED * (ok - self.heard)
-        if self.heard < 0.5:
-            self._say("counter", "counter silent or crowded: calling less, quotas go by our estimates")
-        use = self.customer_quotas.get(customer) if customer is not None else None
-        if use is None or use.name != reply.name or not use.calling:
+            return self._on_share_reply(self.customer_quotas[customer], reply, ok)
+        self.answer_share += COUNTER_WEIGHT * (ok - self.answer_share)
+        if self.answer_share < 0.5:
+            self._log_limited(
+                "counter", "counter does not answer: calling it less often and estimating quotas"
+            )
+        quota = self.customer_quotas.get(customer) if customer is not None else None
+        if quota is None or quota.counter_name != reply.name or not quota.is_calling:
             return
-        use.calling = False
+        quota.is_calling = False
         if ok:
-            self._read(use, reply.total)
+            self._apply_total(quota, reply.total)
         elif reply.result != api.TIMED_OUT:
-            use.added -= use.in_call  # a timed-out call may have counted: it is not added twice
-        self._settle(use)
+            quota.reported -= quota.in_call  # a timed-out call may have counted, so it is not repeated
+        self._decide_waiting(quota)
         if ok:
-            self._sync(use, customer)
+            self._report(quota, customer)
 
-    def _granted(self, use: _Use, reply: api.CountReply, ok: bool) -> None:
-        """A share, or word that there is none, or no word: then what a gateway that is cut off may spend."""
-        if not use.calling or use.name != reply.name:
+    def _on_share_reply(self, quota: _CustomerQuota, reply: api.CountReply, ok: bool) -> None:
+        """Take a granted share; without an answer, the floor that an unreachable account allows once."""
+        if not quota.is_calling or quota.counter_name != reply.name:
             return
-        use.calling = False  # what is under 0 is owed: answers that cost more than was guessed
+        quota.is_calling = False  # a negative share is debt: answers that cost more than estimated
         if ok:
-            use.share, use.share_until = use.share + reply.total, use.call_at + SHARE_MS
-        elif not use.floored:
-            use.share, use.share_until = use.share + use.plan.floor, self.now + use.plan.floor_ms
-        use.floored = not ok
-        if not ok or reply.total <= 0:  # there is none: not before one unit has filled
-            use.share_rests = self.now + max(SWEEP_MS, 1000 / use.plan.rate)
-        self._settle(use)
-
-    def _settle(self, use: _Use) -> None:
-        """Decide the requests that waited for a total."""
-        waiting, use.asking = use.asking, []
-        if waiting:  # danger: all gateways ask again and again for a customer who floods them
-            found = use.left >= waiting[0][0].units
-            use.luck = max(use.luck + HEED * (found - use.luck), 1 / use.width)
-        for req, cls, aim_at, end_at in waiting:
-            if self.asking.pop(req.id, None) is not None:
-                self._decide(req, cls, use, aim_at, end_at, True)
-
-    def _read(self, use: _Use, total: float) -> None:
-        """A total: what the others used since the last one comes off what is left."""
-        span = max(self.now - use.base_at, 1.0)
-        others = total - (use.base or 0.0) - (use.added - use.base_own)
-        self._left(use)
-        if total >= use.added - 1e-6 and others >= -1e-6:
-            gain = use.plan.rate * span / 1000
-            full = use.base_left + gain - others - (use.own - use.base_use)
-            if use.base is None:
-                # Danger: how full the store was as the window began nobody told us; who has used in it what
-                # it gives found it empty, most likely. The longer the window lasts, the more that says.
-                sure = min(gain / use.plan.burst, 1.0) if use.plan.burst > 0 else 1.0
-                full += sure * (use.plan.burst * max(1 - others / gain, 0.0) - full)
-            # Danger: what overshot took nothing from the store, so it must not be owed ever after.
-            use.left = use.most = max(min(full, use.most), 0.0)
-            keep = OTHERS_MS / (OTHERS_MS + span)
-            use.others = keep * use.others + (1 - keep) * others / span
-        # Else the counter lost its counts: what is left stays as we know it, the count goes on from here.
-        use.base, use.base_own, use.base_use = total, use.added, use.own
-        use.base_left, use.base_at = use.most, self.now
+            quota.share, quota.share_until = quota.share + reply.total, quota.call_at + SHARE_TTL_MS
+        elif not quota.floor_used:
+            quota.share, quota.share_until = quota.share + quota.plan.floor, self.now + quota.plan.floor_ms
+        quota.floor_used = not ok
+        if not ok or reply.total <= 0:  # none granted: wait until one unit has refilled
+            quota.next_share_at = self.now + max(SWEEP_MS, 1000 / quota.plan.rate)
+        self._decide_waiting(quota)
+
+    def _decide_waiting(self, quota: _CustomerQuota) -> None:
+        """Decide the requests that waited for a total or a share."""
+        waiting, quota.waiting = quota.waiting, []
+        if waiting:  # limits calls for a customer over quota, whom all gateways would ask for
+            found = quota.remaining >= waiting[0][0].units
+            quota.found_share = max(
+                quota.found_share + COUNTER_WEIGHT * (found - quota.found_share), 1 / quota.gateway_count
+            )
+        for request, cls, objective_at, deadline_at in waiting:
+            if self.waiting_requests.pop(request.id, None) is not None:
+                self._decide(request, cls, quota, objective_at, deadline_at, True)
+
+    def _apply_total(self, quota: _CustomerQuota, total: float) -> None:
+        """Apply a counter total: deduct what the others used since the last one."""
+        span = max(self.now - quota.total_at, 1.0)
+        others = total - (quota.total or 0.0) - (quota.reported - quota.total_reported)
+        self._refill(quota)
+        if total >= quota.reported - 1e-6 and others >= -1e-6:
+            gain = quota.plan.rate * span / 1000
+            estimate = quota.total_bound + gain - others - (quota.used - quota.total_used)
+            if quota.total is None:
+                # How full the quota was at the start of the window is unknown. If the others used all that it
+                # gained since, it was probably empty; a longer window makes that more certain.
+                certainty = min(gain / quota.plan.burst, 1.0) if quota.plan.burst > 0 else 1.0
+                estimate += certainty * (quota.plan.burst * max(1 - others / gain, 0.0) - estimate)
+            # Use beyond the quota took nothing from it, so it must not become a debt.
+            quota.remaining = quota.max_remaining = max(min(estimate, quota.max_remaining), 0.0)
+            keep = OTHERS_EWMA_MS / (OTHERS_EWMA_MS + span)
+            quota.others_rate = keep * quota.others_rate + (1 - keep) * others / span
+        # Otherwise the counter lost its counts: the estimate stays, and counting continues from this total.
+        quota.total, quota.total_reported, quota.total_used = total, quota.reported, quota.used
+        quota.total_bound, quota.total_at = quota.max_remaining, self.now
 
     # --- Server choice and health ------------------------------------------------------------------------
 
-    def _warmth(self, host: _Host) -> float:
-        """The least part of its capacity that a host may have after its start."""
-        age = self.now - host.cold_from_ms
-        if not host.cold_from_ms or age >= self.s.cold_ms or self.s.cold_ms <= 0:
+    def _warm_fraction(self, server: _ServerState) -> float:
+        """Slow start: the smallest part of its capacity that a server may have at its age, 1.0 once warm."""
+        age_ms = self.now - server.cold_from_ms
+        if not server.cold_from_ms or age_ms >= self.settings.cold_ms or self.settings.cold_ms <= 0:
             return 1.0
-        return self.s.cold_from + (1 - self.s.cold_from) * max(age, 0.0) / self.s.cold_ms
+        return (
+            self.settings.cold_from + (1 - self.settings.cold_from) * max(age_ms, 0.0) / self.settings.cold_ms
+        )
 
-    def _cold_room(self, host: _Host, warmth: float, work: float) -> bool:
-        """Whether our part of a cold host's budget holds `work`; a part of it is drawn for.
+    def _cold_budget_allows(self, server: _ServerState, warm_fraction: float, work: float) -> bool:
+        """Whether this gateway's part of a cold server's budget covers `work`.
 
-        The yardstick is what this gateway itself sends to a warm host, so the parts of all gateways add up to
-        what the fleet sends to one, times warmth. Danger: parts under one request; one for each gateway would
-        tip the host, none leave it idle. Hurts: those with no yardstick yet send lone requests only.
+        The part is what this gateway sends to a warm server, times the warm fraction, so all parts add up to
+        what the fleet may send. Parts under one request are rounded at random: rounded up they would overload
+        the server, rounded down leave it idle. A gateway without a rate yet sends single requests only.
         """
-        if self.handed:
+        if self.handed_over:
             return False
         if self.warm_rate <= 0:
-            return host.open == 0 and self.rng.random() * self.holders < 1
-        most, told = COLD_MARGIN * self.s.fall_multiple, self.now - NEWS_MS < host.told_at
-        idle = told and host.told_at > host.cold_from_ms and host.util < IDLE
-        rate = (most if idle else min(most, 1.0)) * warmth * self.warm_rate
-        span = self.now - max(host.credit_at, host.cold_from_ms)
-        host.credit = min(host.credit + rate * span, rate * self.s.tip_after_ms / 2)
-        host.credit_at = self.now
-        host.credit = self._draw(host.credit, work)
-        return host.credit >= work
-
-    def _draw(self, part: float, whole: float) -> float:
-        """A part of one unit serves nobody: a fair draw for the whole keeps the sum of all gateways right."""
+            return server.in_flight == 0 and self.rng.random() * self.server_gateways < 1
+        multiple, is_recent = (
+            COLD_BUDGET_SHARE * self.settings.fall_multiple,
+            self.now - REPORT_MAX_AGE_MS < server.utilization_at,
+        )
+        is_idle = (
+            is_recent and server.utilization_at > server.cold_from_ms and server.utilization < LOW_UTILIZATION
+        )
+        rate = (multiple if is_idle else min(multiple, 1.0)) * warm_fraction * self.warm_rate
+        span = self.now - max(server.cold_tokens_at, server.cold_from_ms)
+        server.cold_tokens = min(server.cold_tokens + rate * span, rate * self.settings.tip_after_ms / 2)
+        server.cold_tokens_at = self.now
+        server.cold_tokens = self._round_randomly(server.cold_tokens, work)
+        return server.cold_tokens >= work
+
+    def _round_randomly(self, part: float, whole: float) -> float:
+        """Round a part under `whole` to 0 or `whole` at random, which keeps the mean over all gateways."""
         if part >= whole or part <= 0:
             return part
         return whole if self.rng.random() * whole < part else 0.0
 
-    def _pick(self, held: _Held) -> _Host | None:
-        """A cold host while our part lasts, else the least loaded; a failing one gets lone trials."""
-        if not self._may_go_on(held):
+    def _pick_server(self, pending: _PendingRequest) -> _ServerState | None:
+        """Choose a server: a cold one within budget, else the least loaded; ejected ones get lone trials."""
+        if not self._may_send(pending):
             return None
-        best, best_score, resting, dear = None, 0.0, [], self.s.handshake > 0
-        tried = [a.host for a in held.attempts]
-        risky = [a for a in held.attempts if a.ran] if held.cls.effect != "safe" else []
-        for host in self.servers.values():
-            if not host.up or (risky and not self._repeats(held, risky, host)):
+        best, best_score, ejected, costly = None, 0.0, [], self.settings.handshake > 0
+        tried = [a.server for a in pending.attempts]
+        may_have_run = [a for a in pending.attempts if a.may_have_run] if pending.cls.effect != "safe" else []
+        for server in self.servers.values():
+            if not server.is_up or (may_have_run and not self._may_repeat_on(pending, may_have_run, server)):
                 continue
-            warmth = self._warmth(host) if host.cold_from_ms else 1.0
-            ours = host.rank < self.holders
-            if not ours and (warmth < 1 or host.fails):
-                continue  # danger: the trials and the cold budget are for those who hold it
-            if warmth < 1 and (held.loading or not self._cold_room(host, warmth, held.work)):
-                continue  # danger: a body on its way is work of a later window
-            if host.fails:
-                if host in tried:
+            warm_fraction = self._warm_fraction(server) if server.cold_from_ms else 1.0
+            in_subset = server.rank < self.server_gateways
+            if not in_subset and (warm_fraction < 1 or server.ejections):
+                continue  # trials and cold budgets belong to the gateways of its subset
+            if warm_fraction < 1 and (
+                pending.is_uploading or not self._cold_budget_allows(server, warm_fraction, pending.work)
+            ):
+                continue  # its work would come at a later time than budgeted
+            if server.ejections:
+                if server in tried:
                     continue
-                if host.open or self.now < host.down_until:
-                    resting.append(host)
+                if server.in_flight or self.now < server.ejected_until:
+                    ejected.append(server)
                     continue
-                if held.cls.effect != "safe":
+                if pending.cls.effect != "safe":
                     continue
-                return host  # its rest is over: one safe request tries it
-            if warmth < 1:
-                return host
-            # Danger: speed is noise of what others send; weighing it in full herds us onto one server.
-            # No zone is preferred: where traffic leans to one for good, its servers alone would bear it.
-            score = (host.open + 1) * host.slow**0.5 / host.nominal
-            score *= (1 + NOISE * self.rng.random()) * (1 if ours else FAR)
-            if dear and not (host.linked and self.now < host.linked_until):
-                # Danger: among equals every choice opens a link, and each is one more for its server. It
-                # never outweighs a request: those on their way count for more.
-                score *= 1 + NOISE
-            if host in tried:
+                return server  # ejection time is over: one safe request tries it
+            if warm_fraction < 1:
+                return server
+            # Latency mostly reflects what other gateways send; in full weight it would draw all of them to
+            # one server. No zone is preferred: uneven traffic would overload the servers of one zone.
+            score = (server.in_flight + 1) * server.latency_ratio**0.5 / server.capacity
+            score *= (1 + SCORE_JITTER * self.rng.random()) * (1 if in_subset else OUTSIDE_FACTOR)
+            if costly and not (server.idle_conns and self.now < server.idle_until):
+                # Among equal servers each choice would open a connection, at the server's cost. The factor
+                # is small enough that a difference of one open request outweighs it.
+                score *= 1 + SCORE_JITTER
+            if server in tried:
                 score *= 4
             if best is None or score < best_score:
-                best, best_score = host, score
-        return best if best is not None else min(resting, key=lambda h: h.down_until, default=None)
+                best, best_score = server, score
+        return best if best is not None else min(ejected, key=lambda s: s.ejected_until, default=None)
 
-    def _unwell(self, host: _Host) -> bool:
-        """Worse than its fellows. When all are slow or failing none is: then it is f that must act."""
-        return host.slow > BAD * self.mid or (host.fails > 0 and not self.many_fail)
+    def _is_outlier(self, server: _ServerState) -> bool:
+        """Whether a server is worse than the others; if most are slow or ejected, admission acts instead."""
+        return server.latency_ratio > OUTLIER_RATIO * self.median_ratio or (
+            server.ejections > 0 and not self.most_ejected
+        )
 
-    def _judge(self, held: _Held, host: _Host, event: api.Outcome) -> None:
-        """What an outcome says of its host."""
-        usual = self._usual(held)
+    def _update_health(self, pending: _PendingRequest, server: _ServerState, event: api.Outcome) -> None:
+        """Update a server's health and latency by an outcome."""
+        usual = self._usual_latency(pending)
         if "util" in event.load_report:
-            host.util, host.told_at = event.load_report["util"], self.now
+            server.utilization, server.utilization_at = event.load_report["util"], self.now
         if event.result == api.OK:
-            if host.died:
-                # Danger: a host back from the dead is cold long before the list says so.
-                host.cold_from_ms, host.died = max(host.cold_from_ms, self.now), False
-            host.strikes = host.fails = 0
-            host.slow += GAIN * (min(event.took_ms / usual, 20.0) - host.slow)
-            units = max(event.billed_units or held.req.units, 1e-6)
-            self.latency[held.cls.name] += GAIN / 4 * (event.took_ms / units - self.latency[held.cls.name])
-            self.done += 1
-        elif event.result == api.CONNECT_FAILED and held.loading and not event.nothing_sent:
-            self._strike(host)  # a long body has many chances to break
+            if server.maybe_restarted:
+                # A restarted server is cold, and the list of servers says so only much later.
+                server.cold_from_ms, server.maybe_restarted = max(server.cold_from_ms, self.now), False
+            server.failures = server.ejections = 0
+            server.latency_ratio += EWMA_WEIGHT * (min(event.took_ms / usual, 20.0) - server.latency_ratio)
+            units = max(event.billed_units or pending.request.units, 1e-6)
+            self.unit_latency[pending.cls.name] += (
+                EWMA_WEIGHT / 4 * (event.took_ms / units - self.unit_latency[pending.cls.name])
+            )
+            self.completions += 1
+        elif event.result == api.CONNECT_FAILED and pending.is_uploading and not event.nothing_sent:
+            self._count_failure(server)  # a long upload may break without a fault of the server
         elif event.result == api.CONNECT_FAILED:
-            # Danger: a dial may also break on its way; it is death when the trial after a rest fails too.
-            host.died = host.died or (host.fails > 0 and self.now >= host.down_until)
-            self._down(host)
+            # A connection may also fail in the network; a restart is assumed if the next trial fails too.
+            server.maybe_restarted = server.maybe_restarted or (
+                server.ejections > 0 and self.now >= server.ejected_until
+            )
+            self._eject(server)
         elif event.result == api.RESET:
-            # Danger: one connection may break on its way while its host is well. A host that died breaks all
-            # that it holds and takes no new one, which is what tells.
-            self._strike(host)
+            # One connection may break in the network. A server that crashed breaks all of its connections
+            # and accepts no new ones, which reaches the limit of consecutive failures.
+            self._count_failure(server)
         elif event.result in (api.ERROR, api.TIMED_OUT, api.FULL):
-            host.slow += GAIN * (min(max(held.cls.objective_ms / usual, 2.0), 20.0) - host.slow)
-            late = event.result == api.TIMED_OUT and self._unwell(host)
-            self._strike(host, late or event.result == api.ERROR)
+            server.latency_ratio += EWMA_WEIGHT * (
+                min(max(pending.cls.objective_ms / usual, 2.0), 20.0) - server.latency_ratio
+            )
+            is_failure = event.result == api.TIMED_OUT and self._is_outlier(server)
+            self._count_failure(server, is_failure or event.result == api.ERROR)
 
-    def _strike(self, host: _Host, counts: bool = True) -> None:
-        host.strikes += counts
-        if host.fails or host.strikes >= STRIKES:
-            self._down(host)
+    def _count_failure(self, server: _ServerState, is_counted: bool = True) -> None:
+        server.failures += is_counted
+        if server.ejections or server.failures >= EJECTION_FAILURES:
+            self._eject(server)
 
-    def _down(self, host: _Host) -> None:
-        if host.fails and self.now < host.down_until:
+    def _eject(self, server: _ServerState) -> None:
+        if server.ejections and self.now < server.ejected_until:
             return
-        host.down_until = self.now + min(BACKOFF_MS * 2**host.fails, BACKOFF_MAX_MS)
-        host.fails = min(host.fails + 1, 10)
-        self._say("host", f"{host.name} fails: resting it")
+        server.ejected_until = self.now + min(BACKOFF_MS * 2**server.ejections, BACKOFF_MAX_MS)
+        server.ejections = min(server.ejections + 1, 10)
+        self._log_limited("host", f"{server.name} is failing: ejecting it")
 
     # --- Attempts and final answers -----------------------------------------------------------------------
 
-    def _may_go_on(self, held: _Held) -> bool:
-        """Whether a request may be sent to any server."""
-        if len(held.attempts) >= held.most or held.answered or held.stream:
+    def _may_send(self, pending: _PendingRequest) -> bool:
+        """Whether one more attempt is allowed, at whatever server."""
+        if len(pending.attempts) >= pending.attempt_limit or pending.is_answered or pending.is_streaming:
             return False
-        if not self.s.second_copies and any(a.open for a in held.attempts):
+        if not self.settings.second_copies and any(a.is_open for a in pending.attempts):
             return False
-        return held.req.body_is_buffered or not any(a.touched for a in held.attempts)  # else its body is gone
-
-    def _repeats(self, held: _Held, risky: list[_Attempt], host: _Host) -> bool:
-        """The rules on repeats, for one server: whether what may have run elsewhere may be sent to it."""
-        if held.cls.effect == "unsafe":
+        # A body that is not buffered cannot be sent again.
+        return pending.request.body_is_buffered or not any(a.may_have_sent for a in pending.attempts)
+
+    def _may_repeat_on(
+        self, pending: _PendingRequest, may_have_run: list[_Attempt], server: _ServerState
+    ) -> bool:
+        """Whether a request that may have run elsewhere may be repeated here, by its class's effect."""
+        if pending.cls.effect == "unsafe":
             return False
-        if self._key_left(held) < 0:
+        if self._key_time_left(pending) < 0:
             return False
-        scope = held.cls.key_scope
+        scope = pending.cls.key_scope
         return scope == "all" or all(
-            a.host.zone == host.zone and (scope == "zone" or a.host.cell == host.cell) for a in risky
+            a.server.zone == server.zone and (scope == "zone" or a.server.cell == server.cell)
+            for a in may_have_run
         )
 
-    def _key_left(self, held: _Held) -> float:
-        """How long its key is remembered yet: from the first send that may have run.
+    def _key_time_left(self, pending: _PendingRequest) -> float:
+        """How long servers still remember the request's key, from the first attempt that may have run.
 
-        Danger: a send that is decided inside its window may wait for a connection until past it.
+        The caller passes it on as the start deadline: a repeat may wait for a connection past the window.
         """
-        if held.cls.effect != "keyed":
+        if pending.cls.effect != "keyed":
             return math.inf
-        sent = next((a.sent for a in held.attempts if a.ran), math.inf)
-        return held.cls.window_ms - 2 * self.s.tick_ms - (self.now - sent)
+        sent_at = next((a.sent_at for a in pending.attempts if a.may_have_run), math.inf)
+        return pending.cls.window_ms - 2 * self.settings.tick_ms - (self.now - sent_at)
 
-    def _send(self, held: _Held, host: _Host) -> None:
-        """One attempt, given up when it can no longer be in time, or when it is better asked for again.
+    def _send(self, pending: _PendingRequest, server: _ServerState) -> None:
+        """Start an attempt that times out when it is late, or earlier when a retry is more promising.
 
-        Danger: an answer that never comes costs its whole aim, whoever lost it: a path, a stuck or a slow
-        server. While answers get lost beside fast ones, what may be repeated ends early. Hurts: long jobs.
+        An answer that never arrives, for a lost packet or a stuck server, costs the whole objective. While
+        answers get lost beside fast ones, repeatable requests time out early, at the expense of long jobs.
         """
-        timeout = max(held.aim_at - self.now - self.s.tick_ms, min(1.0, held.end_at - self.now))
-        early = max(timeout / 2, PATIENCE * self._usual(held))
+        timeout_ms = max(
+            pending.objective_at - self.now - self.settings.tick_ms, min(1.0, pending.deadline_at - self.now)
+        )
+        early_ms = max(timeout_ms / 2, EARLY_TIMEOUT * self._usual_latency(pending))
         if (
-            self.lost > LOST
-            and held.req.body_is_buffered
-            and held.cls.effect != "unsafe"
-            and self.bank >= 1
-            and len(held.attempts) + 1 < held.most
-            and early + self._usual(held) < timeout
+            self.lost_share > MAX_LOST_SHARE
+            and pending.request.body_is_buffered
+            and pending.cls.effect != "unsafe"
+            and self.retry_budget >= 1
+            and len(pending.attempts) + 1 < pending.attempt_limit
+            and early_ms + self._usual_latency(pending) < timeout_ms
         ):
-            timeout = early
-        self.out.append(api.Send(held.req.id, host.name, timeout, self._key_left(held)))
-        attempt = _Attempt(host)
-        host.linked = max(host.linked - 1, 0) if self.now < host.linked_until else 0
-        held.attempts.append(attempt)
-        if not held.loading:
+            timeout_ms = early_ms
+        self.actions.append(
+            api.Send(pending.request.id, server.name, timeout_ms, self._key_time_left(pending))
+        )
+        attempt = _Attempt(server)
+        server.idle_conns = max(server.idle_conns - 1, 0) if self.now < server.idle_until else 0
+        pending.attempts.append(attempt)
+        if not pending.is_uploading:
             attempt.start(self.now)
-        if self._warmth(host) < 1:
-            host.credit -= held.work
+        if self._warm_fraction(server) < 1:
+            server.cold_tokens -= pending.work
         else:
-            self.warm_work += held.work
+            self.warm_work += pending.work
 
-    def _answer(self, held: _Held) -> None:
-        """The final answer of a request that will not be served."""
-        may_have_run = any(a.ran for a in held.attempts)  # then a refusal would promise too much
-        self.out.append(api.Fail(held.req.id) if may_have_run else api.Refuse(held.req.id, reason="gave up"))
-        self._finish(held)
+    def _give_up(self, pending: _PendingRequest) -> None:
+        """Give the final answer to a request that will not be served."""
+        may_have_run = any(a.may_have_run for a in pending.attempts)  # Refuse promises that it did not run
+        self.actions.append(
+            api.Fail(pending.request.id) if may_have_run else api.Refuse(pending.request.id, reason="gave up")
+        )
+        self._finish(pending)
 
-    def _finish(self, held: _Held | None) -> None:
-        """No more is sent; attempts still out are called off, and awaited."""
-        if held is None:
+    def _finish(self, pending: _PendingRequest | None) -> None:
+        """Send no more attempts, cancel the open ones, and drop the request once all have ended."""
+        if pending is None:
             return
-        still = [i for i, a in enumerate(held.attempts) if a.open]
-        if self.s.cancel and not held.stream and not held.answered:
-            self.out.extend(api.Cancel(held.req.id, i) for i in still)
-        held.answered = True
-        if not still:
-            self._loaded(held)
-        if not still and self.open_requests.pop(held.req.id, None) is not None:
-            held.use.open -= 1
-            if held.claim and not any(a.ran for a in held.attempts):
-                self.out.append(api.Release(held.req.id))
-
-    def _still_out(self, event: api.Outcome | api.StreamStarted) -> tuple[_Held, _Attempt] | None:
-        """Whose event it is; None if that attempt is over or was never made."""
-        held = self.open_requests.get(event.request)
-        if held is None or not 0 <= event.attempt < len(held.attempts):
+        open_attempts = [i for i, a in enumerate(pending.attempts) if a.is_open]
+        if self.settings.cancel and not pending.is_streaming and not pending.is_answered:
+            self.actions.extend(api.Cancel(pending.request.id, i) for i in open_attempts)
+        pending.is_answered = True
+        if not open_attempts:
+            self._end_upload(pending)
+        if not open_attempts and self.open_requests.pop(pending.request.id, None) is not None:
+            pending.quota.open_requests -= 1
+            if pending.claim_state and not any(a.may_have_run for a in pending.attempts):
+                self.actions.append(api.Release(pending.request.id))
+
+    def _find_open(self, event: api.Outcome | api.StreamStarted) -> tuple[_PendingRequest, _Attempt] | None:
+        """The request and attempt of an event; None if that attempt has ended or never existed."""
+        pending = self.open_requests.get(event.request)
+        if pending is None or not 0 <= event.attempt < len(pending.attempts):
             return None
-        attempt = held.attempts[event.attempt]
-        return (held, attempt) if attempt.open else None
+        attempt = pending.attempts[event.attempt]
+        return (pending, attempt) if attempt.is_open else None
 
-    def _stream_started(self, event: api.StreamStarted) -> None:
-        found = self._still_out(event)
-        if found is None or found[0].stream:
+    def _on_stream_started(self, event: api.StreamStarted) -> None:
+        found = self._find_open(event)
+        if found is None or found[0].is_streaming:
             return
-        held, attempt = found
-        held.stream = True
-        # Danger: how fast the client reads is not its server's load.
+        pending, attempt = found
+        pending.is_streaming = True
+        # From here on the time depends on how fast the client reads, not on the server's load.
         attempt.stop()
-        self._learn(
-            held,
+        self._record_result(
+            pending,
             attempt,
-            api.Outcome(event.request, event.attempt, attempt.host.name, api.OK, event.took_ms, False),
+            api.Outcome(event.request, event.attempt, attempt.server.name, api.OK, event.took_ms, False),
         )
-        if self.s.cancel:
-            self.out.extend(
-                api.Cancel(held.req.id, i)
-                for i, a in enumerate(held.attempts)
-                if a.open and i != event.attempt
+        if self.settings.cancel:
+            self.actions.extend(
+                api.Cancel(pending.request.id, i)
+                for i, a in enumerate(pending.attempts)
+                if a.is_open and i != event.attempt
             )
 
-    def _uploaded(self, held: _Held | None) -> None:
-        if held is not None and held.loading:
-            self._loaded(held)
-            held.attempts[-1].start(self.now)
+    def _on_uploaded(self, pending: _PendingRequest | None) -> None:
+        if pending is not None and pending.is_uploading:
+            self._end_upload(pending)
+            pending.attempts[-1].start(self.now)
 
     @staticmethod
-    def _loaded(held: _Held) -> None:
-        held.use.loading -= held.req.units * held.loading
-        held.loading = False
+    def _end_upload(pending: _PendingRequest) -> None:
+        pending.quota.uploading -= pending.request.units * pending.is_uploading
+        pending.is_uploading = False
 
-    def _outcome(self, event: api.Outcome) -> None:
-        found = self._still_out(event)
+    def _on_outcome(self, event: api.Outcome) -> None:
+        found = self._find_open(event)
         if found is None:
             return
-        held, attempt = found
-        attempt.open = False
+        pending, attempt = found
+        attempt.is_open = False
         attempt.stop()
-        attempt.ran = event.result not in api.NEVER_RAN
-        attempt.touched = not event.nothing_sent
-        if event.result in (api.OK, api.ERROR, api.FULL):  # its link is free for the next one
-            attempt.host.linked += 1
-            attempt.host.linked_until = self.now + LINK_SHARE * self.s.idle_ms
+        attempt.may_have_run = event.result not in api.NEVER_RAN
+        attempt.may_have_sent = not event.nothing_sent
+        if event.result in (api.OK, api.ERROR, api.FULL):  # the connection is idle again
+            attempt.server.idle_conns += 1
+            attempt.server.idle_until = self.now + IDLE_CONN_SHARE * self.settings.idle_ms
         elif event.result == api.CONNECT_FAILED:
-            attempt.host.linked = 0
-        if event.result != api.START_EXPIRED and not (held.stream and event.result == api.OK):
-            self._learn(held, attempt, event)
-        if attempt.touched:
-            self._loaded(held)
-        if event.result == api.OK and event.billed_units > 0 and held.use.plan.rate > 0:
-            self._spend(held.use, event.billed_units - held.req.units)
-            self._sync(held.use, held.req.customer)
-        if event.final or event.result == api.OK or held.answered:
-            self._finish(held)
-        elif not any(a.open for a in held.attempts) and not self._again(held, event.result):
-            self._answer(held)
-
-    def _learn(self, held: _Held, attempt: _Attempt, event: api.Outcome) -> None:
-        """What the end of a server's work says of it, and of them all."""
-        self._sample(held, attempt, event)
-        self._judge(held, attempt.host, event)
-
-    def _usual(self, held: _Held) -> float:
-        return self.latency[held.cls.name] * max(held.req.units, 1e-6)
-
-    def _again(self, held: _Held, result: str) -> bool:
-        """A further attempt if it can still be in time and is paid for.
-
-        One that met nobody cost no server anything. Danger: with most of its list gone a gateway would spend
-        all that it may on refused dials, and give up what the next server takes.
+            attempt.server.idle_conns = 0
+        if event.result != api.START_EXPIRED and not (pending.is_streaming and event.result == api.OK):
+            self._record_result(pending, attempt, event)
+        if attempt.may_have_sent:
+            self._end_upload(pending)
+        if event.result == api.OK and event.billed_units > 0 and pending.quota.plan.rate > 0:
+            self._spend(pending.quota, event.billed_units - pending.request.units)
+            self._report(pending.quota, pending.request.customer)
+        if event.final or event.result == api.OK or pending.is_answered:
+            self._finish(pending)
+        elif not any(a.is_open for a in pending.attempts) and not self._retry(pending, event.result):
+            self._give_up(pending)
+
+    def _record_result(self, pending: _PendingRequest, attempt: _Attempt, event: api.Outcome) -> None:
+        """Update admission and the server's health by the end of its work."""
+        self._sample_occupancy(pending, attempt, event)
+        self._update_health(pending, attempt.server, event)
+
+    def _usual_latency(self, pending: _PendingRequest) -> float:
+        return self.unit_latency[pending.cls.name] * max(pending.request.units, 1e-6)
+
+    def _retry(self, pending: _PendingRequest, result: str) -> bool:
+        """Start another attempt if it can still be in time and the retry budget allows it.
+
+        Retries of attempts that reached no server are free: with most servers gone, failed connections would
+        use up the budget, and requests that the next server could take would be given up.
         """
-        price = result not in (api.CONNECT_FAILED, api.START_EXPIRED)
-        if self.bank < price or held.aim_at - self.now <= max(self._usual(held), 2 * self.s.tick_ms):
+        cost = result not in (api.CONNECT_FAILED, api.START_EXPIRED)
+        if self.retry_budget < cost or pending.objective_at - self.now <= max(
+            self._usual_latency(pending), 2 * self.settings.tick_ms
+        ):
             return False
-        host = self._pick(held)
-        if host is not None:
-            self.bank -= price
-            self._send(held, host)
-        return host is not None
+        server = self._pick_server(pending)
+        if server is not None:
+            self.retry_budget -= cost
+            self._send(pending, server)
+        return server is not None
 
     # --- Timers -------------------------------------------------------------------------------------------
 
-    def _sweep(self) -> None:
+    def _on_sweep(self) -> None:
         span = max(self.now - self.sweep_due + SWEEP_MS, 1.0)
-        # Danger: a rate of two a second means nothing over one second: its memory holds some outcomes, too.
-        memory = max(RATE_MEMORY_MS, 3 * FEW / max(self.done_rate, 1e-9))
-        memory = min(memory, self.now - self.born)
-        keep = memory / (memory + span)
-        self.done_rate = keep * self.done_rate + (1 - keep) * self.done / span
-        self._share_out()
-        held = [h for h in self.servers.values() if h.up and not h.fails and self._ours(h)]
-        self.size = max(sum(h.nominal for h in held), 1e-6)
-        slow = sorted(h.slow for h in self.servers.values() if h.up)
-        self.mid = max(slow[len(slow) // 2], 1.0) if slow else 1.0
-        self.many_fail = 2 * sum(1 for h in self.servers.values() if h.up and h.fails) > len(slow)
-        warm = sum(1 for h in held if self._warmth(h) >= 1)
-        if warm:
-            self.warm_rate = keep * self.warm_rate + (1 - keep) * self.warm_work / span / warm
-        self.done = self.warm_work = 0.0
-        for cell in self.cells.values():
-            cell.work *= keep
+        # A low rate needs a longer time constant, so that it covers several outcomes.
+        time_constant = max(RATE_EWMA_MS, 3 * MIN_OUTCOMES / max(self.completion_rate, 1e-9))
+        time_constant = min(time_constant, self.now - self.started_at)
+        keep = time_constant / (time_constant + span)
+        self.completion_rate = keep * self.completion_rate + (1 - keep) * self.completions / span
+        self._choose_subset()
+        subset = [s for s in self.servers.values() if s.is_up and not s.ejections and self._in_subset(s)]
+        self.subset_capacity = max(sum(s.capacity for s in subset), 1e-6)
+        ratios = sorted(s.latency_ratio for s in self.servers.values() if s.is_up)
+        self.median_ratio = max(ratios[len(ratios) // 2], 1.0) if ratios else 1.0
+        self.most_ejected = 2 * sum(1 for s in self.servers.values() if s.is_up and s.ejections) > len(ratios)
+        warm_servers = sum(1 for s in subset if self._warm_fraction(s) >= 1)
+        if warm_servers:
+            self.warm_rate = keep * self.warm_rate + (1 - keep) * self.warm_work / span / warm_servers
+        self.completions = self.warm_work = 0.0
+        for group in self.groups.values():
+            group.work *= keep
         self._update_f()
-        for use in [u for u in self.customer_quotas.values() if u.asking]:
-            if self.now - use.call_at > self.s.count_wait_ms + SWEEP_MS:  # danger: a reply that never comes
-                use.calling = use.plan.uses_quota_shares  # a share that comes late is ours all the same
-                self._settle(use)
-        for customer in [c for c, u in self.customer_quotas.items() if self._stale(u)]:
-            self.calls.pop(self.customer_quotas.pop(customer).name, None)
+        for quota in [u for u in self.customer_quotas.values() if u.waiting]:
+            if self.now - quota.call_at > self.settings.count_wait_ms + SWEEP_MS:  # the reply is lost
+                quota.is_calling = quota.plan.uses_quota_shares  # a late share is still usable
+                self._decide_waiting(quota)
+        for customer in [c for c, u in self.customer_quotas.items() if self._can_forget(u)]:
+            self.customer_by_counter.pop(self.customer_quotas.pop(customer).counter_name, None)
         self.sweep_due = self.now + SWEEP_MS
-        self.out.append(api.Timer("sweep", SWEEP_MS))
+        self.actions.append(api.Timer("sweep", SWEEP_MS))
 
-    def _stale(self, use: _Use) -> bool:
-        idle, plan = self.now - use.seen, use.plan
-        memory = self._window_ms(plan) if plan.rate > 0 else RATE_MEMORY_MS
-        if use.open or use.asking or idle < FORGET_WINDOWS * memory:
+    def _can_forget(self, quota: _CustomerQuota) -> bool:
+        idle_ms, plan = self.now - quota.seen_at, quota.plan
+        window_ms = self._window_ms(plan) if plan.rate > 0 else RATE_EWMA_MS
+        if quota.open_requests or quota.waiting or idle_ms < FORGET_AFTER_WINDOWS * window_ms:
             return False
-        # A forgotten ceiling part starts anew from our start: only one that would be full again may go.
-        return plan.ceiling_rate <= 0 or idle * plan.ceiling_rate >= 1000 * plan.ceiling_burst
+        # A dropped ceiling part would fill again from this process's start: only a full one is dropped.
+        return plan.ceiling_rate <= 0 or idle_ms * plan.ceiling_rate >= 1000 * plan.ceiling_burst
 
-    def _say(self, cause: str, text: str) -> None:
-        if self.now - self.said.get(cause, -1e9) >= 5000:
-            self.said[cause] = self.now
-            self.out.append(api.Log(text))
+    def _log_limited(self, cause: str, text: str) -> None:
+        if self.now - self.logged_at.get(cause, -1e9) >= 5000:
+            self.logged_at[cause] = self.now
+            self.actions.append(api.Log(text))
