--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -1,6 +1,6 @@
-"""Settings, events and actions of the decision module. Neutral: no policy lives here.
+"""Settings, events and actions of the decision module (yewstage/policy.py); it holds data only.
 
-Every time is in milliseconds on the caller's clock, every amount of use in quota units.
+Times and durations are in milliseconds on the caller's clock, amounts of use in quota units.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import math
 from dataclasses import dataclass, field
 
-# Results of an attempt, and whether each one proves that the request never ran.
+# Results of an attempt. Those of NEVER_RAN prove that the server did not run the request.
 OK, ERROR, FULL, TIMED_OUT = "ok", "error", "full", "timed_out"
 CONNECT_FAILED, RESET, CANCELLED, START_EXPIRED = "connect_failed", "reset", "cancelled", "moot"
 NEVER_RAN = frozenset((FULL, CONNECT_FAILED, START_EXPIRED))
@@ -16,68 +16,64 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of request: what it is worth, when it is wanted, whether it may run again."""
+    """A class of requests: its worth, its latency objective and whether an attempt may be repeated."""
 
     name: str
-    objective_ms: float
-    deadline_ms: float
+    objective_ms: float  # an answer later than this is worth only late_worth
+    deadline_ms: float  # how long a client waits, its retries included
     worth: float = 1.0
     late_worth: float = 0.0
-    effect: str = "safe"  # safe, keyed, unsafe
-    key_scope: str = "all"  # all, zone, cell
-    window_ms: float = 0.0  # how long hosts remember a key
+    effect: str = "safe"  # safe: may be repeated; keyed: within key_scope and window_ms; unsafe: never
+    key_scope: str = "all"  # servers that share remembered keys: all, those of one zone, or of one cell
+    window_ms: float = 0.0  # how long servers remember an idempotency key
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A plan: quota store, ceiling store and what work counts for; the stores are per customer."""
+    """A plan: quota, ceiling and worth of its requests. Quota and ceiling are token buckets per customer."""
 
     name: str
-    rate: float = 0.0  # units a second; 0: no such quota
+    rate: float = 0.0  # quota, units per second; 0: no quota
     burst: float = 0.0
     worth: float = 1.0
-    over_worth: float = 0.0
+    over_worth: float = 0.0  # worth and cost of a request over quota
     over_cost: float = 0.0
-    ceiling_rate: float = 0.0  # units a second; 0: no ceiling
+    ceiling_rate: float = 0.0  # hard limit, units per second; 0: no ceiling
     ceiling_burst: float = 0.0
-    parallel: int = 0  # attempts out at once; 0: no such quota
-    uses_quota_shares: bool = (
-        False  # its quota is spent out of shares that are granted to one gateway each, and only so
-    )
-    floor: float = 0.0  # units that a gateway which hears nobody may spend besides, once
-    floor_ms: float = 0.0  # and for how long
+    parallel: int = 0  # limit on concurrent requests; 0: no limit
+    uses_quota_shares: bool = False  # quota is spent only from shares, each granted to one gateway
+    floor: float = 0.0  # units that a gateway may spend once when nothing answers its share request
+    floor_ms: float = 0.0  # how long it may spend them
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a gateway is told when it starts."""
+    """The settings of a gateway, at its start or by `Retuned`."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...] = ()
     gateway_index: int = 0
     fleet_size: int = 1
-    try_limit: int = 1
-    second_copies: bool = False
-    cancel: bool = False
-    retry_after: bool = False
-    marks_retry: bool = False  # clients mark their retries: what is not marked is a first try
+    try_limit: int = 1  # attempts per request
+    second_copies: bool = False  # an attempt may start while another is open
+    cancel: bool = False  # open attempts may be cancelled
+    retry_after: bool = False  # refusals may tell the client when to retry
+    marks_retry: bool = False  # clients mark their retries, so an unmarked request is a first try
     max_retry_after_ms: float = 0.0
-    server_list_on_request: bool = False  # the list of servers comes only on request
-    counter_enabled: bool = False
-    count_wait_ms: float = 50.0
-    tick_ms: float = 1.0
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
-    fall_multiple: float = 1.0
-    tip_after_ms: float = 0.0
-    handshake: float = 0.0  # price of a new connection, in first tries
-    idle_ms: float = 15000.0  # servers close connections that stand idle for so long
-    uses_claim_record: bool = (
-        False  # keyed requests are claimed on a record that all gateways share, before any is sent
-    )
+    server_list_on_request: bool = False  # changes to the list of servers come only after Subscribe
+    counter_enabled: bool = False  # a counter shared by all gateways can be called
+    count_wait_ms: float = 50.0  # time-out of a counter call
+    tick_ms: float = 1.0  # resolution of timers
+    cold_from: float = 1.0  # part of its capacity that a server has at its start
+    cold_ms: float = 0.0  # how long a server takes to reach its full capacity
+    fall_multiple: float = 1.0  # a cold server fails at this multiple of its capacity at the time ...
+    tip_after_ms: float = 0.0  # ... when that lasts for so long
+    handshake: float = 0.0  # cost of a new connection, in first attempts
+    idle_ms: float = 15000.0  # servers close connections that are idle for so long
+    uses_claim_record: bool = False  # keyed requests are claimed on a shared record before they are sent
 
     def check(self) -> None:
-        """Refuse settings that make no sense, naming the field."""
+        """Raises ValueError for invalid settings; the message starts with the field's name."""
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         if self.fleet_size < 1:
@@ -110,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Server:
-    """One line of the list of servers."""
+    """One entry of the list of servers."""
 
     name: str
     zone: str = ""
     cell: int = 0
     status: str = "up"  # up, draining, removed
     nominal_capacity: float = 1.0
-    up_since_ms: float = 0.0  # 0: a long time back
+    up_since_ms: float = 0.0  # start of the server's process; 0: long ago or not known
 
 
 # Events
@@ -125,7 +121,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
-    """News of the servers: 'full' and 'kept' bring all of them, 'changes' some, 'failed' none."""
+    """An update of the list of servers.
+
+    kind: 'full' (all servers), 'kept' (all, from a stored copy), 'changes' (some) or 'failed' (none).
+    """
 
     kind: str
     servers: tuple[Server, ...] = ()
@@ -133,7 +132,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request, which is owed exactly one final answer."""
+    """A client's request. It gets exactly one final answer unless the client leaves."""
 
     id: str
     class_name: str
@@ -141,16 +140,16 @@
     customer: str
     time_left_ms: float
     units: float = 1.0
-    gateway_count: int = 1  # gateways that this customer's requests may come through
-    first_gateway: int = 0  # number of the first of them
+    gateway_count: int = 1  # gateways that receive this customer's requests
+    first_gateway: int = 0  # index of the first of them
     is_retry: bool = False
-    body_is_buffered: bool = True  # its body is kept; else it is passed on once, as it comes: see `Uploaded`
-    cls: RequestClass | None = None  # its class as it was when the request came; None: as it is
+    body_is_buffered: bool = True  # else it is passed on once, as it arrives; see `Uploaded`
+    cls: RequestClass | None = None  # the class as of the request's arrival; None: the current one
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How one attempt ended; `final` is set once the request is finished."""
+    """The end of one attempt; `final` is set if the request has had its answer."""
 
     request: str
     attempt: int
@@ -158,14 +157,14 @@
     result: str
     took_ms: float
     final: bool
-    billed_units: float = 0.0  # 0: not told
-    load_report: dict[str, float] = field(default_factory=dict)  # of its load: util, inflight, queue, or some
-    nothing_sent: bool = False  # no byte of it has left: a body that is not kept is still whole
+    billed_units: float = 0.0  # 0: not reported
+    load_report: dict[str, float] = field(default_factory=dict)  # any of util, inflight, queue
+    nothing_sent: bool = False  # no byte was sent, so an unbuffered body is still whole
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A streamed answer has begun: the client owns this attempt now."""
+    """A streamed answer has begun to reach the client: no other attempt can answer the request now."""
 
     request: str
     attempt: int
@@ -174,28 +173,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Uploaded:
-    """The last byte of a body that is not kept has left: the attempt is at its server, time runs from now."""
+    """An unbuffered body has been sent whole: the attempt's latency is measured from now on."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class ClientLeft:
-    """The client is gone; nothing more is owed."""
+    """The client has disconnected; the request needs no answer."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    """A timer that the module asked for."""
+    """A timer started by `Timer` has expired."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class CountReply:
-    """What one Count call came to: result ok, full, connect_failed or timed_out."""
+    """The result of one `Count`: ok, full, connect_failed or timed_out; `total` counts only with ok."""
 
     name: str
     result: str
@@ -205,8 +204,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Claimed:
-    """What one Claim came to: 'yours', 'done' (with an answer that is known), 'held' (another request has the
-    key, and what became of it is not known), or 'silent' (the record did not say in time)."""
+    """The result of one `Claim`.
+
+    result: 'yours' (claimed), 'done' (the record has the key's answer), 'held' (another request has the key
+    and its outcome is not known) or 'silent' (the record did not answer in time).
+    """
 
     request: str
     result: str
@@ -214,21 +216,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Retuned:
-    """Other settings hold from now on, for what comes; what is open keeps the rules that it came under."""
+    """New settings for requests from now on; open requests keep those that they arrived under."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class TakenOver:
-    """New work begins here, after another process of this gateway: what its `hand_over` gave, or None."""
+    """This process takes over from another one: the state from its `hand_over`, None if there is none."""
 
     state: dict[str, object] | None
 
 
 @dataclass(slots=True, frozen=True)
 class PredecessorGone:
-    """The process that handed over has ended, and with it all that it had out."""
+    """The process that handed over has exited, so it has no open requests any more."""
 
 
 # Actions
@@ -236,33 +238,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt; attempts of a request are numbered 0, 1, 2... in the order of Sends."""
+    """Start an attempt. A request's attempts are numbered from 0 in the order of their Sends."""
 
     request: str
     server: str
     timeout_ms: float
-    start_deadline_ms: float = math.inf  # what is not begun by then must not begin any more: it ends as MOOT
+    start_deadline_ms: float = math.inf  # if not sent by then, it ends as START_EXPIRED
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not served, and trying again does no harm."""
+    """Final answer: not run by any server, so the client may retry it safely."""
 
     request: str
     retry_after_ms: float = 0.0
-    reason: str = ""  # for the log
+    reason: str = ""  # logged and counted in the metrics
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; a server may have run it."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """Claim a keyed request's key on the record that all gateways share; it is kept for so long at least."""
+    """Claim a keyed request's key on the shared record, for at least `window_ms`; time-out `wait_ms`."""
 
     request: str
     window_ms: float
@@ -271,21 +273,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """A claimed request is sure not to have run: its key is free."""
+    """Free the key of a claimed request that certainly did not run."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Recall:
-    """Final answer: the one that the record has of this key."""
+    """Final answer: the one that the shared record has for the request's key."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt. Its Outcome still follows."""
 
     request: str
     attempt: int
@@ -293,7 +295,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """Ask for a TimerDue."""
+    """Start a timer; `TimerDue` reports its expiry."""
 
     name: str
     delay_ms: float
@@ -301,23 +303,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Count:
-    """Add to a shared count and learn its total; with a plan: have a share granted, learn its units."""
+    """Add to a shared count and read its total. With a plan: request a quota share and read its units."""
 
     name: str
     amount: float
     ttl_ms: float
-    plan: str = ""  # of the share
-    min_units: float = 0.0  # units under which a share is of no use
+    plan: str = ""  # plan of the share
+    min_units: float = 0.0  # smallest useful share
 
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask to be told of changes to the list of servers."""
+    """Subscribe to changes of the list of servers."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the people on call."""
+    """A log line for operators."""
 
     text: str
 
--- a/yewstage/wire.py
+++ b/yewstage/wire.py
@@ -1,4 +1,7 @@
-"""The codec of the wire: lines to events, actions to lines. Translation only."""
+"""Codec of the line protocol of yewstage.wirehost: lines to events, actions to lines.
+
+It translates only; decisions are in yewstage/policy.py, the batches in yewstage/wirehost.py.
+"""
 
 from __future__ import annotations
 
@@ -19,17 +22,21 @@
     "Ignored": api.START_EXPIRED,
 }
 LIST_KINDS = {"Partial": "changes", "Complete": "full", "Persisted": "kept", "Error": "failed"}
-REPORTS = {"load_share": "util", "concurrent": "inflight", "depth": "queue"}  # by the interface's names
+LOAD_REPORT_NAMES = {
+    "load_share": "util",
+    "concurrent": "inflight",
+    "depth": "queue",
+}  # protocol name -> interface name
 STATUSES = ("up", "draining", "removed")
 
 
 class WireError(ValueError):
-    """A line that does not follow the wire's format."""
+    """A line that does not follow the protocol."""
 
 
 @dataclass(slots=True)
 class Open:
-    """A new instance with its seed and settings."""
+    """Start an instance with a seed and settings."""
 
     seed: int
     settings: api.Settings
@@ -37,16 +44,16 @@
 
 @dataclass(slots=True)
 class Close:
-    """The instance was killed."""
+    """The instance has been killed."""
 
 
 @dataclass(slots=True)
 class Ignored:
-    """A message that tells the module nothing on which it acts; it is read, so that a wrong one is found."""
+    """A message that the decision module does not use; it is parsed so that a malformed one is reported."""
 
 
-def number(text: str) -> float:
-    """A finite number; '-' is absent and reads as 0."""
+def parse_number(text: str) -> float:
+    """Parse a finite number; '-' stands for an absent one and gives 0."""
     if text == "-":
         return 0.0
     try:
@@ -58,44 +65,44 @@
     return value
 
 
-def integer(text: str) -> int:
-    """A whole number; '-' reads as 0."""
+def parse_integer(text: str) -> int:
+    """Parse an integer; '-' gives 0."""
     if text == "-":
         return 0
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"bad whole number {text!r}") from None
+        raise WireError(f"bad integer {text!r}") from None
 
 
-def flag(text: str) -> bool:
-    """1 or 0."""
+def parse_flag(text: str) -> bool:
+    """Parse a flag: 1, 0 or '-' for 0."""
     if text not in ("0", "1", "-"):
-        raise WireError(f"bad truth value {text!r}")
+        raise WireError(f"bad flag {text!r}")
     return text == "1"
 
 
-def one_of(table: dict[str, str], text: str) -> str:
-    """A word of a fixed table."""
+def look_up(table: dict[str, str], text: str) -> str:
+    """Translate a word by a table; raises WireError if it is not in it."""
     if text not in table:
         raise WireError(f"unknown word {text!r}")
     return table[text]
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """A load report: name:value pairs set apart by commas."""
+    """Parse a load report: name:value pairs separated by commas."""
     values = {}
     if text != "-":
         for pair in text.split(","):
             name, colon, value = pair.partition(":")
             if not colon:
                 raise WireError(f"bad load report {text!r}")
-            values[REPORTS.get(name, name)] = number(value)
+            values[LOAD_REPORT_NAMES.get(name, name)] = parse_number(value)
     return values
 
 
 def parse_settings(parts: list[str]) -> api.Settings:
-    """The path=value pairs of an instance's first message; unknown keys are skipped."""
+    """Parse the path=value pairs of OPEN_INSTANCE; unknown keys are ignored."""
     pairs: dict[str, str] = {}
     for part in parts:
         key, equals, value = part.partition("=")
@@ -103,165 +110,179 @@
             raise WireError(f"bad setting {part!r}")
         pairs[key] = value
 
-    def num(key: str, default: float = 0.0) -> float:
+    def number_of(key: str, default: float = 0.0) -> float:
         try:
-            return number(pairs[key]) if key in pairs else default
+            return parse_number(pairs[key]) if key in pairs else default
         except WireError as error:
             raise WireError(f"{key}: {error}") from None
 
-    def yes(key: str) -> bool:
+    def flag_of(key: str) -> bool:
         return pairs.get(key, "false") in ("true", "1")
 
     classes = tuple(
         api.RequestClass(
             name=pairs.get(f"grades.{i}.name", ""),
-            objective_ms=num(f"grades.{i}.objective_ms"),
-            deadline_ms=num(f"grades.{i}.deadline_ms"),
-            worth=num(f"grades.{i}.worth", 1.0),
-            late_worth=num(f"grades.{i}.late_worth"),
+            objective_ms=number_of(f"grades.{i}.objective_ms"),
+            deadline_ms=number_of(f"grades.{i}.deadline_ms"),
+            worth=number_of(f"grades.{i}.worth", 1.0),
+            late_worth=number_of(f"grades.{i}.late_worth"),
             effect=pairs.get(f"grades.{i}.effect", "safe"),
             key_scope=pairs.get(f"grades.{i}.key_scope", "all"),
-            window_ms=num(f"grades.{i}.window_ms"),
+            window_ms=number_of(f"grades.{i}.window_ms"),
         )
-        for i in range(int(num("grades.count")))
+        for i in range(int(number_of("grades.count")))
     )
     plans = tuple(
         api.Plan(
             name=pairs.get(f"packages.{i}.name", ""),
-            rate=num(f"packages.{i}.refill"),
-            burst=num(f"packages.{i}.burst"),
-            worth=num(f"packages.{i}.worth_factor", 1.0),
-            over_worth=num(f"packages.{i}.over_worth"),
-            over_cost=num(f"packages.{i}.over_cost"),
-            ceiling_rate=num(f"packages.{i}.ceiling_rate"),
-            ceiling_burst=num(f"packages.{i}.hard_burst"),
-            parallel=int(num(f"packages.{i}.parallel")),
+            rate=number_of(f"packages.{i}.refill"),
+            burst=number_of(f"packages.{i}.burst"),
+            worth=number_of(f"packages.{i}.worth_factor", 1.0),
+            over_worth=number_of(f"packages.{i}.over_worth"),
+            over_cost=number_of(f"packages.{i}.over_cost"),
+            ceiling_rate=number_of(f"packages.{i}.ceiling_rate"),
+            ceiling_burst=number_of(f"packages.{i}.hard_burst"),
+            parallel=int(number_of(f"packages.{i}.parallel")),
         )
-        for i in range(int(num("packages.count")))
+        for i in range(int(number_of("packages.count")))
     )
     return api.Settings(
         classes=classes,
         plans=plans,
-        gateway_index=int(num("me")),
-        fleet_size=int(num("fleet_size", 1)),
-        try_limit=int(num("bounds.try_limit", 1)),
-        second_copies=yes("bounds.second_copies"),
-        cancel=yes("bounds.cancel"),
-        retry_after=yes("bounds.retry_after"),
-        max_retry_after_ms=num("bounds.max_retry_after_ms"),
-        marks_retry=yes("clients.marks_retry"),
+        gateway_index=int(number_of("me")),
+        fleet_size=int(number_of("fleet_size", 1)),
+        try_limit=int(number_of("bounds.try_limit", 1)),
+        second_copies=flag_of("bounds.second_copies"),
+        cancel=flag_of("bounds.cancel"),
+        retry_after=flag_of("bounds.retry_after"),
+        max_retry_after_ms=number_of("bounds.max_retry_after_ms"),
+        marks_retry=flag_of("clients.marks_retry"),
         server_list_on_request=pairs.get("membership_mode", "pushed") == "on_request",
-        counter_enabled=yes("family_info.may_count"),
-        count_wait_ms=num("family_info.count_wait_ms", 50.0),
-        tick_ms=num("tick_ms", 1.0),
-        cold_from=num("rules.cold_from", 1.0),
-        cold_ms=num("rules.cold_ms"),
-        fall_multiple=num("rules.fall_multiple", 1.0),
-        tip_after_ms=num("rules.tip_after_ms"),
-        handshake=num("penalties.handshake"),
-        idle_ms=num("bounds.conn_idle_ms", 15000.0),
+        counter_enabled=flag_of("family_info.may_count"),
+        count_wait_ms=number_of("family_info.count_wait_ms", 50.0),
+        tick_ms=number_of("tick_ms", 1.0),
+        cold_from=number_of("rules.cold_from", 1.0),
+        cold_ms=number_of("rules.cold_ms"),
+        fall_multiple=number_of("rules.fall_multiple", 1.0),
+        tip_after_ms=number_of("rules.tip_after_ms"),
+        handshake=number_of("penalties.handshake"),
+        idle_ms=number_of("bounds.conn_idle_ms", 15000.0),
     )
 
 
 def parse_server(parts: list[str]) -> api.Server:
-    """One entry of a list of servers."""
+    """Parse one entry of a list of servers."""
     if len(parts) != 8 or parts[0] != "M":
         raise WireError("a list entry needs M and 7 values")
     if parts[5] not in STATUSES:
         raise WireError(f"unknown status {parts[5]!r}")
-    return api.Server(parts[1], parts[2], integer(parts[4]), parts[5], number(parts[6]), number(parts[7]))
+    return api.Server(
+        parts[1], parts[2], parse_integer(parts[4]), parts[5], parse_number(parts[6]), parse_number(parts[7])
+    )
 
 
-def _open(f: list[str]) -> Open:
-    return Open(integer(f[0]), parse_settings(f[1:]))
+def _parse_open(values: list[str]) -> Open:
+    return Open(parse_integer(values[0]), parse_settings(values[1:]))
 
 
-def _request(f: list[str]) -> api.Request:
+def _parse_request(values: list[str]) -> api.Request:
     return api.Request(
-        f[0],
-        f[1],
-        f[2],
-        f[3],
-        number(f[4]),
-        number(f[5]),
-        integer(f[6]),
-        integer(f[7]),
-        bool(integer(f[8]) & 2),
+        values[0],
+        values[1],
+        values[2],
+        values[3],
+        parse_number(values[4]),
+        parse_number(values[5]),
+        parse_integer(values[6]),
+        parse_integer(values[7]),
+        bool(parse_integer(values[8]) & 2),
     )
 
 
-def _outcome(f: list[str]) -> api.Outcome:
-    number(f[6])  # the customer's use, in which the module takes no interest
+def _parse_outcome(values: list[str]) -> api.Outcome:
+    parse_number(values[6])  # the customer's use; not used, only checked
     return api.Outcome(
-        f[0],
-        integer(f[1]),
-        f[2],
-        one_of(RESULTS, f[3]),
-        number(f[4]),
-        flag(f[5]),
-        number(f[7]),
-        parse_load_report(f[8]),
+        values[0],
+        parse_integer(values[1]),
+        values[2],
+        look_up(RESULTS, values[3]),
+        parse_number(values[4]),
+        parse_flag(values[5]),
+        parse_number(values[7]),
+        parse_load_report(values[8]),
     )
 
 
-def _peer(f: list[str]) -> Ignored:
+def _parse_peer_message(values: list[str]) -> Ignored:
     try:
-        bytes.fromhex("" if f[1] == "-" else f[1])
+        bytes.fromhex("" if values[1] == "-" else values[1])
     except ValueError:
-        raise WireError(f"bad bytes {f[1]!r}") from None
-    integer(f[0])
+        raise WireError(f"bad bytes {values[1]!r}") from None
+    parse_integer(values[0])
     return Ignored()
 
 
-def _probe(f: list[str]) -> Ignored:
-    number(f[0]), one_of(RESULTS, f[2]), parse_load_report(f[3])
+def _parse_probe(values: list[str]) -> Ignored:
+    parse_number(values[0]), look_up(RESULTS, values[2]), parse_load_report(values[3])
     return Ignored()
 
 
-# Message name: number of values after the instance (None: any), and how to read them.
-READERS: dict[str, tuple[int | None, Callable[[list[str]], object]]] = {
-    "OPEN_INSTANCE": (None, _open),
-    "REQ": (9, _request),
-    "ENDED": (9, _outcome),
-    "INBOX": (2, _peer),
-    "DETACH": (0, lambda f: Close()),
-    "PROBE_DONE": (4, _probe),
-    "CLIENT_LEFT": (1, lambda f: api.ClientLeft(f[0])),
-    "HEAD_RECEIVED": (4, lambda f: api.StreamStarted(f[0], integer(f[1]), number(f[3]))),
-    "TICK_DUE": (1, lambda f: api.TimerDue(f[0])),
-    "COUNTER_REPLY": (4, lambda f: api.CountReply(f[3], one_of(RESULTS, f[1]), number(f[0]), number(f[2]))),
+# Message name -> number of values after the instance (None: at least one), and their parser.
+PARSERS: dict[str, tuple[int | None, Callable[[list[str]], object]]] = {
+    "OPEN_INSTANCE": (None, _parse_open),
+    "REQ": (9, _parse_request),
+    "ENDED": (9, _parse_outcome),
+    "INBOX": (2, _parse_peer_message),
+    "DETACH": (0, lambda values: Close()),
+    "PROBE_DONE": (4, _parse_probe),
+    "CLIENT_LEFT": (1, lambda values: api.ClientLeft(values[0])),
+    "HEAD_RECEIVED": (
+        4,
+        lambda values: api.StreamStarted(values[0], parse_integer(values[1]), parse_number(values[3])),
+    ),
+    "TICK_DUE": (1, lambda values: api.TimerDue(values[0])),
+    "COUNTER_REPLY": (
+        4,
+        lambda values: api.CountReply(
+            values[3], look_up(RESULTS, values[1]), parse_number(values[0]), parse_number(values[2])
+        ),
+    ),
 }
 
 
-def event(parts: list[str]) -> object:
-    """One event line, split at single spaces, as an event of the interface (or Open, Close)."""
+def parse_event(parts: list[str]) -> object:
+    """Parse an event line, split at single spaces, to an event of the interface, Open, Close or Ignored."""
     name = parts[0]
-    if name not in READERS:
+    if name not in PARSERS:
         raise WireError(f"unknown message {name!r}")
-    count, reader = READERS[name]
+    value_count, parser = PARSERS[name]
     values = parts[2:]
-    if len(parts) < 2 or (count is None and not values) or (count is not None and len(values) != count):
+    if (
+        len(parts) < 2
+        or (value_count is None and not values)
+        or (value_count is not None and len(values) != value_count)
+    ):
         raise WireError(f"{name}: wrong number of values")
-    return reader(values)
+    return parser(values)
 
 
-def action(instance: str, act: api.Action) -> str:
-    """One action as a line."""
-    match act:
+def format_action(instance: str, action: api.Action) -> str:
+    """Format an action as a line, without its line end."""
+    match action:
         case api.Send():
-            return f"DELIVER {instance} {act.request} {act.timeout_ms:.3f} {act.server}"
+            return f"DELIVER {instance} {action.request} {action.timeout_ms:.3f} {action.server}"
         case api.Refuse():
-            return f"REFUSE {instance} {act.request} {act.retry_after_ms:.3f}"
+            return f"REFUSE {instance} {action.request} {action.retry_after_ms:.3f}"
         case api.Fail():
-            return f"GIVE_UP {instance} {act.request}"
+            return f"GIVE_UP {instance} {action.request}"
         case api.Cancel():
-            return f"UNDO_SEND {instance} {act.request} {act.attempt}"
+            return f"UNDO_SEND {instance} {action.request} {action.attempt}"
         case api.Timer():
-            return f"AFTER {instance} {act.delay_ms:.3f} {act.name}"
+            return f"AFTER {instance} {action.delay_ms:.3f} {action.name}"
         case api.Count():
-            return f"ADD {instance} {act.name} {act.amount:g} {act.ttl_ms:.3f}"
+            return f"ADD {instance} {action.name} {action.amount:g} {action.ttl_ms:.3f}"
         case api.Subscribe():
             return f"OBSERVE {instance} 1"
         case api.Log():
-            return f"NOTE_DOWN {instance} {' '.join(act.text.split())}"
-    raise TypeError(f"not an action: {act!r}")
+            return f"NOTE_DOWN {instance} {' '.join(action.text.split())}"
+    raise TypeError(f"not an action: {action!r}")
