--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared helpers: a hand-driven gateway, and the real program between fakes on loopback sockets."""
+"""Shared helpers: a gateway driven event by event, and the real program between fakes on loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from yewstage import interface as api
 from yewstage.policy import Gateway
 
-# The same examples each time, and no bound on what the machine takes for one: a verdict is no matter of luck.
+# The same examples in each run and no time limit for one: results do not depend on the machine.
 hypothesis.settings.register_profile("steady", derandomize=True, deadline=None)
 hypothesis.settings.load_profile("steady")
 
@@ -53,13 +53,13 @@
 
 
 class Driver:
-    """A gateway with its clock, its open attempts and a counter of request ids."""
+    """A gateway with a simulated clock; it numbers the requests and logs all actions."""
 
     def __init__(self, servers: int = 4, seed: int = 1, now: float = 1e6, **changes: object) -> None:
         self.gateway = Gateway(settings(**changes), seed)
         self.now = now
         self.serial = 0
-        self.totals: dict[str, float] = {}  # the shared counter, and how many calls it has answered
+        self.totals: dict[str, float] = {}  # totals of a simulated counter; calls it has answered
         self.answered = 0
         self.log: list[tuple[float, api.Action]] = []
         self.give(api.ServerList("kept", tuple(server(i) for i in range(servers))))
@@ -156,7 +156,7 @@
     key: bool = True,
     target: str = "",
 ) -> bytes:
-    """A client's request as bytes; `drop` leaves a header out, `more` adds lines."""
+    """A client's request as bytes; `drop` omits a header, `more` adds header lines."""
     method = method or ("GET" if cls == "read" else "POST")
     lines = {
         "Host": "origin.svc",
@@ -177,7 +177,7 @@
 
 @dataclasses.dataclass
 class Seen:
-    """A message that a fake has read, and the connection that it came on."""
+    """A message that a fake has read, with its connection."""
 
     line: str
     headers: dict[str, str]
@@ -186,16 +186,16 @@
 
 
 def serve(seen: Seen) -> bytes:
-    """A server that answers at once."""
+    """Behaviour of a server that answers at once."""
     return reply(b"served")
 
 
 def silent(seen: Seen) -> None:
-    """A server that has the request and says nothing yet."""
+    """Behaviour of a server that does not answer."""
 
 
 async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
-    """One request or answer, whole."""
+    """Read one whole request or answer."""
     line, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, _, v in (r.partition(": ") for r in rest if r)}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
@@ -203,12 +203,12 @@
 
 
 class Fake:
-    """A scripted HTTP server: `behave` turns a request into bytes; None is silence, b"" a reset."""
+    """A scripted HTTP server. `behave` returns the answer to a request, None for none, b"" for a reset."""
 
     def __init__(self, behave: Behave) -> None:
         self.behave = behave
         self.seen: list[Seen] = []
-        self.closed = 0  # connections that the other side ended
+        self.closed = 0  # connections closed by the other side
         self.changed = asyncio.Event()
 
     async def start(self) -> Fake:
@@ -235,7 +235,7 @@
             writer.close()
 
     async def until(self, ready: Callable[[Fake], bool]) -> None:
-        """Wait for what the fake sees; a test that waits in vain ends at its own limit."""
+        """Wait for a condition on what the fake has seen; the test's own limit bounds the wait."""
         while not ready(self):
             self.changed.clear()
             await self.changed.wait()
@@ -245,14 +245,14 @@
 
 
 def adding(seen: Seen, totals: dict[str, float]) -> bytes:
-    """The counter: add, and tell the total."""
+    """Behaviour of the counter: add, and answer with the total."""
     name, query = seen.line.split()[1].removeprefix("/v1/count/").split("?")
     totals[name] = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
     return reply(f"{totals[name]:g}".encode())
 
 
 class Directory:
-    """Discovery: the whole list at once, a watch held until `tell`."""
+    """A fake discovery service: lists at once, and holds each watch until `tell`."""
 
     def __init__(self, instances: list[dict]) -> None:
         self.generation, self.instances = 1, instances
@@ -270,7 +270,7 @@
         return reply(json.dumps(raw).encode())
 
     async def tell(self, instances: list[dict], whole: bool = False) -> None:
-        """Answer the watch that is out, and wait for the next one."""
+        """Answer the open watch and wait for the next one."""
         await self.answer_watch(lambda: self.listing(instances, whole))
 
     async def answer_watch(self, data: Callable[[], bytes]) -> None:
@@ -295,19 +295,19 @@
 
 
 def port_in(line: str) -> int:
-    """The port of the address that a log line ends with, as text or as JSON."""
+    """The port in the address at the end of a log line, as text or as JSON."""
     return int(re.search(r":(\d+)\D*$", line)[1])
 
 
 class Rig:
-    """The real program between fake hosts, a fake counter and a fake discovery."""
+    """The real program with fake servers, a fake counter and a fake discovery service."""
 
     def __init__(self, folder: Path, *behaves: Behave, **limits: int) -> None:
         self.folder, self.limits = folder, limits
         self.hosts = [Fake(b) for b in behaves]
         self.totals: dict[str, float] = {}
         self.counter = Fake(lambda seen: adding(seen, self.totals))
-        self.held: socket.socket | None = None  # the clients' listening socket, where the platform holds it
+        self.held: socket.socket | None = None  # the clients' listening socket if the platform holds it
         self.process: asyncio.subprocess.Process | None = None
         self.processes: list[asyncio.subprocess.Process] = []
         self.reading: list[asyncio.Task] = []
@@ -324,11 +324,11 @@
         return self
 
     def instances(self) -> list[dict]:
-        """What discovery tells."""
+        """The list of servers that discovery answers with."""
         return [instance(f"s-{i}", h.port) for i, h in enumerate(self.hosts)]
 
     async def launch(self) -> None:
-        """Start the program, again on the same port if it ran before, and wait until it is ready."""
+        """Start the program, on the same port if it has run before, and wait until it is ready."""
         self.config = {
             "name": "n0",
             "listen": f"{LOOP}:{self.port}",
@@ -363,7 +363,7 @@
             await asyncio.sleep(0.02)
 
     async def spawn(self) -> None:
-        """Start a process of the program; it becomes the one that is spoken to."""
+        """Start a process of the program; later calls go to it."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -380,7 +380,7 @@
             },
         )
         while "listening on" not in (line := (await self.process.stderr.readline()).decode()):
-            assert line, "the program ended at its start"
+            assert line, "the program exited at its start"
             if "operators' address" in line:
                 self.ops_port = port_in(line)
         self.port = port_in(line)
@@ -390,12 +390,12 @@
         self.reading.append(asyncio.create_task(self._read_log(self.process)))
 
     def hold(self) -> Rig:
-        """Hold the clients' listening socket as the platform does: every process inherits it."""
+        """Open the clients' listening socket as the platform does, for every process to inherit."""
         self.held = socket.create_server((LOOP, 0))
         return self
 
     async def logged(self, text: str) -> str:
-        """The first line of the log that holds a text, once it is there."""
+        """Wait for a log line that contains a text, and return it."""
         while not (lines := [line for line in self.log if text in line]):
             await asyncio.sleep(0.01)
         return lines[0]
@@ -408,7 +408,7 @@
         return await asyncio.open_connection(LOOP, self.port)
 
     async def ask(self, data: bytes) -> Seen:
-        """One request on a connection of its own; its answer."""
+        """Send one request on a connection of its own and return the answer."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -426,7 +426,7 @@
             writer.close()
 
     async def metrics(self) -> dict[str, float]:
-        """The figures by name, label included."""
+        """The metrics by name, labels included."""
         lines = (await self.ops("/ops/stats")).body.decode().splitlines()
         return {name: float(value) for name, _, value in (line.rpartition(" ") for line in lines)}
 
@@ -446,10 +446,10 @@
 
 
 def on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
-    """Run a scenario; one that waits for what never happens fails at the limit."""
+    """Run a scenario on an event loop; it fails if it takes longer than `limit_s`."""
 
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
             await scenario()
 
-    uvloop.run(bounded())  # as the program does: its loop fires timers before it reads sockets
+    uvloop.run(bounded())  # as the program does: uvloop fires timers before it reads sockets
--- a/tests/rogue.py
+++ b/tests/rogue.py
@@ -1,4 +1,4 @@
-"""The gateway, patched to break one rule on purpose: `python tests/rogue.py RULE`. For tests of the judge."""
+"""Runs the gateway with one rule broken: `python tests/rogue.py RULE`. For tests of the judge."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def effects() -> None:
-    """Send every request twice: a second copy goes out on a connection of its own."""
+    """Send every request twice, the second time on a connection of its own."""
     begin, copies = Link.begin, []
 
     def begin_twice(link: Link, job: object) -> None:
@@ -22,17 +22,17 @@
         begin(link, job)
         copy = socket.create_connection(link.transport.get_extra_info("peername"))
         copy.sendall(payload)
-        copies.append(copy)  # kept open: nobody reads its answer
+        copies.append(copy)  # kept open; its answer is not read
 
     Link.begin = begin_twice
 
 
 def requests() -> None:
-    """Close the client's connection where one answer in five ought to go out."""
-    answer, luck = ClientConnection.answer, random.Random(1)
+    """Close the client's connection in place of one answer in five."""
+    answer, rng = ClientConnection.answer, random.Random(1)
 
     def answer_or_close(client: ClientConnection, status: int, *more: object, **named: object) -> None:
-        if status == 200 and luck.random() < 0.2:
+        if status == 200 and rng.random() < 0.2:
             client.transport.abort()
         else:
             answer(client, status, *more, **named)
@@ -41,23 +41,25 @@
 
 
 def drains() -> None:
-    """Take no server that drains or is gone out of the list."""
-    take = Gateway._on_server_list
+    """Ignore that servers drain or are removed from the list."""
+    on_server_list = Gateway._on_server_list
 
-    def take_up_only(gateway: Gateway, event: api.ServerList) -> None:
-        take(gateway, api.ServerList(event.kind, tuple(s for s in event.servers if s.status == "up")))
+    def keep_up_only(gateway: Gateway, event: api.ServerList) -> None:
+        on_server_list(
+            gateway, api.ServerList(event.kind, tuple(s for s in event.servers if s.status == "up"))
+        )
 
-    Gateway._on_server_list = take_up_only
+    Gateway._on_server_list = keep_up_only
 
 
 def cold() -> None:
-    """Send all to a server that has just started."""
+    """Ignore the budget of a cold server."""
     Gateway._cold_budget_allows = lambda *ignored: True
     Gateway.handed_over = property(lambda gateway: False, lambda gateway, value: None)
 
 
 def ceilings() -> None:
-    """Let in whatever is asked."""
+    """Ignore quotas and ceilings."""
     Gateway._quota_allows = Gateway._ceiling_allows = lambda *ignored: True
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,8 @@
-"""Any order of what can cross: all are answered once, nothing begins for who has left, nothing leaks."""
+"""Random orders of concurrent events, as a state machine.
+
+Each request is answered once, no attempt starts for a client that has left, and no state leaks.
+The names of the rules and their arguments decide which orders hypothesis generates.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 from yewstage.policy import Gateway
 
 SERVERS = 6
-SHORT = dataclasses.replace(KEYED, window_ms=700)  # a key is forgotten before its request's time is up
+SHORT = dataclasses.replace(KEYED, window_ms=700)  # the key's window ends before the request's deadline
 CLASSES = {c.name: c for c in (SAFE, SHORT, UNSAFE)}
 CAP = api.Plan("cap", parallel=6)
 PLANS = (PLAN, CAPPED, OPEN, CAP)
@@ -31,38 +35,38 @@
 
 
 @dataclasses.dataclass
-class Out:
-    """An attempt that is out."""
+class ServerAttempt:
+    """An attempt, as its server sees it."""
 
     server: str
-    sent: float
-    ran: bool = True  # may have, as far as anybody knows
-    open: bool = True
+    sent_at: float
+    may_have_run: bool = True  # until its outcome proves otherwise
+    is_open: bool = True
 
 
 @dataclasses.dataclass
-class Asked:
-    """A request, as its client and the servers see it."""
+class ClientRequest:
+    """A request, as its client sees it."""
 
     cls: str
     kept: bool
-    state: str = "open"  # then answered or left; streaming where an answer has begun
-    attempts: list[Out] = dataclasses.field(default_factory=list)
+    state: str = "open"  # open, streaming, answered or left
+    attempts: list[ServerAttempt] = dataclasses.field(default_factory=list)
 
-    def owed(self) -> bool:
+    def is_unanswered(self) -> bool:
         return self.state == "open"
 
 
 class Crossings(RuleBasedStateMachine):
-    """The module between clients that come and go, servers, the counter, the record and its operators."""
+    """The decision module with simulated clients, servers, counter, claim record and operators."""
 
     copies, cancel, record = False, True, False
 
     def __init__(self) -> None:
         super().__init__()
         self.gateway = Gateway(self.settings(), 1)
-        self.now, self.serial, self.handed = 1e6, 0, False
-        self.asked: dict[str, Asked] = {}
+        self.now, self.serial, self.has_handed_over = 1e6, 0, False
+        self.client_requests: dict[str, ClientRequest] = {}
         self.counts: list[str] = []
         self.claims: list[str] = []
         self.status = dict.fromkeys((f"h{i}" for i in range(SERVERS)), "up")
@@ -78,7 +82,7 @@
             **changes,
         )
 
-    # What the module is told, and what it does
+    # Events to the module and checks of its actions
 
     def give(self, event: api.Event) -> None:
         for act in self.gateway.handle(self.now, event):
@@ -87,18 +91,20 @@
     def act(self, act: api.Action) -> None:
         match act:
             case api.Send():
-                asked = self.asked[act.request]
-                assert asked.owed(), "begun for who has left, or after the answer"
-                assert self.status.get(act.server) == "up", "sent to a server that drains or is gone"
-                assert self.copies or not any(out.open for out in asked.attempts)
-                risky = [out for out in asked.attempts if out.ran]
-                assert not risky or asked.cls != "pay", "what may not be repeated was"
-                if risky and asked.cls == "put":
-                    assert 0 <= act.start_deadline_ms <= SHORT.window_ms - (self.now - risky[0].sent)
-                asked.attempts.append(Out(act.server, self.now))
+                client_request = self.client_requests[act.request]
+                assert client_request.is_unanswered(), "attempt after the client left or the answer was given"
+                assert self.status.get(act.server) == "up", "sent to a server that is draining or removed"
+                assert self.copies or not any(attempt.is_open for attempt in client_request.attempts)
+                risky = [attempt for attempt in client_request.attempts if attempt.may_have_run]
+                assert not risky or client_request.cls != "pay", "an unsafe request was repeated"
+                if risky and client_request.cls == "put":
+                    assert 0 <= act.start_deadline_ms <= SHORT.window_ms - (self.now - risky[0].sent_at)
+                client_request.attempts.append(ServerAttempt(act.server, self.now))
             case api.Refuse():
-                asked = self.end(act.request)
-                assert asked.cls == "read" or not any(out.ran for out in asked.attempts)
+                client_request = self.end(act.request)
+                assert client_request.cls == "read" or not any(
+                    attempt.may_have_run for attempt in client_request.attempts
+                )
             case api.Fail() | api.Recall():
                 self.end(act.request)
             case api.Count():
@@ -106,18 +112,21 @@
             case api.Claim():
                 self.claims.append(act.request)
 
-    def end(self, request: str) -> Asked:
-        asked = self.asked[request]
-        assert asked.owed(), "answered twice, or after its client left"
-        asked.state = "answered"
-        return asked
+    def end(self, request: str) -> ClientRequest:
+        client_request = self.client_requests[request]
+        assert client_request.is_unanswered(), "answered twice, or after its client left"
+        client_request.state = "answered"
+        return client_request
 
-    def out(self) -> list[tuple[str, int]]:
+    def open_attempts(self) -> list[tuple[str, int]]:
         return [
-            (rid, n) for rid, asked in self.asked.items() for n, out in enumerate(asked.attempts) if out.open
+            (rid, n)
+            for rid, client_request in self.client_requests.items()
+            for n, attempt in enumerate(client_request.attempts)
+            if attempt.is_open
         ]
 
-    # Events, in any order
+    # Rules
 
     @rule(ms=st.sampled_from([0.0, 20.0, 120.0, 750.0, 3000.0]))
     def wait(self, ms: float) -> None:
@@ -139,7 +148,7 @@
     def request(self, cls: str, plan: api.Plan, customer: str, left: float, units: float, kept: bool) -> None:
         self.serial += 1
         rid = f"r{self.serial}"
-        self.asked[rid] = Asked(cls, kept)
+        self.client_requests[rid] = ClientRequest(cls, kept)
         self.give(
             api.Request(
                 rid,
@@ -155,50 +164,62 @@
             )
         )
 
-    @precondition(lambda self: any(asked.state != "left" for asked in self.asked.values()))
+    @precondition(
+        lambda self: any(client_request.state != "left" for client_request in self.client_requests.values())
+    )
     @rule(data=st.data())
     def left(self, data: st.DataObject) -> None:
-        rid = data.draw(st.sampled_from([rid for rid, asked in self.asked.items() if asked.state != "left"]))
-        self.asked[rid].state = "left"
+        rid = data.draw(
+            st.sampled_from(
+                [
+                    rid
+                    for rid, client_request in self.client_requests.items()
+                    if client_request.state != "left"
+                ]
+            )
+        )
+        self.client_requests[rid].state = "left"
         self.give(api.ClientLeft(rid))
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.open_attempts())
     @rule(data=st.data(), result=st.sampled_from(RESULTS), unbegun=st.booleans())
     def outcome(self, data: st.DataObject, result: str, unbegun: bool) -> None:
-        self.ends(*data.draw(st.sampled_from(self.out())), result, unbegun and result in api.NEVER_RAN)
+        self.ends(
+            *data.draw(st.sampled_from(self.open_attempts())), result, unbegun and result in api.NEVER_RAN
+        )
 
     def ends(self, rid: str, n: int, result: str, unbegun: bool = False) -> None:
-        asked = self.asked[rid]
-        out = asked.attempts[n]
-        out.open, out.ran = False, result not in api.NEVER_RAN
-        if asked.owed() and result == api.OK or asked.state == "streaming":
-            asked.state = "answered"
+        client_request = self.client_requests[rid]
+        attempt = client_request.attempts[n]
+        attempt.is_open, attempt.may_have_run = False, result not in api.NEVER_RAN
+        if client_request.is_unanswered() and result == api.OK or client_request.state == "streaming":
+            client_request.state = "answered"
         self.give(
             api.Outcome(
                 rid,
                 n,
-                out.server,
+                attempt.server,
                 result,
-                self.now - out.sent,
-                not asked.owed(),
+                self.now - attempt.sent_at,
+                not client_request.is_unanswered(),
                 billed_units=2.0 if result == api.OK else 0.0,
                 nothing_sent=unbegun,
             )
         )
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.open_attempts())
     @rule(data=st.data())
     def stream(self, data: st.DataObject) -> None:
-        rid, n = data.draw(st.sampled_from(self.out()))
-        if self.asked[rid].owed():
-            self.asked[rid].state = "streaming"
+        rid, n = data.draw(st.sampled_from(self.open_attempts()))
+        if self.client_requests[rid].is_unanswered():
+            self.client_requests[rid].state = "streaming"
             self.give(api.StreamStarted(rid, n, 5.0))
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.open_attempts())
     @rule(data=st.data())
     def uploaded(self, data: st.DataObject) -> None:
-        rid, _ = data.draw(st.sampled_from(self.out()))
-        if not self.asked[rid].kept and self.asked[rid].owed():
+        rid, _ = data.draw(st.sampled_from(self.open_attempts()))
+        if not self.client_requests[rid].kept and self.client_requests[rid].is_unanswered():
             self.give(api.Uploaded(rid))
 
     @precondition(lambda self: self.counts)
@@ -225,7 +246,7 @@
 
     @rule(names=st.sets(st.integers(0, SERVERS - 1), min_size=1), restarted=st.booleans())
     def whole_list(self, names: set[int], restarted: bool) -> None:
-        """What it does not name is gone, also with work on it."""
+        """A full list: servers that it does not name are removed, even with open attempts."""
         self.status = {f"h{i}": "up" for i in names}
         born = self.now if restarted else 0.0
         self.give(api.ServerList("full", tuple(server(i, up_since_ms=born) for i in sorted(names))))
@@ -235,19 +256,19 @@
         classes = (dataclasses.replace(SAFE, objective_ms=aim), SHORT, UNSAFE)
         self.give(api.Retuned(self.settings(fleet_size=size, try_limit=tries, classes=classes)))
 
-    @precondition(lambda self: not self.handed)
+    @precondition(lambda self: not self.has_handed_over)
     @rule()
     def drain(self) -> None:
-        """What is open goes on here; a next process has the rest."""
-        self.handed = True
+        """Hand over: open requests stay here, new ones go to the next process."""
+        self.has_handed_over = True
         self.gateway.hand_over()
 
     @invariant()
     def nothing_leaks(self) -> None:
         gateway = self.gateway
-        out = {rid for rid, _ in self.out()}
-        assert all(rid in out or rid in self.claims for rid in gateway.open_requests), (
-            "held though it is over"
+        with_open_attempts = {rid for rid, _ in self.open_attempts()}
+        assert all(rid in with_open_attempts or rid in self.claims for rid in gateway.open_requests), (
+            "request kept after its end"
         )
         for host in gateway.servers.values():
             assert host.in_flight >= 0
@@ -255,20 +276,22 @@
             assert use.open_requests >= 0 and use.uploading >= -1e-9
 
     def teardown(self) -> None:
-        """All that is out ends at last; then nothing may be owed or held."""
-        while self.out() or self.claims or self.counts:
+        """End all that is open; then no request may be unanswered or kept."""
+        while self.open_attempts() or self.claims or self.counts:
             while self.claims:
                 self.give(api.Claimed(self.claims.pop(0), "silent"))
             while self.counts:
                 self.give(api.CountReply(self.counts.pop(0), api.TIMED_OUT, 0.0))
-            for rid, n in self.out():
+            for rid, n in self.open_attempts():
                 self.ends(rid, n, api.RESET)
-        for _ in range(4):  # a wait for a total that was forgotten ends with the sweep
+        for _ in range(4):  # the sweep ends waits for lost totals
             self.now += 100
             self.give(api.TimerDue("sweep"))
-        assert not self.out(), "begun though time was up"
-        owed = [rid for rid, asked in self.asked.items() if asked.owed()]
-        assert not owed and not self.gateway.open_requests and not self.gateway.waiting_requests
+        assert not self.open_attempts(), "attempt started after the deadline"
+        unanswered = [
+            rid for rid, client_request in self.client_requests.items() if client_request.is_unanswered()
+        ]
+        assert not unanswered and not self.gateway.open_requests and not self.gateway.waiting_requests
         for use in self.gateway.customer_quotas.values():
             assert use.open_requests == 0 and not use.waiting and abs(use.uploading) < 1e-9
         assert all(host.in_flight == 0 for host in self.gateway.servers.values())
--- a/tests/test_odd_events.py
+++ b/tests/test_odd_events.py
@@ -1,4 +1,4 @@
-"""Odd but legal settings and any order of odd events: nothing raises, no request gets two answers."""
+"""Random unusual settings and events in any order: nothing raises, no request gets two answers."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_nothing_raises_and_no_answer_comes_twice(seed: int) -> None:
+def test_nothing_raises_and_no_request_gets_two_answers(seed: int) -> None:
     r = random.Random(seed)
     gateway, now = Gateway(odd_settings(r), seed), 1e5
     ids: list[str] = []
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The decision module alone: mechanism, rules, quotas, hosts. No bench, no wall clock."""
+"""Tests of yewstage/policy.py by single events and a simulated clock: admission, quotas, servers, retries."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 SOURCE = Path(policy.__file__)
 
 
-# --- The ordinary path ---
+# --- Admission ---
 
 
-def test_ramp_by_hand() -> None:
+def test_admission_ramp_values() -> None:
     lo, hi = policy.Q_MIN, policy.Q_MAX
     assert admission_ramp(0.0) == 1.0
     assert admission_ramp(lo) == 1.0
@@ -31,18 +31,18 @@
     assert admission_ramp(1.0) == policy.F_MIN
 
 
-def test_accumulator_lets_in_two_of_five_at_f_04() -> None:
+def test_accumulator_admits_two_of_five_at_f_04() -> None:
     d = Driver()
     d.ask()
-    cell = d.gateway.groups[("read", "open")]
-    cell.admit_fraction, cell.accumulator = 0.4, 0.0
+    group = d.gateway.groups[("read", "open")]
+    group.admit_fraction, group.accumulator = 0.4, 0.0
     sent = [bool(of(d.ask()[1], api.Send)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
-def test_q_moves_by_w_of_the_mean() -> None:
+def test_q_moves_by_its_ewma_weight() -> None:
     d = Driver()
-    d.gateway.samples_seen = 100  # a fresh gateway's q is the plain mean
+    d.gateway.samples_seen = 100  # a new gateway's q is the plain mean
     for _ in range(2):
         rid, _ = d.ask()
         d.end(rid, took=500)
@@ -55,11 +55,11 @@
     assert d.gateway.smoothed_occupancy == pytest.approx(policy.OCCUPANCY_WEIGHT * 0.5)
 
 
-def test_a_lone_gateway_finds_out_that_a_jam_is_over() -> None:
+def test_q_decays_after_an_overload_with_few_requests() -> None:
     d = Driver()
     d.gateway.smoothed_occupancy = 1.0
     served = 0
-    for _ in range(20):  # two requests a second, answered fast
+    for _ in range(20):  # two requests per second, with fast answers
         rid, out = d.ask(after=0)
         if of(out, api.Send):
             d.end(rid, took=50, after=50)
@@ -68,18 +68,19 @@
     assert served >= 14
 
 
-def test_a_fresh_gateway_sees_a_jam_in_what_is_still_out() -> None:
+def test_a_new_gateway_detects_overload_by_open_attempts() -> None:
     d = Driver()
     rids = [d.ask(after=20)[0] for _ in range(8)]
     d.sweep(6)
-    assert d.gateway.admit_fraction < 0.1  # nothing has come back, much is older than Qmax of its aim
+    # There are no outcomes yet; most attempts are older than Q_MAX of their objective.
+    assert d.gateway.admit_fraction < 0.1
     for rid in rids:
         d.end(rid, took=60)
     d.sweep()
     assert d.gateway.admit_fraction == 1.0
 
 
-def test_pressed_sheds_least_worth_per_work_first() -> None:
+def test_overload_sheds_least_worth_per_work_first() -> None:
     d = Driver()
     for _ in range(5):
         d.ask("read")
@@ -90,8 +91,8 @@
     assert cells[("put", "open")].admit_fraction > 0.9 > cells[("read", "open")].admit_fraction
 
 
-def test_nothing_is_shed_while_nothing_is_pressed() -> None:
-    """The classes' shares of the work add up to one but for rounding: no request may fall into that gap."""
+def test_nothing_is_shed_without_overload() -> None:
+    """The groups' shares of the work add up to 1 except for rounding, which must not refuse a request."""
     d = Driver(counter_enabled=False)
     for i in range(600):
         rid, out = d.ask(("read", "put", "pay")[i % 3], units=1 + i % 7, after=7)
@@ -101,7 +102,7 @@
             d.sweep(1, 1)
 
 
-def test_own_stall_is_no_sample() -> None:
+def test_a_stall_of_the_gateway_gives_no_sample() -> None:
     d = Driver()
     rid, _ = d.ask()
     d.end(rid, took=5000, after=5000)
@@ -112,24 +113,24 @@
     assert d.gateway.occupancy_samples == 1
 
 
-def test_one_bad_host_does_not_cut_f() -> None:
+def test_one_slow_server_does_not_lower_f() -> None:
     d = Driver(servers=6)
     d.gateway.servers["h0"].latency_ratio = 10.0
-    held_on_bad = None
+    request_on_slow = None
     for _ in range(200):
         rid, out = d.ask(after=5)
         send = of(out, api.Send)[0]
         if send.server == "h0":
-            held_on_bad = rid
+            request_on_slow = rid
             d.end(rid, api.TIMED_OUT, took=1000)
         else:
             d.end(rid, took=50)
     d.sweep(5)
     assert d.gateway.admit_fraction == 1.0
-    assert held_on_bad is None or d.gateway.servers["h0"].latency_ratio > 1
+    assert request_on_slow is None or d.gateway.servers["h0"].latency_ratio > 1
 
 
-def test_an_unwell_host_gives_no_samples_but_a_slow_fleet_does() -> None:
+def test_an_outlier_gives_no_samples_but_a_slow_fleet_does() -> None:
     for mid, samples in ((1.0, 0), (10.0, 1)):
         d = Driver(servers=1)
         rid, _ = d.ask()
@@ -138,33 +139,33 @@
         assert d.gateway.occupancy_samples == samples
 
 
-# --- One timely answer ---
+# --- Final answers ---
 
 
-def answers(d: Driver, rid: str, served: set[str]) -> int:
+def final_answer_count(d: Driver, rid: str, served: set[str]) -> int:
     finals = sum(1 for _, a in d.log if isinstance(a, api.Refuse | api.Fail) and a.request == rid)
     return finals + (rid in served)
 
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("copies", [False, True])
-def test_random_life_keeps_answers_effects_and_drains(seed: int, copies: bool) -> None:
+def test_random_events_keep_answers_effects_and_drains(seed: int, copies: bool) -> None:
     rng = random.Random(seed)
     d = Driver(servers=6, seed=seed, second_copies=copies)
     gw, served, open_attempts = d.gateway, set(), {}
     results = [api.OK, api.ERROR, api.FULL, api.TIMED_OUT, api.CONNECT_FAILED, api.RESET]
     asked: dict[str, str] = {}
-    attempts: dict[str, list[list]] = {}  # [server, may have run, sent, open]
+    attempts: dict[str, list[list]] = {}  # [server, may have run, sent at, open]
     status = {f"h{i}": "up" for i in range(6)}
 
-    def note(out: list[api.Action]) -> None:
+    def check(out: list[api.Action]) -> None:
         for act in out:
             if isinstance(act, api.Send):
                 cls = asked[act.request]
                 past = attempts.setdefault(act.request, [])
                 risky = [a for a in past if a[1]]
                 assert status[act.server] == "up", "sent to a drained host"
-                assert answers(d, act.request, served) == 0, "sent after the final answer"
+                assert final_answer_count(d, act.request, served) == 0, "sent after the final answer"
                 assert act.timeout_ms > 0
                 assert copies or not any(a[3] for a in past)
                 assert cls != "pay" or not risky, "unsafe sent twice"
@@ -183,7 +184,7 @@
         if rng.random() < 0.5:
             cls = rng.choice(["read", "put", "pay"])
             asked[f"r{d.serial + 1}"] = cls
-            note(d.ask(cls, left=rng.choice([5, 400, 4000]))[1])
+            check(d.ask(cls, left=rng.choice([5, 400, 4000]))[1])
         due = sorted(k for k, t in open_attempts.items() if t <= d.now)
         pick = due or (sorted(open_attempts) if rng.random() < 0.6 else [])
         if pick:
@@ -192,31 +193,34 @@
             result = api.TIMED_OUT if due else rng.choice(results)
             rec = attempts[key[0]][key[1]]
             rec[1], rec[3] = result not in api.NEVER_RAN, False
-            done = answers(d, key[0], served) > 0
+            done = final_answer_count(d, key[0], served) > 0
             if result == api.OK and not done:
                 served.add(key[0])
             final = done or result == api.OK
-            note(d.give(api.Outcome(key[0], key[1], rec[0], result, d.now - rec[2], final)))
+            check(d.give(api.Outcome(key[0], key[1], rec[0], result, d.now - rec[2], final)))
         if step % 40 == 0:
             name = rng.choice(sorted(status))
             status[name] = rng.choice(["up", "draining"])
-            note(d.give(api.ServerList("changes", (server(int(name[1:]), status=status[name]),))))
-        note(d.give(api.TimerDue("sweep")))
+            check(d.give(api.ServerList("changes", (server(int(name[1:]), status=status[name]),))))
+        check(d.give(api.TimerDue("sweep")))
     while open_attempts:
         key = min(open_attempts)
         del open_attempts[key]
         rec = attempts[key[0]][key[1]]
         rec[1], rec[3] = True, False
-        note(
+        check(
             d.give(
-                api.Outcome(key[0], key[1], rec[0], api.TIMED_OUT, 1000, answers(d, key[0], served) > 0), 1
+                api.Outcome(
+                    key[0], key[1], rec[0], api.TIMED_OUT, 1000, final_answer_count(d, key[0], served) > 0
+                ),
+                1,
             )
         )
-    assert all(answers(d, rid, served) == 1 for rid in asked)
+    assert all(final_answer_count(d, rid, served) == 1 for rid in asked)
     assert not gw.open_requests
 
 
-def test_odd_requests_get_one_legal_answer() -> None:
+def test_invalid_requests_get_one_refusal() -> None:
     d = Driver(servers=0)
     assert len(of(d.ask()[1], api.Refuse)) == 1
     d = Driver()
@@ -237,7 +241,7 @@
     assert d.give(api.ClientLeft("nobody")) == []
 
 
-def test_wrong_event_and_settings_say_what_to_mend() -> None:
+def test_errors_name_the_wrong_event_or_setting() -> None:
     d = Driver()
     with pytest.raises(TypeError, match="not an event"):
         d.give("hello")
@@ -251,16 +255,16 @@
             Gateway(settings(**changes), 1)
 
 
-def test_a_try_cut_by_the_deadline_is_refused_once_its_aim_has_passed() -> None:
+def test_a_late_retry_is_refused_once_its_objective_has_passed() -> None:
     d = Driver()
     for _ in range(50):
         d.end(d.ask(left=3900, after=10)[0])
-    assert of(d.ask(left=2500)[1], api.Refuse)  # 1500 ms are gone, the aim was 1000
-    late_but_in_time = of(d.ask(left=3500)[1], api.Send)[0]  # 500 ms are gone
+    assert of(d.ask(left=2500)[1], api.Refuse)  # 1500 ms have passed, the objective is 1000
+    late_but_in_time = of(d.ask(left=3500)[1], api.Send)[0]  # 500 ms have passed
     assert late_but_in_time.timeout_ms <= 500
 
 
-def test_clients_of_varied_patience_are_not_taken_for_late_ones() -> None:
+def test_varied_client_timeouts_are_not_taken_for_retries() -> None:
     d = Driver()
     rng = random.Random(3)
     for _ in range(200):
@@ -272,19 +276,23 @@
 # --- Quotas ---
 
 
-def calls_of(d: Driver) -> list[api.Count]:
+def counter_calls(d: Driver) -> list[api.Count]:
     return [a for _, a in d.log if isinstance(a, api.Count)]
 
 
-def drive(d: Driver, n: int, others: float = 0.0, lose_at: int = -1, **how: object) -> int:
-    """Ask n times a ms apart; the counter answers at once, the others add `others` before each request."""
+def admitted_of(d: Driver, n: int, others: float = 0.0, lose_at: int = -1, **how: object) -> int:
+    """Send n requests 1 ms apart and return how many were admitted.
+
+    The counter answers at once; other gateways use `others` units before each request. Before request
+    `lose_at` the counter loses its totals.
+    """
     sent = 0
     for i in range(n):
         if i == lose_at:
             d.totals = dict.fromkeys(d.totals, 0.0)
         d.totals = {name: total + others for name, total in d.totals.items()}
         rid, _ = d.ask(after=1, **how)
-        while d.answered < len(calls := calls_of(d)):
+        while d.answered < len(calls := counter_calls(d)):
             act = calls[d.answered]
             d.answered += 1
             d.totals[act.name] = d.totals.get(act.name, 0.0) + act.amount
@@ -293,50 +301,51 @@
     return sent
 
 
-def test_quota_alone_is_the_burst_and_then_the_rate() -> None:
+def test_quota_of_a_lone_gateway_is_burst_then_rate() -> None:
     d = Driver()
-    assert drive(d, 20, plan="basic") == 6
+    assert admitted_of(d, 20, plan="basic") == 6
     d.now += 2000  # two seconds refill four units
-    assert drive(d, 20, plan="basic") == 4
+    assert admitted_of(d, 20, plan="basic") == 4
 
 
-def test_quota_counts_what_others_used() -> None:
+def test_quota_counts_the_use_of_other_gateways() -> None:
     d = Driver()
-    assert 3 <= drive(d, 12, others=1.0, plan="basic") <= 4  # the others take about every second unit
+    # The other gateways get about every second unit.
+    assert 3 <= admitted_of(d, 12, others=1.0, plan="basic") <= 4
 
 
-def test_near_the_limit_a_request_waits_for_the_total_and_is_answered() -> None:
+def test_a_request_near_the_limit_waits_for_the_total_and_is_answered() -> None:
     d = Driver()
-    drive(d, 5, plan="basic")
-    d.gateway.customer_quotas["c"].remaining = 0.0  # the estimate says no; the last total left one unit
+    admitted_of(d, 5, plan="basic")
+    d.gateway.customer_quotas["c"].remaining = 0.0  # the estimate refuses; the last total left one unit
     rid, out = d.ask(plan="basic")
     assert not of(out, api.Send) and not of(out, api.Refuse) and of(out, api.Count)
-    out = d.give(api.CountReply(calls_of(d)[-1].name, api.TIMED_OUT, 0.0), 30)
+    out = d.give(api.CountReply(counter_calls(d)[-1].name, api.TIMED_OUT, 0.0), 30)
     assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
     assert rid not in d.gateway.waiting_requests
 
 
-def test_a_refused_reservation_is_given_back_while_the_counter_answers() -> None:
+def test_a_refused_reservation_is_returned_while_the_counter_answers() -> None:
     for heard, amounts in ((1.0, [1, -1]), (0.0, [1])):
         d = Driver()
         d.ask(plan="basic")
         d.gateway.answer_share = heard
         d.gateway.rng.random = lambda: 0.5
-        d.give(api.CountReply(calls_of(d)[0].name, api.OK, 100.0))
-        assert [c.amount for c in calls_of(d)] == amounts
+        d.give(api.CountReply(counter_calls(d)[0].name, api.OK, 100.0))
+        assert [c.amount for c in counter_calls(d)] == amounts
 
 
 @pytest.mark.parametrize("left", [5, 60, 200])
-def test_a_try_with_little_time_left_is_not_held_for_a_total(left: float) -> None:
+def test_a_request_with_little_time_left_does_not_wait_for_a_total(left: float) -> None:
     d = Driver(count_wait_ms=30)
     rid, out = d.ask(plan="basic", left=left)
     assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
     assert rid not in d.gateway.waiting_requests
 
 
-def test_a_reply_that_never_comes_does_not_cost_the_answer() -> None:
+def test_a_lost_counter_reply_does_not_lose_the_answer() -> None:
     d = Driver()
-    drive(d, 5, plan="basic")
+    admitted_of(d, 5, plan="basic")
     d.gateway.customer_quotas["c"].remaining = 0.0
     rid, out = d.ask(plan="basic")
     d.sweep(3)
@@ -344,7 +353,7 @@
     assert len(finals) == 1 and not d.gateway.waiting_requests
 
 
-def test_silent_counter_keeps_to_the_split() -> None:
+def test_quota_is_split_evenly_without_counter_replies() -> None:
     d = Driver()
     d.now += 10000
     sent = 0
@@ -356,57 +365,57 @@
     assert sent <= PLAN.burst / 3 + 1
 
 
-def test_counter_that_comes_back_empty_does_not_open_the_quota_anew() -> None:
+def test_a_counter_that_lost_its_totals_does_not_reset_the_quota() -> None:
     d = Driver()
-    assert drive(d, 20, lose_at=3, plan="basic") == 6
+    assert admitted_of(d, 20, lose_at=3, plan="basic") == 6
     # A falling total must not count as quota that the others returned.
     assert d.gateway.customer_quotas["c"].others_rate >= 0
 
 
-def a_window_begins() -> float:
-    """When a window of the customer's count begins, to the tenth of a second."""
-    scout = Driver()
-    scout.ask(plan="basic")
-    name = calls_of(scout)[0].name
-    while calls_of(scout)[-1].name == name:
-        scout.ask(plan="basic", after=100)
-        scout.give(api.CountReply(calls_of(scout)[-1].name, api.OK, 0.0))
-    return scout.now
+def window_start() -> float:
+    """The start of a window of the customer's count, to within 100 ms."""
+    probe = Driver()
+    probe.ask(plan="basic")
+    name = counter_calls(probe)[0].name
+    while counter_calls(probe)[-1].name == name:
+        probe.ask(plan="basic", after=100)
+        probe.give(api.CountReply(counter_calls(probe)[-1].name, api.OK, 0.0))
+    return probe.now
 
 
 @pytest.mark.parametrize(("used", "least", "most"), [(0.4, 30, 30), (1.0, 0, 4)])
-def test_a_first_total_tells_the_use_of_its_whole_window(used: float, least: int, most: int) -> None:
-    """30 gateways read one total, 70 ms after they first hear of a customer; 0.9 s later each is asked."""
+def test_a_first_total_covers_its_whole_window(used: float, least: int, most: int) -> None:
+    """30 gateways read one total 70 ms after a customer's first request; 0.9 s later each gets another."""
     elapsed = 0.8 * Gateway._window_ms(PLAN)
-    fleet = [Driver(seed=n, now=a_window_begins() + elapsed, fleet_size=30) for n in range(30)]
+    fleet = [Driver(seed=n, now=window_start() + elapsed, fleet_size=30) for n in range(30)]
     for d in fleet:
         d.ask(plan="basic", width=30)
         total = used * PLAN.rate * elapsed / 1000
-        d.give(api.CountReply(calls_of(d)[0].name, api.OK, calls_of(d)[0].amount + total), 70)
+        d.give(api.CountReply(counter_calls(d)[0].name, api.OK, counter_calls(d)[0].amount + total), 70)
         d.gateway.called_at = math.inf
-        d.gateway.answer_share = 0.6  # no more is asked: what was read must do
+        d.gateway.answer_share = 0.6  # no further calls: the total read has to suffice
         d.gateway.rng.random = lambda: 0.99
     sent = sum(bool(of(d.ask(plan="basic", width=30, after=900)[1], api.Send)) for d in fleet)
     assert least <= sent <= most
 
 
-def test_overshoot_is_not_owed() -> None:
+def test_use_over_quota_is_no_debt() -> None:
     d = Driver()
-    drive(d, 8, others=5.0, plan="basic")  # the others sent far beyond the quota, which took nothing from it
+    admitted_of(d, 8, others=5.0, plan="basic")  # the others' use over quota must not become a debt
     d.now += 1000
-    drive(d, 1, plan="basic")
+    admitted_of(d, 1, plan="basic")
     d.now += 1000
-    assert drive(d, 4, plan="basic") >= 1
+    assert admitted_of(d, 4, plan="basic") >= 1
 
 
-def test_true_units_are_settled() -> None:
+def test_billed_units_are_deducted() -> None:
     d = Driver()
-    drive(d, 1, plan="basic", width=1)
+    admitted_of(d, 1, plan="basic", width=1)
     d.end("r1", true_units=6)
-    assert drive(d, 3, plan="basic", width=1) == 0
+    assert admitted_of(d, 3, plan="basic", width=1) == 0
 
 
-def test_one_request_customers_are_forgotten() -> None:
+def test_idle_customers_are_forgotten() -> None:
     d = Driver()
     for i in range(300):
         rid, out = d.ask(plan="basic", customer=f"k{i}")
@@ -422,7 +431,7 @@
     ("marks", "repeat", "kind"),
     [(True, False, api.Send), (True, True, api.Refuse), (False, False, api.Refuse)],
 )
-def test_a_short_time_left_tells_a_retry_only_where_the_mark_does_not(
+def test_a_short_time_left_shows_a_retry_only_if_retries_are_not_marked(
     marks: bool, repeat: bool, kind: type
 ) -> None:
     d = Driver(marks_retry=marks)
@@ -436,7 +445,7 @@
 @pytest.mark.parametrize(
     ("result", "tries"), [(api.CONNECT_FAILED, 4), (api.START_EXPIRED, 4), (api.FULL, 1), (api.ERROR, 1)]
 )
-def test_only_attempts_that_met_a_server_spend_what_retries_may(result: str, tries: int) -> None:
+def test_only_attempts_that_reached_a_server_use_the_retry_budget(result: str, tries: int) -> None:
     d = Driver(servers=8)
     d.gateway.retry_budget = 0.0
     rid, out = d.ask()
@@ -447,15 +456,15 @@
     assert sends == tries and of(out, api.Refuse if result in api.NEVER_RAN else api.Fail)
 
 
-# --- Links to a server ---
+# --- Connections to a server ---
 
 
-def test_a_server_gets_as_many_links_as_it_answers_within_the_aim() -> None:
+def test_connection_limit_is_what_a_server_answers_within_the_objective() -> None:
     d = Driver(servers=4, fleet_size=3)
     d.give(api.ServerList("changes", (server(0, nominal_capacity=3.0),)))
-    # Nothing seen yet: 10 usual requests in an aim for each core, a third of them ours, and what chance adds.
+    # No samples yet: 10 requests per objective and core, a third of them of this gateway, plus the margin.
     assert d.gateway.links("h1") == 6 and d.gateway.links("h0") == 14
-    for _ in range(300):  # 20 requests a second, over six cores: 3.3 in an aim for each
+    for _ in range(300):  # 20 requests per second over six cores: 3.3 per objective and core
         rid, _ = d.ask(after=50)
         d.end(rid, took=10)
         if d.now % 100 < 50:
@@ -464,7 +473,7 @@
     assert d.gateway.links("nobody") == 1
 
 
-def test_a_gateway_that_sends_little_may_have_few_links_and_a_busy_one_more() -> None:
+def test_connection_limit_grows_with_the_request_rate() -> None:
     bounds = []
     for pause in (500, 5):
         d = Driver(servers=2, fleet_size=3)
@@ -477,7 +486,7 @@
     assert bounds[0] <= 3 and bounds[1] >= 30
 
 
-def test_a_list_that_shrinks_to_one_server_gives_it_the_links_of_all() -> None:
+def test_the_last_server_gets_the_connection_limits_of_all() -> None:
     d = Driver(servers=4)
     for _ in range(200):
         rid, _ = d.ask(after=20)
@@ -490,37 +499,39 @@
     assert d.gateway.links("h0") > 2 * before
 
 
-def first_choices(d: Driver, n: int) -> list[str]:
-    """Where single requests go, one after another."""
-    return [end_of(d, *d.ask(after=50)) for _ in range(n)]
+def servers_of_requests(d: Driver, n: int) -> list[str]:
+    """The servers of n sequential requests."""
+    return [finish(d, *d.ask(after=50)) for _ in range(n)]
 
 
-def end_of(d: Driver, rid: str, out: list[api.Action]) -> str:
+def finish(d: Driver, rid: str, out: list[api.Action]) -> str:
     (send,) = of(out, api.Send)
-    d.end(rid, took=100)  # as usual: none is the faster
+    d.end(rid, took=100)  # equal latency, so that no server is preferred
     return send.server
 
 
-def test_where_dials_are_dear_a_server_with_an_idle_link_goes_before_its_equals() -> None:
-    cheap, dear = Driver(servers=8), Driver(servers=8, handshake=0.08)
-    assert len(set(first_choices(cheap, 60))) == 8
-    chosen = first_choices(dear, 40)
-    assert len(set(chosen)) <= 2  # all others are its equals
-    d = dear
-    rid, out = d.ask(after=50)  # while it is at one, another server is less loaded
+def test_idle_connections_are_preferred_where_handshakes_cost() -> None:
+    cheap, costly = Driver(servers=8), Driver(servers=8, handshake=0.08)
+    assert len(set(servers_of_requests(cheap, 60))) == 8
+    chosen = servers_of_requests(costly, 40)
+    assert len(set(chosen)) <= 2  # the other servers are no better
+    d = costly
+    rid, out = d.ask(after=50)  # while it is open, another server has less load
     (out_now,) = of(out, api.Send)
     (other,) = of(d.ask()[1], api.Send)
     assert out_now.server in chosen and other.server != out_now.server
 
 
-def test_an_idle_link_that_its_server_may_have_closed_counts_for_nothing() -> None:
+def test_an_idle_connection_that_may_be_closed_is_not_preferred() -> None:
     again = {}
-    for idle_ms in (1900, 2000):  # a link that may be closed after 4 s is retired after 2 at the soonest
+    for idle_ms in (1900, 2000):  # closed after 4 s by the server, so trusted for 2 s
         drivers = [Driver(servers=8, handshake=0.08, idle_ms=4000.0, seed=seed) for seed in range(10)]
-        firsts = [first_choices(d, 1) for d in drivers]
+        firsts = [servers_of_requests(d, 1) for d in drivers]
         for d in drivers:
             d.now += idle_ms - 50
-        again[idle_ms] = sum(first == first_choices(d, 1) for d, first in zip(drivers, firsts, strict=True))
+        again[idle_ms] = sum(
+            first == servers_of_requests(d, 1) for d, first in zip(drivers, firsts, strict=True)
+        )
     assert again[1900] == 10 and again[2000] <= 5
     d = drivers[0]
     d.give(
@@ -529,15 +540,15 @@
     assert all(host.idle_conns == 0 for host in d.gateway.servers.values())  # closed by the restart
 
 
-# --- A fleet's sum ---
+# --- Fleets ---
 
 
-def sends_of_a_fleet(
+def requests_by_pair(
     gateways: int, servers: int, each: int, starts_at: int | None = None
 ) -> Counter[tuple[int, str]]:
-    """How many requests each gateway sent to each server, served in 100 ms each.
+    """Requests by (gateway, server) when each gateway sends `each` of them, served in 100 ms.
 
-    From request `starts_at` on, where h0 starts anew, cold.
+    With `starts_at`, h0 restarts cold before that request, and only requests from then on are counted.
     """
     sent: Counter[tuple[int, str]] = Counter()
     for me in range(gateways):
@@ -556,20 +567,21 @@
     return sent
 
 
-def test_a_cold_server_of_a_large_fleet_gets_its_budget_from_all_together() -> None:
+def test_a_large_fleet_keeps_to_the_cold_budget_of_a_server() -> None:
     load: Counter[str] = Counter()
-    for (_, host), n in sends_of_a_fleet(40, 60, 120, starts_at=100).items():  # 2 s: the time that tips it
+    for (_, host), n in requests_by_pair(40, 60, 120, starts_at=100).items():  # 2 s: tip_after_ms
         load[host] += n
     assert 0 < load["h0"] <= 0.5 * sum(load.values()) / 60
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 30, 120])
 @pytest.mark.parametrize("killed", [0.0, 0.7])
-def test_all_gateways_together_keep_a_cold_server_under_what_tips_it(gateways: int, killed: float) -> None:
-    """N + 2 x root of N + 2 in every span that tips it, N being the multiple of what it can do then at least.
+def test_a_fleet_does_not_overload_a_cold_server(gateways: int, killed: float) -> None:
+    """In any span of tip_after_ms a cold server gets at most N + 2 * sqrt(N) + 2 requests.
 
-    Eight servers bear 10 requests a second each, which is all that they can. The gateways hear of the start
-    within a second of it; a part of them was killed just before and knows of no load yet.
+    N is the number that overloads it: fall_multiple times its capacity in that span. Eight servers get all
+    that they can bear, 10 requests per second each. The gateways learn of the start within a second; a part
+    of them was restarted just before and has no observed rates.
     """
     rng, rate, cold_at, end_at = random.Random(7), 80.0, 12.0, 27.0
     fleet = [
@@ -595,11 +607,11 @@
                     8, seed=1000 + me, now=at, fleet_size=gateways, gateway_index=me, counter_enabled=False
                 )
             out = deque(item for item in out if item[1] in fleet)
-            told = [(at + 1000 * rng.random(), d) for d in fleet]
+            start_seen = [(at + 1000 * rng.random(), d) for d in fleet]
         elif what == "sweep":
             for d in fleet:
                 d.sweep(every=0)
-            for when, d in told if at >= start + 1000 * cold_at else ():
+            for when, d in start_seen if at >= start + 1000 * cold_at else ():
                 if when <= at < when + 100:
                     d.give(api.ServerList("changes", (server(0, up_since_ms=start + 1000 * cold_at),)))
         else:
@@ -614,12 +626,12 @@
         warmth = min(base.cold_from + (1 - base.cold_from) * age / base.cold_ms, 1.0)
         most = base.fall_multiple * warmth * rate / 8 * span / 1000
         assert sum(at <= other < at + span for other in sent) <= most + 2 * most**0.5 + 2
-    assert len(sent) > 10  # and it gets work
+    assert len(sent) > 10  # the bound is not met by sending nothing
 
 
-def test_a_fleet_that_refuses_a_customer_does_not_fill_the_total_by_asking() -> None:
-    """30 gateways, one quota that others use up; in each round all ask at one moment, answered in turn."""
-    fleet = [Driver(seed=n, now=a_window_begins(), fleet_size=30) for n in range(30)]
+def test_reservations_of_refused_requests_do_not_use_up_the_quota() -> None:
+    """Others use up the quota of a customer; in each round 30 gateways reserve at the same time."""
+    fleet = [Driver(seed=n, now=window_start(), fleet_size=30) for n in range(30)]
     reserved = []
     for n in range(5):
         calls, total = [], 100.0 + 40 * n
@@ -637,10 +649,10 @@
     assert reserved[0] == 30 and reserved[3:] == [0, 0] and total == 260
 
 
-def test_a_large_fleet_shares_its_servers_out() -> None:
-    sent = sends_of_a_fleet(40, 60, 90)
+def test_a_large_fleet_splits_servers_into_subsets() -> None:
+    sent = requests_by_pair(40, 60, 90)
     assert sum(sent.values()) == 40 * 90
-    pairs = Counter(host for _, host in sent)  # gateways that dialled a server
+    pairs = Counter(host for _, host in sent)  # gateways that connected to each server
     assert max(pairs.values()) <= 12 and sum(pairs.values()) <= 60 * 11
     load = Counter()
     for (_, host), n in sent.items():
@@ -648,7 +660,7 @@
     assert len(load) == 60 and max(load.values()) < 2.2 * min(load.values())
 
 
-def test_a_gateway_of_a_large_fleet_that_loses_its_servers_holds_others() -> None:
+def test_a_gateway_that_loses_its_subset_uses_other_servers() -> None:
     load: Counter[str] = Counter()
     for me in range(40):
         d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
@@ -657,13 +669,13 @@
                 host.ejections, host.ejected_until = 1, math.inf
         d.sweep()
         own = Counter(act.server for _ in range(24) for act in of(d.ask(after=1)[1], api.Send))
-        assert len(own) >= 12 and max(own.values()) <= 3  # all are still out
+        assert len(own) >= 12 and max(own.values()) <= 3  # every request is still open
         load.update(own)
     assert len(load) == 15 and max(load.values()) < 1.5 * 40 * 24 / 15
 
 
-def test_a_fleet_that_grows_or_shrinks_at_sighup_agrees_on_who_holds_a_server() -> None:
-    """Else a server that starts gets the parts of too many gateways, or of none."""
+def test_subsets_agree_after_the_fleet_size_changes() -> None:
+    """Otherwise a starting server would get the cold budgets of too many gateways, or of none."""
 
     def ranks(driver: Driver) -> dict[str, int]:
         return {name: host.rank for name, host in driver.gateway.servers.items()}
@@ -678,17 +690,17 @@
         )
 
 
-def test_a_small_fleet_uses_all_servers_from_each_gateway() -> None:
-    assert len(sends_of_a_fleet(3, 12, 90)) == 36
-    assert len(sends_of_a_fleet(40, 10, 90)) >= 40 * 9  # few servers: none is left to a part of the gateways
+def test_a_small_fleet_has_no_subsets() -> None:
+    assert len(requests_by_pair(3, 12, 90)) == 36
+    assert len(requests_by_pair(40, 10, 90)) >= 40 * 9  # few servers: the subset is all of them
 
 
-def test_a_failing_server_is_tried_again_by_those_who_hold_it_only() -> None:
+def test_an_ejected_server_is_tried_only_by_gateways_of_its_subset() -> None:
     tried = set()
     for me in range(40):
         d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
         for host in d.gateway.servers.values():
-            host.ejections = host.name == "h0"  # its rest is over
+            host.ejections = host.name == "h0"  # its ejection time is over
         tried |= {me for _ in range(20) for act in of(d.ask(after=20)[1], api.Send) if act.server == "h0"}
     assert 5 <= len(tried) <= 14
 
@@ -697,15 +709,15 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_ceiling_never_passed_by_all_gateways_together(seed: int) -> None:
-    """Any order of late, lost and false totals, with restarts: the customer's store never dips below 0."""
+def test_the_fleet_never_exceeds_the_ceiling(seed: int) -> None:
+    """Late, lost and wrong totals and restarts in any order: the customer's bucket never goes below 0."""
     rng = random.Random(seed)
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
     units: dict[str, int] = {}
     fleet = [Driver(now=now, seed=i, gateway_index=i) for i in range(3)]
 
-    def note(d: Driver, out: list[api.Action]) -> None:
+    def check(d: Driver, out: list[api.Action]) -> None:
         nonlocal store, last, sends
         for act in of(out, api.Send):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000)
@@ -713,10 +725,10 @@
             store -= units[act.request]
             sends += 1
             assert store >= -1e-6
-            note(d, d.give(api.Outcome(act.request, 0, act.server, api.OK, 50, True)))
+            check(d, d.give(api.Outcome(act.request, 0, act.server, api.OK, 50, True)))
         for act in of(out, api.Count):
             result = rng.choice([api.OK, api.TIMED_OUT, api.FULL])
-            note(d, d.give(api.CountReply(act.name, result, rng.choice([act.amount, 0.0, 50.0]))))
+            check(d, d.give(api.CountReply(act.name, result, rng.choice([act.amount, 0.0, 50.0]))))
 
     for step in range(3000):
         now += rng.expovariate(1 / 10)
@@ -726,12 +738,12 @@
         d = fleet[rng.choice([0, 0, 1, 2]) if step % 1000 < 700 else 2]
         d.now, d.serial = now, step
         units[f"r{step + 1}"] = size = rng.choice([1, 1, 2])
-        note(d, d.ask(plan="capped", units=size)[1])
-        note(d, d.give(api.TimerDue("sweep")))
+        check(d, d.ask(plan="capped", units=size)[1])
+        check(d, d.give(api.TimerDue("sweep")))
     assert sends > 100
 
 
-def test_ceiling_holds_for_a_width_in_a_large_fleet_with_restarts() -> None:
+def test_the_ceiling_holds_for_some_gateways_of_a_large_fleet_with_restarts() -> None:
     rng = random.Random(4)
     plan = settings().plans[1]
     now, store, last, sends = 5e5, plan.ceiling_burst, 5e5, 0
@@ -759,7 +771,7 @@
 # --- Servers ---
 
 
-def test_cold_host_gets_no_more_than_its_budget() -> None:
+def test_a_cold_server_gets_at_most_its_budget() -> None:
     d = Driver(servers=4)
     for i in range(300):
         rid, _ = d.ask(after=10)
@@ -778,20 +790,21 @@
     assert to_cold <= policy.COLD_BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
 
 
-def test_cold_budget_by_hand() -> None:
+def test_cold_budget_values() -> None:
     d = Driver(servers=1)
     gw = d.gateway
-    gw.warm_rate = 0.1  # work sent to a warm host each ms
+    gw.warm_rate = 0.1  # work sent to a warm server, per ms
     d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 5000),)))
     cold = gw.servers["h9"]
-    saved = 0.2 * 0.1 * 2000 / 2  # at most half a span's worth is saved up
+    saved = 0.2 * 0.1 * 2000 / 2  # the budget saves up at most half of tip_after_ms
     assert gw._cold_budget_allows(cold, 0.2, saved - 0.1)
     gw.unit_latency["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
-    assert 4 <= sum(len(of(out, api.Send)) for out in outs) <= 5  # other hosts gone: the budget still holds
+    # The budget holds although this is the only server.
+    assert 4 <= sum(len(of(out, api.Send)) for out in outs) <= 5
 
 
-def test_a_cold_host_that_reports_little_use_gets_more_but_never_the_whole_budget() -> None:
+def test_a_cold_server_with_low_utilization_gets_more_but_not_the_whole_budget() -> None:
     given = {}
     for util in (None, 0.3, 0.9):
         d = Driver(servers=1)
@@ -803,7 +816,7 @@
             rid, _ = d.ask()
             d.give(api.Outcome(rid, 0, "h9", api.OK, 50, True, load_report={"util": util}))
         given[util], cold.cold_tokens, cold.cold_tokens_at = 0.0, 0.0, d.now
-        for _ in range(100):  # within one second: the news stays fresh
+        for _ in range(100):  # within one second, so the load report is recent
             d.now += 10
             gw.now = d.now
             if gw._cold_budget_allows(cold, 0.2, 0.5):
@@ -814,18 +827,18 @@
 
 
 @pytest.mark.parametrize("part", [0.02, 0.2, 0.7])
-def test_cold_parts_under_one_request_add_up_over_the_fleet(part: float) -> None:
+def test_cold_budgets_under_one_request_add_up_over_the_fleet(part: float) -> None:
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
-        d.gateway.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 of 10 s: at least 0.36 warm
+        d.gateway.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 s of cold_ms: warm fraction 0.36
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 2000),)))
         d.gateway.unit_latency["read"] = work
         sent += any(of(d.ask()[1], api.Send) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
 
-def test_fleet_without_a_yardstick_sends_a_cold_host_lone_requests() -> None:
+def test_gateways_without_observed_rates_send_a_cold_server_few_requests() -> None:
     sent = 0
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
@@ -834,7 +847,7 @@
     assert sent <= 5
 
 
-def test_keys_are_repeated_only_while_they_are_remembered() -> None:
+def test_keyed_requests_are_repeated_only_while_the_key_is_remembered() -> None:
     d = Driver(servers=4)
     d.give(api.Request("k", "put", "open", "c", 4000.0))
     held = d.gateway.open_requests["k"]
@@ -850,22 +863,23 @@
     assert d.gateway._pick_server(held) is None
 
 
-def test_a_repeat_of_a_key_must_begin_while_the_key_is_remembered() -> None:
-    """Its first send is at 0, the window 3,000 ms: a repeat that is decided at 500 may wait until 2,996."""
+def test_a_keyed_repeat_must_start_while_the_key_is_remembered() -> None:
+    """With a window of 3,000 ms from the first send, a repeat decided at 500 may start until 2,996."""
     d = Driver(servers=4)
     rid, out = d.ask("put", left=3900)
-    assert of(out, api.Send)[0].start_deadline_ms == math.inf  # a first send may begin whenever it can
+    assert of(out, api.Send)[0].start_deadline_ms == math.inf  # a first attempt has no start deadline
     again = of(d.end(rid, api.RESET, after=500.0), api.Send)
     assert [act.start_deadline_ms for act in again] == [3000 - 500 - 2 * 2]
-    proven = of(d.end(rid, api.CONNECT_FAILED, after=50.0), api.Send)  # the first counts
+    # The second attempt certainly did not run; the window still runs from the first one.
+    proven = of(d.end(rid, api.CONNECT_FAILED, after=50.0), api.Send)
     assert [act.start_deadline_ms for act in proven] == [3000 - 550 - 2 * 2]
     rid, out = d.ask("read")
     assert of(out, api.Send)[0].start_deadline_ms == math.inf
 
 
-def test_host_back_from_connect_failures_counts_as_cold() -> None:
+def test_a_server_is_cold_after_repeated_connect_failures() -> None:
     d = Driver(servers=1)
-    for _ in range(2):  # the trial after its rest fails, too
+    for _ in range(2):  # the trial after the ejection time fails as well
         rid, _ = d.ask(after=600)
         d.end(rid, api.CONNECT_FAILED)
     rid, out = d.ask(after=1100)
@@ -875,7 +889,7 @@
     assert d.gateway._warm_fraction(host) < 0.3
 
 
-def test_dials_that_broke_together_do_not_count_as_a_start() -> None:
+def test_simultaneous_connect_failures_do_not_count_as_a_restart() -> None:
     d = Driver(servers=1)
     for rid in [d.ask()[0] for _ in range(3)]:
         d.end(rid, api.CONNECT_FAILED, after=1)
@@ -885,7 +899,7 @@
     assert d.gateway._warm_fraction(d.gateway.servers["h0"]) == 1
 
 
-def test_failing_host_rests_and_is_tried_again() -> None:
+def test_an_ejected_server_is_tried_again_after_the_ejection_time() -> None:
     d = Driver(servers=4)
     d.sweep()
     host = d.gateway.servers["h0"]
@@ -895,7 +909,7 @@
     assert of(d.ask(after=policy.BACKOFF_MS)[1], api.Send)[0].server == "h0"
 
 
-def test_retries_are_budgeted() -> None:
+def test_retries_keep_to_the_retry_budget() -> None:
     d = Driver(servers=4)
     sends = 0
     for _ in range(300):
@@ -908,10 +922,10 @@
     assert sends <= 300 * (1 + policy.RETRY_RATIO) + policy.RETRY_BUDGET_MAX + 1
 
 
-# --- Answers that never come ---
+# --- Lost answers ---
 
 
-def test_attempts_end_early_only_while_answers_get_lost_and_may_be_repeated() -> None:
+def test_early_timeouts_need_lost_answers_and_a_repeatable_request() -> None:
     d = Driver(servers=8)
 
     def first_timeout(cls: str) -> float:
@@ -932,7 +946,7 @@
     assert first_timeout("read") > 900
 
 
-def test_lost_answers_are_no_pressure_but_late_ones_are() -> None:
+def test_lost_answers_do_not_lower_f_but_late_ones_do() -> None:
     for took, pressed in ((50, False), (700, True)):
         d = Driver(servers=8)
         for i in range(60):
@@ -945,10 +959,10 @@
         assert (d.gateway.admit_fraction < 1) == pressed
 
 
-# --- A crowded counter ---
+# --- Overloaded counter ---
 
 
-def test_calls_thin_out_as_they_go_unanswered_and_come_back() -> None:
+def test_counter_calls_thin_out_without_replies_and_recover() -> None:
     d = Driver()
     d.gateway.rng.seed(5)
 
@@ -970,8 +984,8 @@
 
 
 @pytest.mark.parametrize("age_s", [2, 30])
-def test_silent_split_under_one_unit_adds_up_over_the_fleet(age_s: int) -> None:
-    """300 gateways, no counter, one customer: their second tries come to the split, whatever its size."""
+def test_splits_under_one_unit_add_up_over_the_fleet(age_s: int) -> None:
+    """300 gateways without a counter: their second requests for one customer add up to the split."""
     sent = 0
     for i in range(300):
         d = Driver(seed=i, gateway_index=i, fleet_size=300, counter_enabled=False)
@@ -980,14 +994,15 @@
         for _ in range(3):
             rid, out = d.ask(plan="basic", width=300)
             sent += len(of(out, api.Send))
-    extra = sent - 300  # the first one of each gateway is let in: most customers are far from their quota
+    # Each gateway admits the first request unchecked, as most customers are far from their quota.
+    extra = sent - 300
     assert extra <= 2 * policy.SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
 
 
-def test_a_single_reset_neither_rests_nor_cools_a_host() -> None:
-    """A connection may break on its way; a host that died breaks all it holds and refuses new ones."""
+def test_a_single_reset_does_not_eject_a_server() -> None:
+    """A single connection may break in the network; a crash breaks all of them and refuses new ones."""
     d = Driver(servers=1)
-    for _ in range(2 * policy.EJECTION_FAILURES):  # never so many in a row
+    for _ in range(2 * policy.EJECTION_FAILURES):  # but never consecutively
         rid, _ = d.ask("pay", after=50)
         d.end(rid, api.RESET, took=1)
         rid, out = d.ask("pay", after=50)
@@ -997,7 +1012,7 @@
     assert d.gateway._warm_fraction(host) == 1
 
 
-def test_resets_in_a_row_rest_a_host() -> None:
+def test_consecutive_resets_eject_a_server() -> None:
     d = Driver(servers=2)
     for _ in range(40):
         rid, out = d.ask("pay", after=10)
@@ -1006,10 +1021,10 @@
     assert sent.count("h0") <= policy.EJECTION_FAILURES
 
 
-# --- The module itself ---
+# --- Source form ---
 
 
-def test_module_keeps_its_form() -> None:
+def test_source_form() -> None:
     lines = SOURCE.read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert max(map(len, lines)) <= 110
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter by transcript: good batches, bad lines, odd splits, the README's example."""
+"""Tests of yewstage.wirehost as a process: valid batches, malformed lines, splits, the README's example."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return f"REQ {name} {rid} read basic {customer} 4000.0 1 3 0 0"
 
 
-def test_a_day_in_four_batches() -> None:
+def test_a_request_in_four_batches() -> None:
     done = run("BATCH 900\nEND\n" + opening("gateway/0") + batch(1010, req("gateway/0", "r-a")))
     assert done.returncode == 0 and done.stderr == ""
     lines = done.stdout.splitlines()
@@ -98,7 +98,7 @@
         "",
     ],
 )
-def test_malformed_lines_end_it_with_one_plain_line(line: str) -> None:
+def test_malformed_lines_end_the_process_with_one_line_on_stderr(line: str) -> None:
     done = run(opening("gateway/0") + f"BATCH 1010\n{line}\nEND\n")
     assert done.returncode not in (0, 1)
     assert re.fullmatch(r"line \d+: .+\n", done.stderr)
@@ -106,13 +106,13 @@
     assert done.stdout.endswith("OK\n") and done.stdout.count("OK") == 1
 
 
-def test_truncated_input() -> None:
+def test_truncated_input_ends_the_process_with_one_line_on_stderr() -> None:
     for text in (opening("gateway/0") + "BATCH 1010\nREQ gate", opening("gateway/0") + "BATCH 1010\n"):
         done = run(text)
         assert done.returncode != 0 and done.stderr.count("\n") == 1
 
 
-def test_a_module_that_breaks_is_reported_for_its_instance() -> None:
+def test_an_exception_of_the_module_is_reported_for_its_instance() -> None:
     done = run("BATCH 1\nOPEN_INSTANCE gateway/0 5 fleet_size=0 grades.count=0\nEND\n")
     assert done.returncode == 0
     assert done.stdout == "BROKEN gateway/0 ValueError: classes: at least one is needed\nOK\n"
@@ -127,7 +127,7 @@
     return text
 
 
-def test_same_actions_whatever_the_hash_seed_and_the_split() -> None:
+def test_actions_do_not_depend_on_the_hash_seed_or_other_instances() -> None:
     together = run(script("gateway/0", "gateway/1")).stdout
     assert together.count("DELIVER") + together.count("ADD") > 20
     assert run(script("gateway/0", "gateway/1"), hash_seed="99").stdout == together
@@ -146,7 +146,7 @@
     assert done.stdout.splitlines()[-1] == "served by 10.0.0.1:80"
 
 
-def test_deploy_file_is_as_agreed() -> None:
+def test_deploy_file_names_the_policy_and_the_command() -> None:
     text = (ROOT / "deploy" / "balancer.toml").read_text()
     assert 'policy = ["yewstage/policy.py"]' in text
     assert 'sim = "exec .venv/bin/python -m yewstage.wirehost"' in text
--- a/yewstage/interface.py
+++ b/yewstage/interface.py
@@ -248,7 +248,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not run by any server, so the client may retry it safely."""
+    """Final answer: not served; the client may retry without harm."""
 
     request: str
     retry_after_ms: float = 0.0
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -32,17 +32,17 @@
 SCORE_JITTER = 0.2  # random part of a score; also the penalty of a new connection where it has a cost
 IDLE_CONN_SHARE = 0.5  # part of the servers' idle limit for which an idle connection counts as usable
 OUTSIDE_FACTOR = 4.0  # load factor of a server outside the subset
-OUTLIER_RATIO = 2.5  # an outlier is this many times slower than the median: no q samples, time-outs count
+OUTLIER_RATIO = 2.5  # an outlier has this many times the median latency: no q samples, time-outs eject
 COLD_BUDGET_SHARE = 0.5  # part of the cold budget in use: capacity is estimated, others may exceed their part
 LOW_UTILIZATION, REPORT_MAX_AGE_MS = 0.7, 2000.0  # a cold server that reports less may take more work
 RETRY_RATIO, RETRY_BUDGET_MAX = 0.2, 10.0  # retries earned by each admitted request; most retries saved up
-EARLY_TIMEOUT, MAX_LOST_SHARE = 2.5, 0.06  # early time-out in usual latencies; minimum share of lost answers
+EARLY_TIMEOUT, MAX_LOST_SHARE = 2.5, 0.06  # early time-out in usual latencies, above this lost share
 TRY_SAMPLES = 64  # recent requests of a class that show the usual time left
 OVER_QUOTA_PART = 0.5  # requests over quota are admitted only while q is under this part of Q_MIN
 COUNT_WINDOW_BURSTS = 2.0  # length of a count's window, in burst / rate; bounds what idle time carries over
-SPLIT_FACTOR = 1.5  # factor on an even split at f = 1: use is uneven, and peers may be down
+SPLIT_FACTOR = 1.5  # factor on the even split without a counter, at f = 1: use is uneven, peers may be down
 OTHERS_EWMA_MS = 1000.0  # time constant of the other gateways' rate of use
-COUNTER_WEIGHT, THINNING_POWER = 0.35, 4  # EWMA weight of one reply; calls are made at answer_share**power
+COUNTER_WEIGHT, THINNING_POWER = 0.35, 4  # EWMA weight of a reply; chance of a call: answer_share**power
 MIN_FOUND_SHARE = 0.5  # below it a gateway asks for the total without reserving
 PROBE_MS = 1000.0  # one counter call per interval is always made, to notice its recovery
 FORGET_AFTER_WINDOWS = 6.0  # a customer without requests for this many windows is dropped
@@ -251,7 +251,7 @@
     # --- Events -------------------------------------------------------------------------------------------
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Process one event and return the actions to take; a clock that goes back counts as still."""
+        """Process one event and return the actions to take; an earlier `now_ms` counts as the latest one."""
         self.now = max(self.now, now_ms)
         self.actions = []
         if self.started_at is None:
@@ -509,10 +509,11 @@
         if objective_at - self.now > self.settings.count_wait_ms + 2 * SWEEP_MS and self._needs_total(
             quota, request.units
         ):
-            if not self._admit(cls, plan, request.units):  # calls for rejected requests overload the counter
+            # A call for a request that f sheds would only load the counter.
+            if not self._admit(cls, plan, request.units):
                 self._refuse(request, quota, "pressed")
                 return
-            # The total that decides the request arrives within a few milliseconds, so it can wait.
+            # The total that settles it arrives within a few milliseconds, so it is not refused at once.
             self.waiting_requests[request.id] = request.customer
             quota.waiting.append((request, cls, objective_at, deadline_at))
             # A reservation counts in everyone's total until it is returned. For a customer whom the fleet
