--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -423,10 +423,12 @@
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
     first = of([act for _, act in d.log], api.Send)[0]
     (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send)
-    assert second.server != first.server and d.gateway.open_requests["u"].loading
+    assert second.server != first.server and d.gateway.open_requests["u"].is_uploading
     (refused,) = of(d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse)
     assert (
-        refused.request == "u" and not d.gateway.open_requests and d.gateway.customer_quotas["c"].loading == 0
+        refused.request == "u"
+        and not d.gateway.open_requests
+        and d.gateway.customer_quotas["c"].uploading == 0
     )
 
 
@@ -452,45 +454,45 @@
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
         assert of(d.give(upload), api.Send)
-    d.gateway.customer_quotas["c"].left = 1e6  # so that the quota does not limit
+    d.gateway.customer_quotas["c"].remaining = 1e6  # so that the quota does not limit
     d.sweep(100)
-    assert d.gateway.customer_quotas["c"].loading == 10
-    d.gateway._ceiling_has(d.gateway.customer_quotas["c"], 0)
+    assert d.gateway.customer_quotas["c"].uploading == 10
+    d.gateway._ceiling_allows(d.gateway.customer_quotas["c"], 0)
     # With the 10 uploads in progress this makes 20, the size of the bucket.
-    assert d.gateway.customer_quotas["c"].ceiling == 10
+    assert d.gateway.customer_quotas["c"].ceiling_tokens == 10
     d.give(api.Uploaded("u0"))
-    assert d.gateway.customer_quotas["c"].loading == 9
+    assert d.gateway.customer_quotas["c"].uploading == 9
 
 
 def test_a_streamed_answer_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     server = d.gateway.servers["h0"]
-    assert server.open == 1
+    assert server.in_flight == 1
     d.give(api.StreamStarted(rid, 0))
-    assert server.open == 0
+    assert server.in_flight == 0
     assert not of(d.end(rid, api.RESET), api.Send)  # and it is not retried
-    assert server.open == 0 and not d.gateway.open_requests
+    assert server.in_flight == 0 and not d.gateway.open_requests
 
 
 def test_an_upload_in_progress_is_no_load_on_its_server() -> None:
     d = Driver(servers=1)
     d.give(api.Request("u", "read", "open", "c", 4000, 1, 3, 0, False, False))
     server = d.gateway.servers["h0"]
-    assert server.open == 0
+    assert server.in_flight == 0
     d.give(api.Uploaded("u"), 3000)
-    assert server.open == 1 and d.gateway.open_requests["u"].attempts[0].sent == d.now
+    assert server.in_flight == 1 and d.gateway.open_requests["u"].attempts[0].sent_at == d.now
     d.give(api.Outcome("u", 0, "h0", api.OK, 20, True))
-    assert server.open == 0
+    assert server.in_flight == 0
 
 
 def test_the_latency_of_a_streamed_answer_is_recorded_when_it_begins() -> None:
     d = Driver(servers=1)
     rid, _ = d.ask()
     d.give(api.StreamStarted(rid, 0, 40), 40)
-    assert (d.gateway.done, d.gateway.q_n) == (1, 1)
+    assert (d.gateway.completions, d.gateway.occupancy_samples) == (1, 1)
     d.give(api.Outcome(rid, 0, "h0", api.OK, 40, True), 9000)
-    assert (d.gateway.done, d.gateway.q_n) == (1, 1)  # counted once
+    assert (d.gateway.completions, d.gateway.occupancy_samples) == (1, 1)  # counted once
     assert not d.gateway.open_requests
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -246,5 +246,5 @@
     new = Driver(counter_enabled=False)
     new.sweep(100)
     new.give(api.TakenOver(state))
-    assert new.gateway.born == new.now
+    assert new.gateway.started_at == new.now
     assert admitted_count(new, 5, "capped") == 0  # the token bucket starts empty
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -315,7 +315,10 @@
 
     def _admission_metrics(self) -> dict[str, float]:
         """Admission control: estimated pressure on the servers, and the part of new work that is admitted."""
-        return {"pressure": round(self._gateway.q, 4), "admitted_share": round(self._gateway.f, 4)}
+        return {
+            "pressure": round(self._gateway.smoothed_occupancy, 4),
+            "admitted_share": round(self._gateway.admit_fraction, 4),
+        }
 
     def _body_metrics(self) -> dict[str, float]:
         budget = self.budget
