--- a/plumwall/cli/holding.py
+++ b/plumwall/cli/holding.py
@@ -21,7 +21,7 @@
 from plumwall.cli.servers import ask, at_option
 from plumwall.cli.service import become, chosen_format, log_format
 from yewstage.holding.config import holding as read_config
-from yewstage.holding.group_names import LIST_GROUP, MOST_KEYED, PLACEMENT_GROUP
+from yewstage.holding.group_names import LIST_GROUP, MAX_KEY_GROUPS, PLACEMENT_GROUP
 from yewstage.holding.member_changes import founder_and_members
 from yewstage.holding.recover import read_backups, restore_cluster
 from yewstage.net.config import Address, ConfigError
@@ -144,7 +144,7 @@
 @at_option
 @click.option(
     "--keyed",
-    type=click.IntRange(0, MOST_KEYED),
+    type=click.IntRange(0, MAX_KEY_GROUPS),
     default=4,
     show_default=True,
     help="Groups over which keys of requests are split; fixed from then on.",
--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -345,7 +345,7 @@
         """Who leads knows all that was acknowledged."""
         for node in self.nodes:
             if node.group is not None and node.group.is_leader() and not self._deposed(node):
-                missing = self._missing(node.group.planned)
+                missing = self._missing(node.group.speculative_store)
                 if missing:
                     raise BreachError(f"leader {node.member.id} does not know {missing}")
 
--- a/plumwall/model/keyed.py
+++ b/plumwall/model/keyed.py
@@ -92,7 +92,7 @@
         """A leader lets go what is past its window."""
 
         def plan(store: KeyStore, now: float) -> Entry | None:
-            return store.plan_forget(now)
+            return store.plan_expiry(now)
 
         return self._asked(i, self._ask(i, lambda group: group.write(self.now(i), plan)))
 
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -18,18 +18,18 @@
 from plumwall.model.cluster import BreachError
 from plumwall.model.explore import SearchResult, Step, shortened
 from yewstage.holding.group_names import PLACEMENT_GROUP, all_group_names
-from yewstage.holding.member_changes import GroupView, lost, next_change
+from yewstage.holding.member_changes import GroupView, lost_members, next_change
 from yewstage.holding.peer_reports import PRESENCE_TIMEOUT_MS, PeerReports
 from yewstage.holding.placement import (
-    AT_ONCE,
+    MAX_CONCURRENT_MOVES,
     ClusterView,
     LeaderReport,
     PlacementTable,
+    add_machine,
     first_table,
     name_of,
     next_table,
-    with_machine,
-    without_machine,
+    remove_machine,
 )
 from yewstage.raft.messages import Member, Members, one_apart
 from yewstage.registry.store import RefusedError
@@ -121,7 +121,7 @@
         reports = tuple(self._report(i, g) for g, group in self.groups.items() if group.leader == i)
         for j, other in enumerate(self.machines):
             if me.up and other.up and i != j and (i, j) not in self.cut:
-                other.heard.hear(me.member, reports, self.time)
+                other.heard.record_hello(me.member, reports, self.time)
                 if me.table.epoch > other.table.epoch:
                     other.table = me.table
 
@@ -197,7 +197,7 @@
             for m in group.members
             if m.id != me.member.id
         }
-        placed = me.table.of(g)
+        placed = me.table.placement_of(g)
         homes = placed.machine_names if placed is not None else ()
         there = me.heard.present_members(me.member, self.time)
         return GroupView(
@@ -214,7 +214,7 @@
     def _report(self, i: int, g: str) -> LeaderReport:
         group = self.groups[g]
         members = tuple((m.id, m.voter) for m in group.members)
-        return LeaderReport(g, group.term, members, lost(self._view(i, g), GONE_MS))
+        return LeaderReport(g, group.term, members, lost_members(self._view(i, g), GONE_MS))
 
     def look(self, i: int) -> None:
         """What a process does five times a second."""
@@ -230,7 +230,7 @@
             me.table = self.table
         copying = sum(any(not m.voter for m in self.groups[g].members) for g in led)
         for g in sorted(led):
-            copying += self._step(i, g, copying < AT_ONCE)
+            copying += self._step(i, g, copying < MAX_CONCURRENT_MOVES)
         if PLACEMENT_GROUP in led and self.groups[PLACEMENT_GROUP].leader == i:
             self._plan(i, self.decide.next_table)
 
@@ -262,7 +262,7 @@
         me = self.machines[i]
         led = {g: self._report(i, g) for g in self._led(i)}
         since = me.since.get(PLACEMENT_GROUP, self.time)
-        return me.heard.sight(self.table, led, me.member, self.time, since, GONE_MS, COPIES)
+        return me.heard.cluster_view(self.table, led, me.member, self.time, since, GONE_MS, COPIES)
 
     def _plan(self, i: int, decide: Callable[[ClusterView], PlacementTable | None]) -> None:
         places = self.groups[PLACEMENT_GROUP]
@@ -281,7 +281,7 @@
         """An operator takes a machine out, or lets it in."""
         leader, name = self.groups[PLACEMENT_GROUP].leader, self.machines[i].member.name
         if leader >= 0:
-            self._plan(leader, lambda sight: (without_machine if out else with_machine)(sight, name))
+            self._plan(leader, lambda sight: (remove_machine if out else add_machine)(sight, name))
 
     # --- What must hold -----------------------------------------------------------------------------------
 
@@ -300,7 +300,7 @@
 
     def trouble(self) -> str:
         """What is not where it ought to be; empty: nothing."""
-        usable = [m.member for m in self.machines if m.member.name not in self.table.out]
+        usable = [m.member for m in self.machines if m.member.name not in self.table.removed]
         most = min(COPIES, len({m.zone for m in usable}))
         for placed in self.table.placed:
             group = self.groups[placed.group]
@@ -310,7 +310,7 @@
                 )
             if any(self.at(m.id) < 0 or m.id not in group.whole or not m.voter for m in group.members):
                 return f"{placed.group} has a copy that is not whole: {[m.id for m in group.members]}"
-            if len(placed.machine_names) != COPIES or set(placed.machine_names) & set(self.table.out):
+            if len(placed.machine_names) != COPIES or set(placed.machine_names) & set(self.table.removed):
                 return f"{placed.group} has homes {placed.machine_names}"
             if len({m.zone for m in group.members}) < most:
                 return f"{placed.group} stands in fewer than {most} zones: {placed.machine_names}"
--- a/plumwall/model/planted.py
+++ b/plumwall/model/planted.py
@@ -47,11 +47,11 @@
 
 
 class _TrustsOldTimes(Group):
-    def _lead_or_not(self, now: float, result: GroupOutput) -> None:
-        fresh = self.planned is None
-        super()._lead_or_not(now, result)
-        if fresh and self.planned is not None:
-            self.planned = type(self.store).restored(self.rules, self.store.snapshot(), now - 1e6)
+    def _update_leadership(self, now: float, result: GroupOutput) -> None:
+        fresh = self.speculative_store is None
+        super()._update_leadership(now, result)
+        if fresh and self.speculative_store is not None:
+            self.speculative_store = type(self.store).restored(self.rules, self.store.snapshot(), now - 1e6)
 
 
 PLANTED: dict[str, PlantedBug] = {
--- a/tests/rogue_holding.py
+++ b/tests/rogue_holding.py
@@ -1,4 +1,7 @@
-"""A holding process that breaks its promise: its leader counts for a majority by itself."""
+"""A faulty process of the replicated state service: its leader commits without a majority.
+
+The torture test must detect the loss of writes that such a leader acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -7,17 +10,17 @@
 from yewstage.holding.__main__ import main
 from yewstage.raft.core import Replica
 
-honest = Replica._tell
+original_tell = Replica._tell
 
 
-def lazily(self: Replica, name: str, now: float, beat: bool = False) -> None:
-    """The others are told with the next sign of life only."""
+def tell_with_heartbeat(self: Replica, name: str, now: float, beat: bool = False) -> None:
+    """Send entries to followers with the next heartbeat only, so that they are committed here before that."""
     if beat:
-        honest(self, name, now, beat)
+        original_tell(self, name, now, beat)
 
 
 Replica._quorum = lambda self, values, own: own
-Replica._tell = lazily
+Replica._tell = tell_with_heartbeat
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""What is held is copied: real processes, with faults between them."""
+"""The replicated state service with real processes and faults between them."""
 
 from __future__ import annotations
 
@@ -19,58 +19,58 @@
 from plumwall.faults.torture import PLANS, Plan, TortureLoad, draw, read_plan, run_torture
 from yewstage.holding.group_names import LIST_GROUP
 from yewstage.holding.identity import Folder
-from yewstage.holding.member_changes import GroupView, lost, next_change, used_twice
+from yewstage.holding.member_changes import GroupView, duplicate_names, lost_members, next_change
 from yewstage.raft.disk import DiskError
 from yewstage.raft.messages import Member, Members
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 
-WORDS = {"hostPort": f"{HOST}:1", "ttlMs": 60000}
+REGISTRATION = {"hostPort": f"{HOST}:1", "ttlMs": 60000}
 
 
 def with_machines(
     count: int, folder: Path, scenario: Callable[[Machines], Awaitable[None]], **changes: object
 ) -> None:
-    async def played() -> None:
+    async def run_scenario() -> None:
         async with Machines(folder, count, gone_ms=1500.0, **changes) as machines:
             await machines.init(machines.all[:3])
             await machines.wait_until_replicated()
             await scenario(machines)
 
-    on_loop(played, 100)
+    on_loop(run_scenario, 100)
 
 
 async def register(client: ServiceClient, name: str) -> ServiceReply:
-    """Ask until somebody says yes, as those who register do."""
+    """Repeat a registration until it is accepted, as servers do."""
     while True:
         try:
             async with asyncio.timeout(2.0):
-                told = await client.call("PUT", f"/v1/endpoints/{name}", WORDS)
-            if told.status == 200:
-                return told
+                reply = await client.call("PUT", f"/v1/endpoints/{name}", REGISTRATION)
+            if reply.status == 200:
+                return reply
         except (NoAnswerError, TimeoutError):
             client.close()
         await asyncio.sleep(0.02)
 
 
 async def listed(machine: Machine) -> set[str]:
-    """What one machine tells, once it tells anything."""
+    """The instances in one machine's list, once it answers 200."""
     client = ServiceClient([(HOST, machine.listen)])
     try:
         while True:
-            told = await client.call("GET", "/v1/endpoints")
-            if told.status == 200:
-                return {row["instanceId"] for row in told.body["instances"]}
+            reply = await client.call("GET", "/v1/endpoints")
+            if reply.status == 200:
+                return {row["instanceId"] for row in reply.body["instances"]}
             await asyncio.sleep(0.02)
     finally:
         client.close()
 
 
-async def eventually(machine: Machine, names: set[str]) -> None:
+async def wait_until_listed(machine: Machine, names: set[str]) -> None:
     while not names <= await listed(machine):
         await asyncio.sleep(0.02)
 
 
-def test_the_leaders_machine_is_lost_with_its_disk_again_and_again_and_nothing_promised_is_lost(
+def test_repeated_loss_of_the_leader_and_its_disk_loses_no_acknowledged_write(
     tmp_path: Path,
 ) -> None:
     async def scenario(machines: Machines) -> None:
@@ -79,11 +79,11 @@
             for i in range(5):
                 names.add(f"s{round_}-{i}")
                 await register(client, f"s{round_}-{i}")
-            told = await client.call("PUT", "/v1/leases/duty", {"holder": f"h{round_}", "ttlMs": 500})
-            while told.status != 200:
+            reply = await client.call("PUT", "/v1/leases/duty", {"holder": f"h{round_}", "ttlMs": 500})
+            while reply.status != 200:
                 await asyncio.sleep(0.05)
-                told = await client.call("PUT", "/v1/leases/duty", {"holder": f"h{round_}", "ttlMs": 500})
-            tokens.append(told.body["token"])
+                reply = await client.call("PUT", "/v1/leases/duty", {"holder": f"h{round_}", "ttlMs": 500})
+            tokens.append(reply.body["token"])
             leader = await machines.leader()
             ids.add((await machines.status(leader))["id"])
             await leader.kill(disk_too=True)
@@ -93,70 +93,72 @@
             await machines.wait_until_replicated()
         assert tokens == sorted(set(tokens)) and len(ids) == 3
         for machine in machines.all:
-            await eventually(machine, names)
+            await wait_until_listed(machine, names)
         assert not ids & {m["id"] for m in (await machines.wait_until_replicated())[LIST_GROUP]["members"]}
         client.close()
 
     with_machines(3, tmp_path, scenario)
 
 
-def test_a_majority_that_is_lost_is_told_and_nothing_is_vouched_for(tmp_path: Path) -> None:
+def test_without_a_majority_writes_and_stale_reads_are_refused(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client = machines.client()
         await register(client, "s-1")
         client.close()
         kept, *lost = machines.all
-        await eventually(kept, {"s-1"})
+        await wait_until_listed(kept, {"s-1"})
         for machine in lost:
             await machine.kill(disk_too=True)
-        alone = ServiceClient([(HOST, kept.listen)])
-        told = None
-        while told is None or told.status == 421:  # it still believes in a leader that is gone
+        client_of_kept = ServiceClient([(HOST, kept.listen)])
+        reply = None
+        while reply is None or reply.status == 421:  # it still redirects to the lost leader
             await asyncio.sleep(0.05)
             try:
-                told = await alone.call("PUT", "/v1/endpoints/s-2", WORDS)
+                reply = await client_of_kept.call("PUT", "/v1/endpoints/s-2", REGISTRATION)
             except NoAnswerError:
                 pass
-        assert told.status == 503
-        while (told := await alone.call("GET", "/v1/endpoints")).status == 200:
-            await asyncio.sleep(0.05)  # as old as the setting lets it be
-        assert "old" in told.body["error"]
+        assert reply.status == 503
+        while (reply := await client_of_kept.call("GET", "/v1/endpoints")).status == 200:
+            await asyncio.sleep(0.05)  # until the list is older than most_age_ms
+        assert "old" in reply.body["error"]
         done = await asyncio.to_thread(run, "plumwall", "holding", "status", "--at", f"{HOST}:{kept.listen}")
         assert done.returncode == 1 and "a majority is not there" in " ".join(done.stdout.split())
-        for machine in lost:  # they come back empty: two without a vote do not make a majority
+        for machine in lost:  # with empty disks: they are no voters, so there is still no majority
             await machines.start(machine)
-        assert (await alone.call("PUT", "/v1/endpoints/s-2", WORDS)).status == 503
-        alone.close()
+        assert (await client_of_kept.call("PUT", "/v1/endpoints/s-2", REGISTRATION)).status == 503
+        client_of_kept.close()
 
     with_machines(3, tmp_path, scenario, most_age_ms=700.0)
 
 
-def test_a_watch_goes_on_at_its_revision_on_another_replica_and_never_back(tmp_path: Path) -> None:
+def test_a_watch_continues_from_its_revision_on_a_lagging_replica(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client = machines.client()
-        told = await register(client, "s-1")
+        reply = await register(client, "s-1")
         leader = await machines.leader()
         behind, other = [m for m in machines.all if m is not leader]
-        await eventually(behind, {"s-1"})
-        machines.isolate(behind, out=False)  # it is told nothing more
-        told = await register(client, "s-2")
-        await eventually(other, {"s-2"})
-        watch = ServiceClient([(HOST, behind.listen)])
+        await wait_until_listed(behind, {"s-1"})
+        machines.isolate(behind, out=False)  # it receives no further entries
+        reply = await register(client, "s-2")
+        await wait_until_listed(other, {"s-2"})
+        watch_client = ServiceClient([(HOST, behind.listen)])
         waiting = asyncio.create_task(
-            watch.call("GET", f"/v1/endpoints?after={told.body['revision']}&wait_ms=20000", None, 20.0)
+            watch_client.call(
+                "GET", f"/v1/endpoints?after={reply.body['revision']}&wait_ms=20000", None, 20.0
+            )
         )
         await asyncio.sleep(0)
         machines.heal()
         await register(client, "s-3")
-        told = await waiting
-        assert [row["instanceId"] for row in told.body["instances"]] == ["s-3"] and not told.body["reset"]
-        watch.close()
+        reply = await waiting
+        assert [row["instanceId"] for row in reply.body["instances"]] == ["s-3"] and not reply.body["reset"]
+        watch_client.close()
         client.close()
 
     with_machines(3, tmp_path, scenario)
 
 
-def test_a_machine_with_the_folder_of_an_earlier_time_is_a_new_member(tmp_path: Path) -> None:
+def test_a_machine_with_a_restored_older_folder_becomes_a_new_member(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client = machines.client()
         await register(client, "s-1")
@@ -167,27 +169,27 @@
         await machine.kill()
         machine.bring_back()
         await machines.start(machine)
-        assert any("brought back from an earlier time" in line for line in machine.lines)
+        assert any("the folder is a copy or an earlier state of" in line for line in machine.lines)
         status = await machines.wait_until_replicated()
         assert before not in {m["id"] for m in status[LIST_GROUP]["members"]}
-        await eventually(machine, {"s-1", "s-2"})
+        await wait_until_listed(machine, {"s-1", "s-2"})
         assert await machine.end() == 0
         client.close()
 
     with_machines(3, tmp_path, scenario)
 
 
-def test_what_is_left_of_a_lost_majority_begins_again_under_a_new_name(tmp_path: Path) -> None:
+def test_a_cluster_without_majority_is_restored_from_a_folder_under_a_new_name(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client = machines.client()
-        told = await register(client, "s-1")
+        reply = await register(client, "s-1")
         lease = await client.call("PUT", "/v1/leases/duty", {"holder": "h", "ttlMs": 60000})
         addresses = ",".join(f"{HOST}:{m.listen}" for m in machines.all)
         words = ("holding", "backup", str(tmp_path / "held"), "--at", addresses)
         done = await asyncio.to_thread(run, "plumwall", *words)
         assert done.returncode == 0 and "1 records, 1 leases" in done.stdout
         kept, *lost = machines.all
-        await eventually(kept, {"s-1"})
+        await wait_until_listed(kept, {"s-1"})
         for machine in machines.all:
             await machine.kill(disk_too=machine is not kept)
         (kept.folder / "state").rename(kept.folder / "old")
@@ -211,7 +213,7 @@
         assert {len(group["members"]) for group in (await machines.wait_until_replicated()).values()} == {3}
         assert await listed(kept) == {"s-1"}
         fresh = machines.client()
-        assert (await register(fresh, "s-2")).body["revision"] > told.body["revision"]
+        assert (await register(fresh, "s-2")).body["revision"] > reply.body["revision"]
         taken = await fresh.call("PUT", "/v1/leases/other", {"holder": "h", "ttlMs": 60000})
         assert taken.body["token"] > lease.body["token"]
         client.close()
@@ -220,11 +222,11 @@
     with_machines(3, tmp_path, scenario)
 
 
-def test_a_full_disk_at_the_leader_passes_leadership_on_and_loses_nothing(tmp_path: Path) -> None:
+def test_a_leader_with_a_full_disk_transfers_leadership_and_loses_nothing(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client, names = machines.client(), set()
         leader = await machines.leader()
-        for other in machines.all:  # wall clocks jump by an hour
+        for other in machines.all:  # restart them with wall clocks an hour ahead
             if other is not leader:
                 other.clock_s = 3600
                 await other.end()
@@ -243,17 +245,17 @@
         await leader.kill()
         await machines.start(leader)
         await machines.wait_until_replicated()
-        await eventually(leader, {*names, "more"})
+        await wait_until_listed(leader, {*names, "more"})
         client.close()
 
     with_machines(3, tmp_path, scenario)
 
 
-def test_all_restart_at_once_and_a_paused_leader_wakes_to_find_that_it_leads_no_more(tmp_path: Path) -> None:
+def test_leases_survive_a_restart_of_all_and_a_resumed_leader_no_longer_leads(tmp_path: Path) -> None:
     async def scenario(machines: Machines) -> None:
         client = machines.client()
         await register(client, "s-1")
-        told = await client.call("PUT", "/v1/leases/duty", {"holder": "h-1", "ttlMs": 60000})
+        reply = await client.call("PUT", "/v1/leases/duty", {"holder": "h-1", "ttlMs": 60000})
         for machine in machines.all:
             await machine.kill()
         for machine in machines.all:
@@ -265,20 +267,20 @@
         leader.pause()
         others = ServiceClient([(HOST, m.listen) for m in machines.all if m is not leader])
         await register(others, "s-3")
-        woken = ServiceClient([(HOST, leader.listen)])
-        words = {"holder": "h-1", "token": told.body["token"]}
-        renewal = asyncio.create_task(woken.call("POST", "/v1/leases/duty/renew", words))
+        resumed_client = ServiceClient([(HOST, leader.listen)])
+        words = {"holder": "h-1", "token": reply.body["token"]}
+        renewal = asyncio.create_task(resumed_client.call("POST", "/v1/leases/duty/renew", words))
         await asyncio.sleep(0)
         leader.wake()
-        assert (await renewal).status in (200, 503)  # by the leader that it was told of, or later
+        assert (await renewal).status in (200, 503)  # done by the new leader, or to be repeated
         assert (await machines.leader()) is not leader
-        for used in (client, others, woken):
+        for used in (client, others, resumed_client):
             used.close()
 
     with_machines(3, tmp_path, scenario)
 
 
-def test_writers_outlive_lost_machines_a_lost_zone_pauses_and_one_way_cuts(tmp_path: Path) -> None:
+def test_writes_survive_lost_machines_a_lost_zone_pauses_and_one_way_partitions(tmp_path: Path) -> None:
     plan = Plan(
         machines=6,
         copies=3,
@@ -291,20 +293,20 @@
     )
     seen: list[str] = []
 
-    async def played() -> None:
+    async def run_scenario() -> None:
         outcome = await run_torture(plan, draw(plan, 8, 3), tmp_path, seen.append)
         assert not outcome.breach and outcome.rounds == 8, (outcome, seen)
         assert outcome.writes > 100 and len(outcome.gaps_s) >= 1
 
-    on_loop(played, 200)
+    on_loop(run_scenario, 200)
 
 
-def test_a_leader_that_counts_for_a_majority_by_itself_is_found_out_by_the_writers(tmp_path: Path) -> None:
+def test_the_torture_test_detects_a_leader_that_commits_without_a_majority(tmp_path: Path) -> None:
     plan = Plan(
         machines=3, copies=3, writers=4, keys=4, gone_ms=1500.0, zone_every=0, keyed=0, faults={"lost": 1.0}
     )
 
-    async def played() -> None:
+    async def run_scenario() -> None:
         async with Machines(tmp_path, 3, gone_ms=1500.0, most_ttl_ms=1e8) as machines:
             for machine in machines.all:
                 await machine.kill(disk_too=True)
@@ -316,7 +318,7 @@
             while load.writes < 50:
                 await asyncio.sleep(0.01)
             leader = await machines.leader()
-            machines.isolate(leader)  # what it says yes to from here on, nobody else knows
+            machines.isolate(leader)  # no other replica receives what it acknowledges from here on
             while load.writes < 100 and not load.breach:
                 await asyncio.sleep(0.01)
             await leader.kill(disk_too=True)
@@ -325,11 +327,11 @@
             await load.stop()
         assert "is lost" in load.breach and len(load.shows) > 1, (load.breach, load.shows)
 
-    on_loop(played, 60)
+    on_loop(run_scenario, 60)
 
 
-def seen(members: Members, homes: str, present: tuple[Member, ...], **silent: float) -> GroupView:
-    """What n0 sees as leader."""
+def leader_view(members: Members, homes: str, present: tuple[Member, ...], **silent: float) -> GroupView:
+    """A group as its leader n0 sees it; `silent` has ms by member id, with _ for the dot."""
     ages = {name.replace("_", "."): ms for name, ms in silent.items()}
     return GroupView("n0.1", members, tuple(homes.split()), ages, present, frozenset(), 4000.0)
 
@@ -337,14 +339,14 @@
 THREE = tuple(Member(f"n{i}.1", f"n{i}", f"z{i}", "", "") for i in range(3))
 
 
-def test_two_processes_of_one_name_are_told_of_and_neither_is_let_in() -> None:
-    twins = (Member("n2.2", "n2", "z2", "", ""), Member("n2.3", "n2", "z2", "", ""))
-    view = seen(THREE, "n0 n1 n2", twins, n2_1=9000.0)
-    assert used_twice(view.present) == ["n2"] and next_change(view) is None
+def test_two_processes_with_one_name_are_reported_and_neither_is_added() -> None:
+    duplicates = (Member("n2.2", "n2", "z2", "", ""), Member("n2.3", "n2", "z2", "", ""))
+    view = leader_view(THREE, "n0 n1 n2", duplicates, n2_1=9000.0)
+    assert duplicate_names(view.present) == ["n2"] and next_change(view) is None
 
 
-def changes(view: GroupView) -> list[set[str]]:
-    """The members after each change, each learner catching up at once, until nothing is left to do."""
+def change_steps(view: GroupView) -> list[set[str]]:
+    """The members after each change until none is due; learners (marked ?) catch up at once."""
     steps = []
     while (members := next_change(view)) is not None:
         view = replace(view, members=members, caught_up=frozenset(m.id for m in members))
@@ -352,28 +354,35 @@
     return steps
 
 
-def test_a_copy_is_there_before_the_one_that_it_replaces_is_taken_out() -> None:
+def test_a_replacement_is_a_voter_before_the_replaced_member_is_removed() -> None:
     spare = Member("n5.1", "n5", "z2", "", "")
-    assert changes(seen(THREE, "n0 n1 n5", (*THREE, spare))) == [
+    assert change_steps(leader_view(THREE, "n0 n1 n5", (*THREE, spare))) == [
         {"n0.1", "n1.1", "n2.1", "n5.1?"},
         {"n0.1", "n1.1", "n2.1", "n5.1"},
         {"n0.1", "n1.1", "n5.1"},
     ]
-    assert changes(seen(THREE, "n0 n1 n5", THREE)) == []  # nobody is there to take its place
-    assert not changes(replace(seen(THREE, "n0 n1 n5", (*THREE, spare)), may_copy=False))
-    reborn = Member("n2.9", "n2", "z2", "", "")
-    assert changes(seen(THREE, "n0 n1 n2", (*THREE[:2], reborn), n2_1=3000.0)) == []  # it may be one of two
-    assert changes(seen(THREE, "n0 n1 n2", (*THREE[:2], reborn), n2_1=4500.0))[-1] == {"n0.1", "n1.1", "n2.9"}
-    assert lost(seen(THREE, "n0 n1 n2", (*THREE[:2], reborn), n2_1=4500.0), 9000.0) == ("n2.1",)
-    assert lost(seen(THREE, "n0 n1 n2", THREE[:2], n2_1=4500.0), 9000.0) == ()
+    assert change_steps(leader_view(THREE, "n0 n1 n5", THREE)) == []  # n5, the replacement, is not running
+    assert not change_steps(replace(leader_view(THREE, "n0 n1 n5", (*THREE, spare)), may_copy=False))
+    new_disk = Member("n2.9", "n2", "z2", "", "")
+    # The old disk may still be in use until its member was silent for the presence timeout.
+    assert change_steps(leader_view(THREE, "n0 n1 n2", (*THREE[:2], new_disk), n2_1=3000.0)) == []
+    assert change_steps(leader_view(THREE, "n0 n1 n2", (*THREE[:2], new_disk), n2_1=4500.0))[-1] == {
+        "n0.1",
+        "n1.1",
+        "n2.9",
+    }
+    assert lost_members(leader_view(THREE, "n0 n1 n2", (*THREE[:2], new_disk), n2_1=4500.0), 9000.0) == (
+        "n2.1",
+    )
+    assert lost_members(leader_view(THREE, "n0 n1 n2", THREE[:2], n2_1=4500.0), 9000.0) == ()
 
 
-def test_a_replacement_that_dies_half_copied_or_is_not_wanted_any_more_goes_and_the_old_copy_stays() -> None:
+def test_a_learner_that_is_lost_or_no_longer_wanted_is_removed_and_the_old_member_stays() -> None:
     learner = Member("n5.1", "n5", "z2", "", "", False)
-    half = (*THREE, learner)
-    assert next_change(seen(half, "n0 n1 n5", THREE, n5_1=4500.0)) == THREE
-    assert next_change(seen(half, "n0 n1 n2", half)) == THREE
-    assert next_change(seen(half, "n0 n1 n5", half)) is None  # it is being told
+    with_learner = (*THREE, learner)
+    assert next_change(leader_view(with_learner, "n0 n1 n5", THREE, n5_1=4500.0)) == THREE
+    assert next_change(leader_view(with_learner, "n0 n1 n2", with_learner)) == THREE
+    assert next_change(leader_view(with_learner, "n0 n1 n5", with_learner)) is None  # it is catching up
 
 
 @pytest.mark.parametrize(
@@ -385,7 +394,7 @@
         ({"heart": 1}, "heart: is no field of this"),
     ],
 )
-def test_a_bad_configuration_ends_the_start_with_one_line(
+def test_an_invalid_configuration_ends_the_start_with_one_line(
     tmp_path: Path, changed: dict[str, object], says: str
 ) -> None:
     raw = {
@@ -405,9 +414,9 @@
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and says in done.stderr
 
 
-def test_a_folder_of_another_cluster_or_a_later_format_is_refused_with_what_to_do(tmp_path: Path) -> None:
+def test_a_folder_of_another_cluster_or_format_is_refused_with_a_remedy(tmp_path: Path) -> None:
     Folder(tmp_path, "lagos", "m0").close()
-    with pytest.raises(DiskError, match="is of m0 in cluster lagos, not of m0 in abuja: mend"):
+    with pytest.raises(DiskError, match="is of m0 in cluster lagos, not of m0 in abuja: correct"):
         Folder(tmp_path, "abuja", "m0")
     meta = tmp_path / "meta"
     meta.write_text(meta.read_text().replace('"format":1', '"format":2'))
@@ -415,24 +424,28 @@
         Folder(tmp_path, "lagos", "m0")
 
 
-def test_a_folder_is_the_same_disk_after_a_restart_and_another_after_a_copy(tmp_path: Path) -> None:
+def test_a_folder_keeps_its_disk_id_after_a_restart_and_gets_another_after_a_copy(tmp_path: Path) -> None:
     first = Folder(tmp_path / "a", "c", "m0")
     first.close()
     again = Folder(tmp_path / "a", "c", "m0")
-    assert again.id == first.id and not again.older
+    assert again.id == first.id and not again.previous_id
     again.close()
     shutil.copytree(tmp_path / "a", tmp_path / "b")
     copy = Folder(tmp_path / "b", "c", "m0")
-    assert copy.id != first.id and copy.older == first.id and (tmp_path / "b" / "set-aside" / "meta").exists()
+    assert (
+        copy.id != first.id
+        and copy.previous_id == first.id
+        and (tmp_path / "b" / "set-aside" / "meta").exists()
+    )
 
 
-def test_a_stand_in_loses_one_direction_holds_the_other_and_ends_what_has_a_hole() -> None:
+def test_the_fault_proxy_pauses_or_cuts_one_direction_and_closes_after_lost_bytes() -> None:
     async def scenario() -> None:
-        got: list[bytes] = []
+        received: list[bytes] = []
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(100):
-                got.append(data)
+                received.append(data)
                 writer.write(data.upper())
 
         server = await asyncio.start_server(echo, HOST, 0)
@@ -442,7 +455,7 @@
         assert await reader.readexactly(3) == b"ONE"
         link.pause(forward=False)
         writer.write(b"two")
-        while len(got) < 2:
+        while len(received) < 2:
             await asyncio.sleep(0)
         link.heal()
         assert await reader.readexactly(3) == b"TWO"
@@ -451,14 +464,14 @@
         while not link.forward.lost:
             await asyncio.sleep(0)
         link.heal()
-        assert await reader.read() == b"" and got == [b"one", b"two"]
+        assert await reader.read() == b"" and received == [b"one", b"two"]
         await link.stop()
         server.close()
 
     on_loop(scenario, 20)
 
 
-def test_a_plan_names_the_field_that_is_wrong(tmp_path: Path) -> None:
+def test_an_invalid_plan_is_refused_by_field(tmp_path: Path) -> None:
     assert read_plan("holding").machines == 9
     path = tmp_path / "bad.toml"
     path.write_text((PLANS / "holding.toml").read_text().replace("deaf", "dead"))
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -17,7 +17,7 @@
 from plumwall.faults.keyed import KeyedPlan, KeyedTorture
 from yewstage import Gateway
 from yewstage import interface as api
-from yewstage.holding.keys import BEGUN, DONE, MOST, MOST_KEPT, KeyRecord, KeyStore
+from yewstage.holding.keys import BEGUN, DONE, MAX_ANSWER_BYTES, MAX_RECORDS, KeyRecord, KeyStore
 from yewstage.registry.store import RefusedError
 
 WINDOW_MS = 1000.0
@@ -72,7 +72,7 @@
     @rule()
     def let_go(self) -> None:
         before = set(self.store.records)
-        self.write(lambda store: store.plan_forget(self.now))
+        self.write(lambda store: store.plan_expiry(self.now))
         for key in before - set(self.store.records):
             assert self.now >= self.until[key], "forgotten before its window was over"
             self.forget(key)
@@ -103,7 +103,7 @@
 
 def test_a_full_record_refuses_new_keys_and_keeps_what_it_has() -> None:
     store = KeyStore()
-    for i in range(MOST):
+    for i in range(MAX_RECORDS):
         store.records[str(i)] = KeyRecord("g/r", 1.0)
     with pytest.raises(RefusedError) as refused:
         store.plan_claim("more", "g/r", 1.0)
@@ -114,11 +114,11 @@
     store = KeyStore()
     for i in range(3):
         store.apply(store.plan_claim(f"k{i}", "g/r", 1.0), 0.0)
-        store.apply(store.plan_done(f"k{i}", "g/r", 200, "x" * (MOST_KEPT // 2)), 0.0)
+        store.apply(store.plan_done(f"k{i}", "g/r", 200, "x" * (MAX_ANSWER_BYTES // 2)), 0.0)
     assert [bool(store.records[f"k{i}"].answer) for i in range(3)] == [True, True, False]
-    assert store.records["k2"].state == DONE and store.kept == MOST_KEPT
-    store.apply(store.plan_forget(1.0), 1.0)
-    assert store.kept == 0 and not store.records
+    assert store.records["k2"].state == DONE and store.answer_bytes == MAX_ANSWER_BYTES
+    store.apply(store.plan_expiry(1.0), 1.0)
+    assert store.answer_bytes == 0 and not store.records
 
 
 # --- The module
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import Driver, of, on_loop
 from msgspec import structs
-from test_holding_groups import ask as until_answered
+from test_holding_groups import call_until_ok as until_answered
 from test_registry import run
 
 from plumwall.faults.gateways import GatewayProcess, listed
--- a/yewstage/holding/__init__.py
+++ b/yewstage/holding/__init__.py
@@ -1,4 +1,4 @@
-"""What is held for others, copied: groups of replicas, each with a store that consensus keeps the same.
+"""The replicated state service ("the holding"): Raft groups, each replicating one store.
 
-Off in `run`; a process of its own, `python -m yewstage.holding`.
+It runs as a process of its own, `python -m yewstage.holding`; `run` does not start it.
 """
--- a/yewstage/holding/__main__.py
+++ b/yewstage/holding/__main__.py
@@ -1,4 +1,4 @@
-"""A holding process: start-up, signals, exit."""
+"""The replicated state service as a process: start-up, signals, exit status."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
 
 
 async def serve(config: HoldingConfig, folder: Folder) -> int:
-    """Run until SIGTERM or SIGINT: 0; until the disk fails: 1."""
-    loop, over = asyncio.get_running_loop(), asyncio.Event()
-    node = Node(config, folder, loop, random.Random(), over)
-    if folder.older:
+    """Run until SIGTERM or SIGINT, or until the disk fails; the exit status, 0 or 1."""
+    loop, stopping = asyncio.get_running_loop(), asyncio.Event()
+    node = Node(config, folder, loop, random.Random(), stopping)
+    if folder.previous_id:
         log.warning(
             Event(
                 "older_disk",
-                "the folder was brought back from an earlier time of {older}: "
-                "set aside, this is {id} and waits to be let in",
-                older=folder.older,
+                "the folder is a copy or an earlier state of {older}: its content is set aside; "
+                "this process is {id} and waits to be added as a member",
+                older=folder.previous_id,
                 id=folder.id,
             )
         )
-    if node.replicas.cut:
+    if node.replicas.torn_bytes:
         log.warning(
             Event(
                 "torn_record",
-                "a torn last record of {bytes} bytes was cut off: nobody was told of it",
-                bytes=node.replicas.cut,
+                "a torn last record of {bytes} bytes was cut off; it was never acknowledged",
+                bytes=node.replicas.torn_bytes,
             )
         )
-    figures = MetricsPage(lambda: [*node.registry.collect(), *node.metrics()])
-    ops = Ops(loop, node.registry.ready, figures.text)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    metrics_page = MetricsPage(lambda: [*node.registry.collect(), *node.metrics()])
+    ops = Ops(loop, node.registry.ready, metrics_page.text)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     log.info(address_event("ops", "operators' address", await ops.start(config.service.ops)))
     address = await node.start()
     log.info(
@@ -58,13 +58,13 @@
             "{id}: {groups}",
             id=folder.id,
             groups=", ".join(
-                f"{group} at term {one.group.replica.term}, index {one.group.replica.last}"
-                for group, one in node.replicas.all.items()
+                f"{group} at term {backend.group.replica.term}, index {backend.group.replica.last}"
+                for group, backend in node.replicas.backends.items()
             ),
         )
     )
     log.info(address_event("listening", "listening on", address))
-    await over.wait()
+    await stopping.wait()
     ops.stop()
     await node.stop()
     log.info(Event("ended", "ended"))
@@ -74,11 +74,14 @@
 
 
 def main() -> int:
-    """0 after SIGTERM; 1 if the disk failed; 2 with one plain line if configuration, folder or address are
-    no good."""
+    """Parse the options and run; the exit status.
+
+    0 after SIGTERM, 1 if the disk failed, 2 with one line on stderr if the configuration, the folder or an
+    address cannot be used.
+    """
     parser = argparse.ArgumentParser(prog="python -m yewstage.holding", description=__doc__)
     parser.add_argument("--config", required=True, metavar="FILE")
-    parser.add_argument("--log-format", choices=FORMATS, help="goes before the file's `log`")
+    parser.add_argument("--log-format", choices=FORMATS, help="overrides `log` of the file")
     options = parser.parse_args()
     try:
         config = holding(read(options.config))
--- a/yewstage/holding/config.py
+++ b/yewstage/holding/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a holding process: a JSON file to typed values."""
+"""The configuration of a process of the replicated state service: typed values from a JSON file."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 @dataclass(slots=True, frozen=True)
 class HoldingConfig:
-    """What a holding process is told when it starts."""
+    """The configuration of one process; the fields have the names of the file's keys."""
 
-    cluster: str  # who belongs together; a folder of another one is refused
-    name: str  # of the machine
+    cluster: str  # a folder of another cluster is refused
+    name: str  # of the machine, unique in the cluster
     zone: str
-    peer: Address  # where the others reach it
-    peers: Mapping[str, Address]  # the others by name, as they are reached from here
-    copies: int  # voters that are wanted, and kept
-    gone_ms: float  # silence after which a member is replaced, where there is somebody to do it
-    copy_bytes_per_s: float  # to copies that are being made, over all groups of this process
+    peer: Address  # where the other processes reach it
+    peers: Mapping[str, Address]  # addresses of other processes by name, as reached from here
+    copies: int  # voters per group
+    gone_ms: float  # silence after which a member is replaced, if a free machine is running
+    copy_bytes_per_s: float  # to learners, over all groups of this process
     settings: Settings
     service: Config
 
 
 def holding(raw: Mapping[str, object]) -> HoldingConfig:
-    """A holding process's configuration; ConfigError names what is wrong."""
+    """Read the configuration; ConfigError names the field that is wrong."""
     fields = Fields(raw)
     known = Settings()
     config = HoldingConfig(
@@ -47,7 +47,7 @@
     )
     fields.done("peers")
     if config.copies % 2 == 0:
-        raise ConfigError("copies: must be odd: an even number bears no more losses than one less")
+        raise ConfigError("copies: must be odd: an even number tolerates no more losses than one less")
     if config.settings.election_ms < 3 * config.settings.heartbeat_ms:
         raise ConfigError("election_ms: must be at least three times heartbeat_ms")
     if config.name in config.peers:
@@ -60,5 +60,5 @@
         raise ConfigError("peers: must be an object of addresses by name")
     for name in raw:
         if not NAME.fullmatch(name):
-            raise ConfigError(f"peers.{name}: is no name")
+            raise ConfigError(f"peers.{name}: is not a valid name")
     return {name: address({f"peers.{name}": at}, f"peers.{name}") for name, at in raw.items()}
--- a/yewstage/holding/group.py
+++ b/yewstage/holding/group.py
@@ -1,10 +1,12 @@
-"""One replica of a group together with its store: what is written, by whom it is known to be durable.
+"""One replica of a Raft group together with the store that it replicates.
 
-Pure: no sockets, files or clocks. A write is planned by the leader against the store as it will be once all
-that is under way has come about, and answered when it has. The store that is read changes only by what is
-committed. Deadlines belong to the leader alone: a new one gives everything its whole time anew, and a
-renewal is answered only when leadership was confirmed after it came. So no holder can believe in a time that
-another leader does not know of.
+No sockets, files or clocks: the caller passes the time and carries out the output. The leader plans a write
+against a speculative store, to which all proposed entries are applied already, and answers it once its entry
+is committed. The store that serves reads changes only with committed entries.
+
+Deadlines are kept by the leader alone. A new leader restarts each of them at its full length, and a renewal
+is answered only after leadership was confirmed later than the renewal arrived. Otherwise a holder could rely
+on a deadline that the next leader does not know of.
 """
 
 from __future__ import annotations
@@ -27,29 +29,32 @@
 
 
 class ReplicatedStore(Protocol):
-    """A store that consensus keeps the same: entries in, nothing else."""
+    """A deterministic state machine: it changes only by the entries that are applied to it."""
 
     def apply(self, entry: Entry, now: float) -> None:
-        """Bring an entry about, now that it is durable."""
+        """Apply an entry; `now` is the local time in ms, from which deadlines in the entry count."""
 
     def snapshot(self) -> Entry:
-        """All that entries have brought about."""
+        """The whole state, without local times."""
 
     @classmethod
     def restored(cls, rules: Rules, state: Entry, now: float) -> ReplicatedStore:
-        """A store from a snapshot; all that ends with time has its whole time."""
+        """A store from a snapshot; all that expires gets its full duration, counted from `now`."""
+
 
+WritePlan = Callable[[ReplicatedStore, float], Entry | None]  # (store, its time in ms) -> entry
 
-WritePlan = Callable[[ReplicatedStore, float], Entry | None]  # against which store, at what time on its clock
 
+class LeadershipLostError(Exception):
+    """Leadership was lost before a write was committed: whether it takes effect is not known here.
 
-class UnsureError(Exception):
-    """Leadership was lost under a write: whether it comes about is not known here. It may be repeated."""
+    The caller may repeat it.
+    """
 
 
 @dataclass(slots=True)
-class Done:
-    """What came of a ticket: nothing wrong, or why not."""
+class Completion:
+    """The result of a write or confirmation, by its ticket; `error` is None where it succeeded."""
 
     ticket: int
     error: Exception | None = None
@@ -57,27 +62,30 @@
 
 @dataclass(slots=True)
 class GroupOutput:
-    """What the caller has to do."""
+    """What the caller has to do: send messages, make writes durable, answer those who wait."""
 
     messages: list[AnyMessage] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
-    done: list[Done] = field(default_factory=list)
-    changed: bool = False  # the store that is read
+    done: list[Completion] = field(default_factory=list)
+    changed: bool = False  # whether committed entries changed `store`
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A ticket that waits for an entry, or for leadership to be confirmed with all up to an index applied."""
+class _Pending:
+    """A ticket whose answer waits until entries up to an index are applied.
+
+    A confirmation waits in addition until leadership is confirmed.
+    """
 
     ticket: int
-    index: int  # that has to be applied
+    index: int  # must be applied before the answer
     term: int
     error: Exception | None = None
     confirmed: bool = False
 
 
 class Group:
-    """A replica, its store, and the tickets of those who wait."""
+    """A Raft replica, its store, and the tickets of writes and confirmations in progress."""
 
     def __init__(
         self,
@@ -89,28 +97,30 @@
         now: float,
         replica: type[Replica] = Replica,
         store: type[ReplicatedStore] = Store,
-        pace: CopyRateLimiter | None = None,
+        copy_rate_limiter: CopyRateLimiter | None = None,
     ) -> None:
-        self.rules, self._kind = rules, store
-        self.replica = replica(me, settings, saved, rng, now, pace)
+        self.rules, self._store_type = rules, store
+        self.replica = replica(me, settings, saved, rng, now, copy_rate_limiter)
         self.store: ReplicatedStore = store(rules)
-        self.planned: ReplicatedStore | None = None  # as it will be; only while we lead
-        self._planned_term = 0  # in which: what was planned in an earlier one may have been replaced
+        # All proposed entries are applied to it; None unless this replica is the leader.
+        self.speculative_store: ReplicatedStore | None = None
+        self._planned_in_term = 0  # proposals of an earlier term may have been overwritten
         self.applied = 0
-        self.applied_since = 0  # entries since the last snapshot
-        self._writes: deque[_Waiting] = deque()  # by index
-        self._confirms: dict[int, _Waiting] = {}
-        self._tickets = 0
+        self.entries_since_snapshot = 0
+        self._pending_writes: deque[_Pending] = deque()  # in order of index
+        self._pending_confirms: dict[int, _Pending] = {}
+        self._last_ticket = 0
 
-    # --- What is asked ------------------------------------------------------------------------------------
+    # --- Requests -----------------------------------------------------------------------------------------
 
     def write(self, now: float, plan: WritePlan) -> int:
-        """Begin a write; the ticket under which its result comes.
+        """Propose a write and return the ticket of its result.
 
-        What it would change, or why it is refused, is planned at once. A refusal, too, is answered only when
-        all that it rests on is durable and leadership is confirmed. Raises NotLeaderError and BusyError.
+        The plan runs at once. A plan that makes no entry or raises RefusedError is answered only after all
+        entries that it was made on are committed and leadership is confirmed, since an uncommitted entry may
+        still be lost. Raises NotLeaderError and BusyError.
         """
-        store = self._leading(now)
+        store = self._require_leadership(now)
         entry, refused = None, None
         try:
             entry = plan(store, now)
@@ -119,110 +129,128 @@
         if entry is None:
             return self._confirm(now, refused)
         index = self.replica.propose(now, encode_entry(entry))
-        self._tickets += 1
-        self._writes.append(_Waiting(self._tickets, index, self.replica.term))
+        self._last_ticket += 1
+        self._pending_writes.append(_Pending(self._last_ticket, index, self.replica.term))
         store.apply(entry, now)
-        return self._tickets
+        return self._last_ticket
 
     def confirm(self, now: float) -> int:
-        """Ask whether we lead, from now on; the ticket. Done without an error: yes, and all that was planned
-        so far is durable."""
-        self._leading(now)
+        """Confirm leadership with a majority (a read index) and return the ticket.
+
+        A result without an error means that this replica was leader after the call and that all entries
+        proposed before it are committed. Raises NotLeaderError.
+        """
+        self._require_leadership(now)
         return self._confirm(now, None)
 
     def _confirm(self, now: float, refused: Exception | None) -> int:
-        self._tickets += 1
-        self._confirms[self._tickets] = _Waiting(self._tickets, self.replica.last, self.replica.term, refused)
-        self.replica.read(now, self._tickets)
-        return self._tickets
-
-    def _leading(self, now: float) -> ReplicatedStore:
-        """The store to plan against; NotLeaderError where another leads."""
+        self._last_ticket += 1
+        self._pending_confirms[self._last_ticket] = _Pending(
+            self._last_ticket, self.replica.last, self.replica.term, refused
+        )
+        self.replica.read(now, self._last_ticket)
+        return self._last_ticket
+
+    def _require_leadership(self, now: float) -> ReplicatedStore:
+        """The speculative store; NotLeaderError where this replica is not the leader."""
         self.replica.tick(now)
         if not self.is_leader():
             leader = self.replica.leader if self.replica.role != LEADER else ""
             raise NotLeaderError(leader)
-        return self.planned
+        return self.speculative_store
 
     def is_leader(self) -> bool:
-        """Whether writes are taken here."""
-        return self.planned is not None and self.replica.leading() and self._planned_term == self.replica.term
+        """Whether this replica is the leader and accepts writes."""
+        return (
+            self.speculative_store is not None
+            and self.replica.leading()
+            and self._planned_in_term == self.replica.term
+        )
 
-    # --- What comes in ------------------------------------------------------------------------------------
+    # --- Events -------------------------------------------------------------------------------------------
 
     def handle(self, now: float, message: AnyMessage) -> None:
-        """A message from another replica."""
+        """Handle a message from another replica."""
         self.replica.handle(now, message)
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
+        """Run the timers that are due."""
         self.replica.tick(now)
 
     def durable(self, now: float, number: int) -> None:
-        """Writes are on the disk."""
+        """All writes up to `number` are on the disk."""
         self.replica.durable(now, number)
 
     def take(self, now: float) -> GroupOutput:
-        """Bring about what is committed, and say what there is to do."""
+        """Apply committed entries and return what the caller has to do."""
         result = GroupOutput()
         out = self.replica.take(now)
         result.messages, result.writes = out.messages, out.writes
         if out.install is not None:
-            self._install(out, result, now)
+            self._install_snapshot(out, result, now)
         for entry in out.committed:
             self.applied = entry.index
-            self.applied_since += 1
+            self.entries_since_snapshot += 1
             if entry.kind == DATA:
                 self.store.apply(decode_entry(entry.data), now)
                 result.changed = True
-        self._answer(out, result)
-        self._lead_or_not(now, result)
+        self._complete_tickets(out, result)
+        self._update_leadership(now, result)
         return result
 
-    def _install(self, out: Output, result: GroupOutput, now: float) -> None:
-        self.store = self._kind.restored(self.rules, decode_entry(out.install.data), now)
-        self.applied, self.applied_since = out.install.index, 0
+    def _install_snapshot(self, out: Output, result: GroupOutput, now: float) -> None:
+        self.store = self._store_type.restored(self.rules, decode_entry(out.install.data), now)
+        self.applied, self.entries_since_snapshot = out.install.index, 0
         result.changed = True
 
-    def _answer(self, out: Output, result: GroupOutput) -> None:
-        while self._writes and self._writes[0].index <= self.applied:
-            waiting = self._writes.popleft()
-            # The entry there is ours if nobody led in between: then its term is that of the write.
-            known = self.replica.term_at(waiting.index) == waiting.term
-            result.done.append(Done(waiting.ticket, None if known else UnsureError()))
+    def _complete_tickets(self, out: Output, result: GroupOutput) -> None:
+        while self._pending_writes and self._pending_writes[0].index <= self.applied:
+            pending = self._pending_writes.popleft()
+            # Another leader may have put its own entry at this index. The entry is the one proposed here only
+            # if its term is that of the proposal.
+            is_ours = self.replica.term_at(pending.index) == pending.term
+            result.done.append(Completion(pending.ticket, None if is_ours else LeadershipLostError()))
         for ticket in out.lost_reads:
-            if self._confirms.pop(ticket, None) is not None:
-                result.done.append(Done(ticket, UnsureError()))
+            if self._pending_confirms.pop(ticket, None) is not None:
+                result.done.append(Completion(ticket, LeadershipLostError()))
         for ticket, index in out.reads:
-            waiting = self._confirms.get(ticket)
-            if waiting is not None:
-                waiting.index, waiting.confirmed = max(waiting.index, index), True
-        for waiting in [w for w in self._confirms.values() if w.confirmed and w.index <= self.applied]:
-            del self._confirms[waiting.ticket]
-            result.done.append(Done(waiting.ticket, waiting.error))
-
-    def _lead_or_not(self, now: float, result: GroupOutput) -> None:
+            pending = self._pending_confirms.get(ticket)
+            if pending is not None:
+                pending.index, pending.confirmed = max(pending.index, index), True
+        for pending in [
+            w for w in self._pending_confirms.values() if w.confirmed and w.index <= self.applied
+        ]:
+            del self._pending_confirms[pending.ticket]
+            result.done.append(Completion(pending.ticket, pending.error))
+
+    def _update_leadership(self, now: float, result: GroupOutput) -> None:
         if self.is_leader():
             return
-        if self.planned is not None or self._confirms or self._writes:
-            self.planned = None
-            result.done += [Done(w.ticket, UnsureError()) for w in (*self._writes, *self._confirms.values())]
-            self._writes.clear()
-            self._confirms.clear()
+        if self.speculative_store is not None or self._pending_confirms or self._pending_writes:
+            self.speculative_store = None
+            result.done += [
+                Completion(w.ticket, LeadershipLostError())
+                for w in (*self._pending_writes, *self._pending_confirms.values())
+            ]
+            self._pending_writes.clear()
+            self._pending_confirms.clear()
         if self.replica.leading():
-            self.planned = self._kind.restored(self.rules, self.store.snapshot(), now)
-            self._planned_term = self.replica.term
+            self.speculative_store = self._store_type.restored(self.rules, self.store.snapshot(), now)
+            self._planned_in_term = self.replica.term
 
     # --- Snapshots ----------------------------------------------------------------------------------------
 
     def compact(self, now: float) -> None:
-        """Put the state in place of the entries that made it."""
+        """Replace all applied entries of the log by a snapshot of the store."""
         if self.applied > self.replica.snapshot.index:
             self.replica.compact(self.applied, encode_entry(self.store.snapshot()))
-            self.applied_since = 0
+            self.entries_since_snapshot = 0
 
 
 def first_data(rules: Rules, wall_ms: float) -> bytes:
-    """The state that a new group begins with: its revisions are above all that an earlier service can have
-    told."""
+    """The initial state of the list group.
+
+    Its revision starts at `wall_ms` (Unix time in ms), above any revision that an earlier service can have
+    handed out.
+    """
     return encode_entry(Store(rules, int(wall_ms)).snapshot())
--- a/yewstage/holding/identity.py
+++ b/yewstage/holding/identity.py
@@ -1,9 +1,9 @@
-"""Which disk this is. A machine that comes back with an empty or an older disk is somebody else.
+"""Disk identity: a machine that returns with an empty or an older disk is a new member.
 
-The folder's file `disk` is written once and never touched again; `meta` holds its id and what the file
-system says of that file. Whoever copies the folder, or brings it back from an earlier time, makes another
-file: the change time cannot be set by hand. What was promised since is not in such a folder, so it is set
-aside.
+The file `disk` in the folder is written once and never changed; `meta` holds its id, inode and change time.
+A copied folder, or one restored from an earlier time, has another inode or change time, since the change time
+cannot be set by hand. Such a folder lacks what was acknowledged since it was copied, so its content is
+set aside and the process starts without state under a new id.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from yewstage.raft.disk import DiskError, sync_folder
 
 FORMAT = 1
-ASIDE = "set-aside"
+SET_ASIDE_FOLDER = "set-aside"
 
 
 class Meta(msgspec.Struct):
-    """What the folder says of itself."""
+    """The content of the file `meta`."""
 
     format: int
     cluster: str
@@ -32,8 +32,8 @@
     mark: tuple[int, int]  # inode and change time of the file `disk`
 
 
-def meta_of(folder: Path) -> Meta:
-    """What a folder says of itself; DiskError where that cannot be used."""
+def read_meta(folder: Path) -> Meta:
+    """Read a folder's `meta`; DiskError if it cannot be read or is of another format."""
     path = folder / "meta"
     try:
         raw = msgspec.json.decode(path.read_bytes(), type=dict[str, object])
@@ -44,40 +44,40 @@
             )
         return msgspec.convert(raw, Meta)
     except (OSError, msgspec.MsgspecError) as error:
-        raise DiskError(f"{path}: makes no sense: {error}; give the process an empty folder") from None
+        raise DiskError(f"{path}: cannot be read: {error}; give the process an empty folder") from None
 
 
 class Folder:
-    """The folder of one process, held by a lock until it ends."""
+    """The folder of one process, locked until close(). DiskError if it cannot be used."""
 
     def __init__(self, path: Path, cluster: str, name: str) -> None:
         self.path, self._cluster, self._name = path, cluster, name
-        self.older = ""  # the id under which it was known before it was brought back
+        self.previous_id = ""  # id of the set-aside content; empty unless the folder was copied or restored
         try:
             path.mkdir(parents=True, exist_ok=True)
             self._lock = open(path / "lock", "ab")
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self.id = self._identify()
         except BlockingIOError:
-            raise DiskError(f"{path}: another process holds it") from None
+            raise DiskError(f"{path}: is locked by another process") from None
         except OSError as error:
             raise DiskError(f"{path}: {error}") from None
 
     def _identify(self) -> str:
         path = self.path / "meta"
         if not path.exists():
-            return self._new()
-        meta = meta_of(self.path)
+            return self._create()
+        meta = read_meta(self.path)
         if (meta.cluster, meta.name) != (self._cluster, self._name):
             raise DiskError(
                 f"{path}: is of {meta.name} in cluster {meta.cluster}, not of {self._name} in "
-                f"{self._cluster}: mend `folder`, `name` or `cluster` in the configuration"
+                f"{self._cluster}: correct `folder`, `name` or `cluster` in the configuration"
             )
         if meta.mark == self._mark():
             return meta.id
-        self.older = meta.id
+        self.previous_id = meta.id
         self._set_aside()
-        return self._new()
+        return self._create()
 
     def _mark(self) -> tuple[int, int]:
         try:
@@ -87,14 +87,14 @@
         return stat.st_ino, stat.st_ctime_ns
 
     def _set_aside(self) -> None:
-        """Keep what a folder of an earlier time holds, for people to look at; one such is kept."""
-        shutil.rmtree(self.path / ASIDE, ignore_errors=True)
-        (self.path / ASIDE).mkdir()
+        """Move the folder's content to a subfolder for inspection; only the latest is kept."""
+        shutil.rmtree(self.path / SET_ASIDE_FOLDER, ignore_errors=True)
+        (self.path / SET_ASIDE_FOLDER).mkdir()
         for part in list(self.path.iterdir()):
-            if part.name not in (ASIDE, "lock"):
-                part.rename(self.path / ASIDE / part.name)
+            if part.name not in (SET_ASIDE_FOLDER, "lock"):
+                part.rename(self.path / SET_ASIDE_FOLDER / part.name)
 
-    def _new(self) -> str:
+    def _create(self) -> str:
         name = f"{self._name}.{secrets.token_hex(6)}"
         _write(self.path / "disk", name.encode())
         meta = Meta(FORMAT, self._cluster, self._name, name, self._mark())
@@ -104,7 +104,7 @@
         return name
 
     def close(self) -> None:
-        """Give it up."""
+        """Release the lock."""
         self._lock.close()
 
 
--- a/yewstage/holding/keys.py
+++ b/yewstage/holding/keys.py
@@ -1,10 +1,10 @@
-"""The record of requests whose effect must not happen twice. Pure.
+"""Idempotency key records of requests whose effect must not happen twice. No clock, no sockets.
 
-A claim is made before a request is sent on, and made once: whoever asks again under the same key, through
-whichever gateway, is told what is known of it, and sends nothing. A claim that ended is kept with its answer;
-one whose end nobody told (its gateway is lost) stays open. Both are forgotten a window after they last
-changed, by the leader's own clock; a new leader gives each its whole window anew. So nothing is forgotten
-early, and no clock of another machine is asked.
+A gateway claims the key of a request before it forwards the request, and only one claim succeeds. Another
+request with the same key, at any gateway, gets the record of the first one and is not forwarded. The record
+of a request that ended has its answer; that of a request whose end was never reported, since its gateway was
+lost, stays open. A record expires one window after its last change by the leader's clock, and a new leader
+restarts the window of each record. Nothing expires early, and no clock of another machine is used.
 """
 
 from __future__ import annotations
@@ -17,129 +17,141 @@
 from yewstage.registry.store import Entry, RefusedError, Rules
 
 BEGUN, DONE = "begun", "done"
-MOST = 100_000  # records of one group; past that new claims are refused
-MOST_KEPT = 32 * 1024 * 1024  # bytes of answers in one group; past that what is done is known as done only
-BATCH = 500  # forgotten by one entry
+MAX_RECORDS = 100_000  # in one group; beyond that new claims are refused
+MAX_ANSWER_BYTES = 32 * 1024 * 1024  # in one group; beyond that the end is recorded without its answer
+EXPIRY_BATCH = 500  # the most records that one entry removes
 
 
 class KeyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a key."""
+    """The record of an idempotency key."""
 
-    claimant: str  # the request that holds it: unique to one request in one life of one gateway
+    claimant: str  # unique to one request in one incarnation of one gateway
     window_ms: float
     state: str = BEGUN
-    status: int = 0
+    status: int = 0  # HTTP status of the answer
     answer: str = ""  # base64
 
 
 def claim_plan(
-    key: str, by: str, window_ms: float, told: dict[str, object]
+    key: str, by: str, window_ms: float, found: dict[str, object]
 ) -> Callable[[KeyStore, float], Entry | None]:
-    """The plan of a claim that puts into `told` what is known where another request has the key: an answer
-    as any other, that may only be given once it rests on what a majority has."""
+    """The plan of a claim.
+
+    Where another request holds the key, the plan puts its record into `found` and makes no entry. The caller
+    may use `found` only after the write has completed, that is, once the record is known to be committed.
+    """
 
     def plan(store: KeyStore, now: float) -> Entry | None:
-        told.clear()
-        known = store.records.get(key)
+        found.clear()
+        record = store.records.get(key)
         try:
             return store.plan_claim(key, by, window_ms)
         except RefusedError as error:
             if error.status != 409:
                 raise
-            told.update(state=known.state)
-            if known.state == DONE:
-                told.update(status=known.status, answer=known.answer)
+            found.update(state=record.state)
+            if record.state == DONE:
+                found.update(status=record.status, answer=record.answer)
             return None
 
     return plan
 
 
 class KeyStore:
-    """The store of a group that holds keys, and accounts of customers' quotas."""
+    """The store of a key group: idempotency key records and accounts of customers' quotas."""
 
     def __init__(self, rules: Rules | None = None) -> None:
         self.accounts = Accounts((rules or Rules()).drift)
         self.records: dict[str, KeyRecord] = {}
-        self._ends: dict[str, float] = {}  # when each may be forgotten
-        self.kept = 0  # bytes of answers
+        self._expires_at: dict[str, float] = {}  # by key: when its record expires, ms
+        self.answer_bytes = 0  # length of all stored answers
 
     def plan_claim(self, key: str, by: str, window_ms: float) -> Entry | None:
-        """Claim a key; None where this request holds it already, since its answer was lost.
+        """Plan a claim; None if this request holds the key already, as when its first answer was lost.
 
-        RefusedError 409 where another one has it: look at `records`.
+        RefusedError 409 if another request holds the key (its record is in `records`), 503 if the group has
+        the most records that are allowed.
         """
-        known = self.records.get(key)
-        if known is not None and (known.claimant != by or known.state == DONE):
-            raise RefusedError(409, "is done" if known.state == DONE else "is under way, or its end was lost")
-        if known is not None:
+        record = self.records.get(key)
+        if record is not None and (record.claimant != by or record.state == DONE):
+            raise RefusedError(
+                409, "is done" if record.state == DONE else "is in progress, or its end was lost"
+            )
+        if record is not None:
             return None
-        if len(self.records) >= MOST:
-            raise RefusedError(503, f"{MOST} keys are held already")
+        if len(self.records) >= MAX_RECORDS:
+            raise RefusedError(503, f"{MAX_RECORDS} keys are recorded already")
         return {"op": "put", "key": key, "record": msgspec.to_builtins(KeyRecord(by, window_ms))}
 
     def plan_done(self, key: str, by: str, status: int, answer: str) -> Entry | None:
-        """How it ended; None if that is known."""
-        known = self._held(key, by)
-        if known.state == DONE:
+        """Plan the record of a request's end; None if it is recorded already.
+
+        RefusedError 409 if the request does not hold the key.
+        """
+        record = self._record_held_by(key, by)
+        if record.state == DONE:
             return None
-        answer = answer if self.kept + len(answer) <= MOST_KEPT else ""
-        ended = KeyRecord(by, known.window_ms, DONE, status, answer)
+        answer = answer if self.answer_bytes + len(answer) <= MAX_ANSWER_BYTES else ""
+        ended = KeyRecord(by, record.window_ms, DONE, status, answer)
         return {"op": "put", "key": key, "record": msgspec.to_builtins(ended)}
 
     def plan_release(self, key: str, by: str) -> Entry | None:
-        """It was never sent on, or is sure not to have run: the key is free again."""
-        known = self.records.get(key)
-        if known is None or known.claimant != by:
+        """Plan the release of a key whose request was not forwarded or certainly did not run.
+
+        None if the request does not hold the key. RefusedError 409 if its end is recorded.
+        """
+        record = self.records.get(key)
+        if record is None or record.claimant != by:
             return None
-        if known.state == DONE:
+        if record.state == DONE:
             raise RefusedError(409, "is done")
         return {"op": "forget", "keys": [key]}
 
-    def plan_forget(self, now: float) -> Entry | None:
-        """Let go what is past its window."""
-        late = [key for key, end in self._ends.items() if end <= now][:BATCH]
-        accounts = self.accounts.plan_forget(now)
-        return {"op": "forget", "keys": late, "accounts": accounts} if late or accounts else None
+    def plan_expiry(self, now: float) -> Entry | None:
+        """Plan the removal of expired records and unused accounts; None if there are none."""
+        expired = [key for key, end in self._expires_at.items() if end <= now][:EXPIRY_BATCH]
+        accounts = self.accounts.plan_expiry(now)
+        return {"op": "forget", "keys": expired, "accounts": accounts} if expired or accounts else None
 
-    def _held(self, key: str, by: str) -> KeyRecord:
-        known = self.records.get(key)
-        if known is None or known.claimant != by:
+    def _record_held_by(self, key: str, by: str) -> KeyRecord:
+        record = self.records.get(key)
+        if record is None or record.claimant != by:
             raise RefusedError(409, "is not held by this request")
-        return known
+        return record
 
     def apply(self, entry: Entry, now: float) -> None:
-        """Bring an entry about."""
+        """Apply an entry; windows and lifetimes in it count from `now`, in ms."""
         if entry["op"] == "take":
-            self.accounts.take(entry, now)
+            self.accounts.apply_grant(entry, now)
             return
         if entry["op"] == "forget":
             for key in entry["keys"]:
-                self._drop(key)
-            self.accounts.forget(entry.get("accounts", []))
+                self._remove(key)
+            self.accounts.remove(entry.get("accounts", []))
             return
-        self._drop(entry["key"])
+        self._remove(entry["key"])
         self._put(entry["key"], KeyRecord(*entry["record"]), now)
 
     def _put(self, key: str, record: KeyRecord, now: float) -> None:
         self.records[key] = record
-        self._ends[key] = now + record.window_ms
-        self.kept += len(record.answer)
+        self._expires_at[key] = now + record.window_ms
+        self.answer_bytes += len(record.answer)
 
-    def _drop(self, key: str) -> None:
-        known = self.records.pop(key, None)
-        if known is not None:
-            del self._ends[key]
-            self.kept -= len(known.answer)
+    def _remove(self, key: str) -> None:
+        record = self.records.pop(key, None)
+        if record is not None:
+            del self._expires_at[key]
+            self.answer_bytes -= len(record.answer)
 
     def snapshot(self) -> Entry:
-        """All of it; records are encoded as they are, for there may be many."""
+        """The whole state. Records are not converted, since there may be many; the encoder takes them."""
         return {"keys": dict(self.records), "accounts": self.accounts.snapshot()}
 
     @classmethod
     def restored(cls, rules: Rules, state: Entry, now: float) -> KeyStore:
-        """The store as it was, each record with its whole window."""
+        """A store from a snapshot, each record with its full window."""
         store = cls(rules)
         for key, raw in state["keys"].items():
             store._put(key, raw if isinstance(raw, KeyRecord) else KeyRecord(*raw), now)
-        store.accounts.restore(state.get("accounts", {}), now)  # folders of earlier versions have none
+        store.accounts.restore(state.get("accounts", {}), now)  # snapshots of earlier versions have none
         return store
--- a/yewstage/holding/list_forwarder.py
+++ b/yewstage/holding/list_forwarder.py
@@ -1,7 +1,7 @@
-"""Calls for the list at a process that holds no copy of it, or too old a one: passed on to one that does.
+"""Forwarding of list reads from a process without a replica of the list, or with a stale one.
 
-A watch is held here and asked for in short parts there, so that what is told is never older than its
-`X-Age-Ms` says: a process that was stopped meanwhile finds out by its own clock, and adds that time.
+A watch is held open here and forwarded in short parts. The time that a part took is added to the age that the
+replica reported, so the list is never older than `X-Age-Ms` says, even if this process was paused meanwhile.
 """
 
 from __future__ import annotations
@@ -17,104 +17,123 @@
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 from yewstage.registry.server import PASSED
 
-PART_MS = 1000  # of a watch, asked for at one time: what an answer may age on its way
-ANSWER_S = 1.0  # within which one that holds the list answers, beyond its wait,
-TRIES = 3  # and how many are asked: all of that is less than callers wait
-REST_S = 0.1  # before a watch that nobody answers is asked for again
-IDLE = 8  # connections kept for the next call
+WATCH_PART_MS = 1000  # longest wait of one forwarded part, which bounds how much an answer ages on its way
+ANSWER_TIMEOUT_S = 1.0  # for one replica to answer, beyond the wait of the part
+MAX_REPLICAS_ASKED = 3  # for one part; all time-outs together are shorter than that of callers
+RETRY_DELAY_S = 0.1  # before a watch that no replica answered is forwarded again
+MAX_IDLE_CLIENTS = 8  # kept for later calls
 
 
-class Passing:
-    """All calls that are passed on."""
+class ListForwarder:
+    """Forwards list calls to processes with a replica."""
 
     def __init__(
         self,
-        homes: Callable[[], tuple[Address, ...]],
-        later: Callable[[str], HttpResponse],
+        replica_addresses: Callable[[], tuple[Address, ...]],
+        unavailable: Callable[[str], HttpResponse],
         loop: asyncio.AbstractEventLoop,
         rng: random.Random,
         spawn: Callable[[Coroutine], asyncio.Task],
-        most: int,
-        most_age_ms: float,
+        max_calls: int,
+        max_age_ms: float,
     ) -> None:
-        """`homes`: where processes that hold the list are called; `most`: calls at one time."""
-        self._homes, self._later, self._loop, self._rng, self._spawn = homes, later, loop, rng, spawn
-        self._most, self._most_age_ms = most, most_age_ms
+        """`replica_addresses` gives the addresses of processes with a replica of the list. `unavailable`
+        makes the response of a failure from its reason. `max_calls` limits the calls in progress;
+        `max_age_ms` is the bound on staleness.
+        """
+        self._replica_addresses, self._unavailable, self._loop, self._rng, self._spawn = (
+            replica_addresses,
+            unavailable,
+            loop,
+            rng,
+            spawn,
+        )
+        self._max_calls, self._max_age_ms = max_calls, max_age_ms
         self._idle: list[tuple[tuple[Address, ...], ServiceClient]] = []
-        self.under_way = self.passed = self.failed = 0
+        self.calls_in_flight = self.forwarded = self.failed = 0
 
-    def list(self, after: int | None, wait_ms: int, caller: HttpConnection) -> bool:
-        """Pass a call on; False where nobody is known who could answer it."""
-        if not self._homes():
+    def forward(self, after: int | None, wait_ms: int, caller: HttpConnection) -> bool:
+        """Forward a call; False if no process with a replica is known.
+
+        `after` is the revision that a watch follows, None for the whole list; `wait_ms` how long it may wait.
+        """
+        if not self._replica_addresses():
             return False
-        if self.under_way >= self._most:
-            caller.answer(self._later("too many calls for the list are passed on"))
+        if self.calls_in_flight >= self._max_calls:
+            caller.answer(self._unavailable("too many list calls are being forwarded"))
             return True
-        task = self._spawn(self._list(after, wait_ms, caller))
+        task = self._spawn(self._forward(after, wait_ms, caller))
         caller.on_disconnect = task.cancel
         return True
 
-    async def _list(self, after: int | None, wait_ms: int, caller: HttpConnection) -> None:
-        self.under_way += 1
+    async def _forward(self, after: int | None, wait_ms: int, caller: HttpConnection) -> None:
+        self.calls_in_flight += 1
         try:
-            caller.answer(await self._asked(after, wait_ms))
+            caller.answer(await self._fresh_answer(after, wait_ms))
         finally:
-            self.under_way -= 1
+            self.calls_in_flight -= 1
+
+    async def _fresh_answer(self, after: int | None, wait_ms: int) -> HttpResponse:
+        """The answer, once there is a change or the caller's time is up.
 
-    async def _asked(self, after: int | None, wait_ms: int) -> HttpResponse:
-        """The answer, once there is something to tell or the caller's time is up. A watch outlives those that
-        it was held by: while nobody answers it waits on, as far as its time goes."""
-        until = self._now() + wait_ms
+        A watch survives the loss of replicas: while none answers, it is tried again until its time is up.
+        """
+        deadline = self._now() + wait_ms
         while True:
             sent_at = self._now()
-            told = await self._told(after, max(0, min(PART_MS, int(until - sent_at))))
-            age_ms = told.age_ms + self._now() - sent_at if told is not None else float("inf")
-            if age_ms <= self._most_age_ms:
-                if told.body.get("reset", True) or told.body.get("instances") or self._now() >= until:
-                    self.passed += 1
+            reply = await self._ask_replicas(after, max(0, min(WATCH_PART_MS, int(deadline - sent_at))))
+            age_ms = reply.age_ms + self._now() - sent_at if reply is not None else float("inf")
+            if age_ms <= self._max_age_ms:
+                if reply.body.get("reset", True) or reply.body.get("instances") or self._now() >= deadline:
+                    self.forwarded += 1
                     age = b"X-Age-Ms: %d\r\n" % age_ms
-                    return HttpResponse(200, msgspec.json.encode(told.body), b"application/json", age)
-            elif self._now() >= until:
+                    return HttpResponse(200, msgspec.json.encode(reply.body), b"application/json", age)
+            elif self._now() >= deadline:
                 self.failed += 1
-                return self._later("no process that holds the list answers with what is new enough")
+                return self._unavailable(
+                    "no replica of the list answered, or the lists of all that did are too old"
+                )
             else:
-                await asyncio.sleep(REST_S)
+                await asyncio.sleep(RETRY_DELAY_S)
+
+    async def _ask_replicas(self, after: int | None, wait_ms: int) -> ServiceReply | None:
+        """The first successful answer of a replica; None if there is none.
 
-    async def _told(self, after: int | None, wait_ms: int) -> ServiceReply | None:
-        """What the first says that can say anything; only the first is given time to wait."""
-        homes = self._homes()
-        if not homes:
+        Only the first replica asked may wait for a change; the others answer at once.
+        """
+        replica_addresses = self._replica_addresses()
+        if not replica_addresses:
             return None
-        client = self._client(homes)
-        for turn in range(min(len(homes), TRIES)):
-            part_ms = 0 if turn else wait_ms
-            behind = "" if after is None else f"&after={after}&wait_ms={part_ms}"
-            path = f"/v1/endpoints?{PASSED}=1{behind}"
+        client = self._client(replica_addresses)
+        for attempt in range(min(len(replica_addresses), MAX_REPLICAS_ASKED)):
+            part_ms = 0 if attempt else wait_ms
+            watch_query = "" if after is None else f"&after={after}&wait_ms={part_ms}"
+            path = f"/v1/endpoints?{PASSED}=1{watch_query}"
             try:
-                async with asyncio.timeout(ANSWER_S + part_ms / 1000):
-                    told = await client.call("GET", path, None, part_ms / 1000)
+                async with asyncio.timeout(ANSWER_TIMEOUT_S + part_ms / 1000):
+                    reply = await client.call("GET", path, None, part_ms / 1000)
             except (NoAnswerError, TimeoutError):
                 continue
-            if told.status == 200:
-                self._idle.append((homes, client))
-                while len(self._idle) > IDLE:
+            if reply.status == 200:
+                self._idle.append((replica_addresses, client))
+                while len(self._idle) > MAX_IDLE_CLIENTS:
                     self._idle.pop(0)[1].close()
-                return told
+                return reply
         client.close()
         return None
 
     def _now(self) -> float:
         return self._loop.time() * 1000
 
-    def _client(self, homes: tuple[Address, ...]) -> ServiceClient:
-        for at, (known, client) in enumerate(self._idle):
-            if known == homes:
-                del self._idle[at]
+    def _client(self, replica_addresses: tuple[Address, ...]) -> ServiceClient:
+        for position, (client_addresses, client) in enumerate(self._idle):
+            if client_addresses == replica_addresses:
+                del self._idle[position]
                 return client
-        return ServiceClient(homes, self._rng)
+        return ServiceClient(replica_addresses, self._rng)
 
     def close(self) -> None:
-        """End the connections that are kept."""
+        """Close the idle connections."""
         for _, client in self._idle:
             client.close()
         self._idle.clear()
--- a/yewstage/holding/peer_reports.py
+++ b/yewstage/holding/peer_reports.py
@@ -1,6 +1,7 @@
-"""What processes of a cluster say of themselves, and when each last did. Pure; times in ms of one clock.
+"""What other processes of the cluster last reported of themselves, and when. Times are in ms of one clock.
 
-What is heard decides where copies are made, never what was promised: it may be late, old or missing.
+Reports may be late, outdated or missing. They decide where replicas are placed, never what counts as
+committed.
 """
 
 from __future__ import annotations
@@ -10,34 +11,38 @@
 from yewstage.holding.placement import ClusterView, LeaderReport, PlacementTable
 from yewstage.raft.messages import Member
 
-PRESENCE_TIMEOUT_MS = 4000.0  # a process that was heard of within this is there: four of its signs of life
-FORGET_MS = 60_000.0
+PRESENCE_TIMEOUT_MS = 4000.0  # four times the interval between two hellos of a process
+RETENTION_MS = 60_000.0
 
 
 class PeerReports:
-    """All of it, at one process."""
+    """The reports that one process received."""
 
     def __init__(self) -> None:
-        self.present: dict[str, tuple[Member, float]] = {}  # by id
-        self.reports: dict[str, tuple[LeaderReport, Member, float]] = {}  # by group: its leader's
+        # By member id, with the time of the last hello.
+        self.last_hellos: dict[str, tuple[Member, float]] = {}
+        # By group, with its leader and the time.
+        self.leader_reports: dict[str, tuple[LeaderReport, Member, float]] = {}
 
-    def hear(self, member: Member, leads: tuple[LeaderReport, ...], now: float) -> None:
-        """A process says that it is there, and what it leads."""
-        if member.id not in self.present:  # disks that are long gone are forgotten
-            self.present = {k: told for k, told in self.present.items() if now - told[1] < FORGET_MS}
-        self.present[member.id] = member, now
+    def record_hello(self, member: Member, leads: tuple[LeaderReport, ...], now: float) -> None:
+        """Record a process's hello and its reports on the groups that it leads."""
+        if member.id not in self.last_hellos:  # drop disks that are long gone
+            self.last_hellos = {
+                k: entry for k, entry in self.last_hellos.items() if now - entry[1] < RETENTION_MS
+            }
+        self.last_hellos[member.id] = member, now
         for report in leads:
-            known = self.reports.get(report.group)
-            if known is None or known[0].term <= report.term:
-                self.reports[report.group] = report, member, now
+            previous = self.leader_reports.get(report.group)
+            if previous is None or previous[0].term <= report.term:
+                self.leader_reports[report.group] = report, member, now
 
     def present_members(self, me: Member, now: float) -> tuple[Member, ...]:
-        """Processes that are there, this one too."""
+        """Processes heard of within the presence timeout, and this one."""
         return me, *(
-            m for m, at in self.present.values() if now - at <= PRESENCE_TIMEOUT_MS and m.id != me.id
+            m for m, at in self.last_hellos.values() if now - at <= PRESENCE_TIMEOUT_MS and m.id != me.id
         )
 
-    def sight(
+    def cluster_view(
         self,
         table: PlacementTable,
         led: Mapping[str, LeaderReport],
@@ -47,19 +52,24 @@
         gone_ms: float,
         copies: int,
     ) -> ClusterView:
-        """What the leader of the places' group sees of all groups; `led`: reports of those led here, `since`:
-        when it began to lead, for silence counts from then on."""
-        heard: dict[str, float] = {}
-        for member, at in self.present.values():
-            heard[member.name] = max(heard.get(member.name, 0.0), at)
+        """The cluster as the leader of the placement group sees it.
+
+        `led` has the reports of the groups led by this process. Silence counts from `since`, the start of its
+        leadership of the placement group, at the earliest.
+        """
+        heard_at: dict[str, float] = {}
+        for member, at in self.last_hellos.values():
+            heard_at[member.name] = max(heard_at.get(member.name, 0.0), at)
         names = {name for placed in table.placed for name in placed.machine_names}
-        reports = {g: told[0] for g, told in self.reports.items() if now - told[2] <= PRESENCE_TIMEOUT_MS}
-        once: dict[str, Member] = {m.name: m for m in self.present_members(me, now)}
+        reports = {
+            g: entry[0] for g, entry in self.leader_reports.items() if now - entry[2] <= PRESENCE_TIMEOUT_MS
+        }
+        present_by_name: dict[str, Member] = {m.name: m for m in self.present_members(me, now)}
         return ClusterView(
             table,
             {**reports, **led},
-            tuple(once.values()),
-            {name: now - max(heard.get(name, 0.0), since) for name in names},
+            tuple(present_by_name.values()),
+            {name: now - max(heard_at.get(name, 0.0), since) for name in names},
             gone_ms,
             copies,
         )
--- a/yewstage/holding/replicas.py
+++ b/yewstage/holding/replicas.py
@@ -1,4 +1,8 @@
-"""The replicas of one process: opened as needed, begun once, brought to where the table wants them."""
+"""The group replicas of one process.
+
+They are opened as needed, bootstrapped once, and moved member by member to the machines that the placement
+table names.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +13,12 @@
 
 from yewstage.holding.config import HoldingConfig
 from yewstage.holding.group import Group, encode_entry, first_data
-from yewstage.holding.group_names import LIST_GROUP, NAME, PLACEMENT_GROUP, store_of
+from yewstage.holding.group_names import GROUP_NAME, LIST_GROUP, PLACEMENT_GROUP, store_type_of
 from yewstage.holding.identity import Folder
-from yewstage.holding.member_changes import GroupView, lost, next_change
+from yewstage.holding.member_changes import GroupView, lost_members, next_change
 from yewstage.holding.peer_reports import PRESENCE_TIMEOUT_MS, PeerReports
 from yewstage.holding.placement import (
-    AT_ONCE,
+    MAX_CONCURRENT_MOVES,
     ClusterView,
     GroupPlacement,
     LeaderReport,
@@ -36,7 +40,11 @@
 
 
 class Replicas:
-    """All of them. Groups and their disks are made here; what they say goes out by `send`."""
+    """All replicas of this process and what it knows of the cluster.
+
+    `send(group, message)` carries messages to other replicas, `failed(reason)` is called when a disk can no
+    longer be trusted, `changed()` when the content of the periodic hello has changed.
+    """
 
     def __init__(
         self,
@@ -52,38 +60,38 @@
         self.config, self._folder, self._loop, self._rng = config, folder, loop, rng
         self._send, self._failed, self._changed, self._spawn = send, failed, changed, spawn
         self.me = Member(folder.id, config.name, config.zone, "", "")
-        self.pace = CopyRateLimiter(config.copy_bytes_per_s)
-        self.all: dict[str, ReplicatedBackend] = {}
+        self.copy_rate_limiter = CopyRateLimiter(config.copy_bytes_per_s)
+        self.backends: dict[str, ReplicatedBackend] = {}
         self.table = PlacementTable()
-        self.heard = PeerReports()
-        self.cut = self.changes = 0
-        self._leads_since: dict[str, float] = {}
-        self._beginning: set[str] = set()
+        self.peer_reports = PeerReports()
+        self.torn_bytes = self.membership_changes = 0
+        self._leader_since: dict[str, float] = {}
+        self._bootstrapping: set[str] = set()
         for group in (PLACEMENT_GROUP, LIST_GROUP):
             self.open(group)
         for path in sorted(folder.path.iterdir()):
-            if NAME.fullmatch(path.name) and path.is_dir():
+            if GROUP_NAME.fullmatch(path.name) and path.is_dir():
                 self.open(path.name)
 
-    # --- Which there are ----------------------------------------------------------------------------------
+    # --- Opening and bootstrap ----------------------------------------------------------------------------
 
     def open(self, group: str) -> ReplicatedBackend:
-        """The replica of a group, from its folder; an empty one where there is nothing yet."""
-        if group in self.all:
-            return self.all[group]
+        """The replica of a group, loaded from its folder; without state where the folder is empty."""
+        if group in self.backends:
+            return self.backends[group]
         disk = Disk(self._folder.path / group)
         saved = disk.load()
-        self.cut += disk.cut
-        ledger = self.all[group] = ReplicatedBackend(
+        self.torn_bytes += disk.cut
+        backend = self.backends[group] = ReplicatedBackend(
             self._group(group, saved),
             disk,
             self.config.service.snapshot_entries,
             self._loop,
             lambda message: self._send(group, message),
             self._failed,
-            lambda: self._hearsay(group),
+            lambda: self._reported_leader(group),
         )
-        return ledger
+        return backend
 
     def _group(self, group: str, saved: DurableState) -> Group:
         config = self.config
@@ -94,230 +102,263 @@
             saved,
             self._rng,
             self.now(),
-            store=store_of(group),
-            pace=self.pace,
+            store=store_type_of(group),
+            copy_rate_limiter=self.copy_rate_limiter,
         )
 
     def start(self) -> None:
-        """Begin to keep time."""
-        for ledger in self.all.values():
-            ledger.start()
+        """Start the timers of all open replicas."""
+        for backend in self.backends.values():
+            backend.start()
 
     def now(self) -> float:
-        """The time of all replicas here, ms."""
+        """The event loop's time in ms, which all replicas of this process use."""
         return self._loop.time() * 1000
 
-    def said(self, group: str, message: AnyMessage) -> None:
-        """A message of a group; the first one makes a replica that is empty, and counts for nothing yet."""
-        if NAME.fullmatch(group):
-            self._running(group).handle(message)
+    def handle_message(self, group: str, message: AnyMessage) -> None:
+        """Handle a message of a group.
 
-    def _running(self, group: str) -> ReplicatedBackend:
-        """The replica of a group, opened and started where it was not yet."""
-        if group not in self.all:
+        The first one opens a replica without state, which waits to be bootstrapped or to get a snapshot.
+        """
+        if GROUP_NAME.fullmatch(group):
+            self._open_and_start(group).handle(message)
+
+    def _open_and_start(self, group: str) -> ReplicatedBackend:
+        """The replica of a group, opened and started if it is not open yet."""
+        if group not in self.backends:
             self.open(group).start()
-        return self.all[group]
+        return self.backends[group]
 
-    def begun(self, group: str) -> bool:
-        """Whether this disk has ever held something of a group."""
-        replica = self.all[group].group.replica
+    def has_state(self, group: str) -> bool:
+        """Whether this disk holds a snapshot or log entries of a group."""
+        replica = self.backends[group].group.replica
         return bool(replica.snapshot.index or replica.last)
 
-    # --- What others say ----------------------------------------------------------------------------------
+    # --- What other processes report ----------------------------------------------------------------------
+
+    def handle_hello(self, member: Member, leads: tuple[LeaderReport, ...], table: PlacementTable) -> None:
+        """Record what a process reports of itself, and adopt its placement table if that is newer."""
+        self.peer_reports.record_hello(member, leads, self.now())
+        self.adopt_table(table)
 
-    def hear(self, member: Member, leads: tuple[LeaderReport, ...], table: PlacementTable) -> None:
-        """What a process says of itself."""
-        self.heard.hear(member, leads, self.now())
-        self.know(table)
+    def adopt_table(self, table: PlacementTable) -> None:
+        """Adopt the table if its epoch is newer.
 
-    def know(self, table: PlacementTable) -> None:
-        """The newest table counts; where this disk is named, the group is begun here, if it never was."""
+        A group whose initial members include this disk is bootstrapped here if it has no state yet.
+        """
         if table.epoch > self.table.epoch:
             self.table = table
             self._changed()
         for placed in self.table.placed:
             if placed.group != PLACEMENT_GROUP and any(m.id == self.me.id for m in placed.members):
-                self._begin_placed(placed)
+                self._bootstrap_placed(placed)
 
-    def _begin_placed(self, placed: GroupPlacement) -> None:
-        """All who are named begin with the same, so that it does not matter who does so first or late: it is
-        what each would have been told."""
+    def _bootstrap_placed(self, placed: GroupPlacement) -> None:
+        """Bootstrap a group from its placement.
+
+        All initial members start with an identical snapshot, the same that a leader would send them, so the
+        order in which they start does not matter.
+        """
         group = placed.group
-        self._running(group)
-        if self.begun(group) or group in self._beginning:
+        self._open_and_start(group)
+        if self.has_state(group) or group in self._bootstrapping:
             return
-        self._beginning.add(group)
-        self._spawn(self.begin(group, placed.members, self._first(placed)))
+        self._bootstrapping.add(group)
+        self._spawn(self.bootstrap(group, placed.members, self._initial_state(placed)))
 
-    def _first(self, placed: GroupPlacement) -> bytes:
+    def _initial_state(self, placed: GroupPlacement) -> bytes:
         if placed.group == LIST_GROUP:
-            return first_data(self.config.service.rules, placed.first)
-        return encode_entry(store_of(placed.group)(self.config.service.rules).snapshot())
+            return first_data(self.config.service.rules, placed.began_at_ms)
+        return encode_entry(store_type_of(placed.group)(self.config.service.rules).snapshot())
 
-    async def begin(self, group: str, members: Members, data: bytes) -> None:
-        """Begin a group on this disk, which holds nothing of it."""
+    async def bootstrap(self, group: str, members: Members, data: bytes) -> None:
+        """Bootstrap a group on this disk, which holds no state of it."""
         try:
             saved = first_state(members, data)
-            replica = self.all[group].group.replica
+            replica = self.backends[group].group.replica
             if replica.term > saved.term:
                 saved.term, saved.vote = replica.term, replica.vote
             write = Write(1, (saved.term, saved.vote), (), saved.snapshot, True)
-            await self.all[group].begin(write, lambda: self._group(group, saved))
+            await self.backends[group].bootstrap(write, lambda: self._group(group, saved))
         finally:
-            self._beginning.discard(group)
+            self._bootstrapping.discard(group)
 
-    async def begin_cluster(self, table: PlacementTable) -> None:
-        """Begin the group that agrees on places; the others follow from what it says."""
-        await self.begin(
+    async def bootstrap_cluster(self, table: PlacementTable) -> None:
+        """Bootstrap the placement group; its table then bootstraps the other groups."""
+        await self.bootstrap(
             PLACEMENT_GROUP,
-            table.of(PLACEMENT_GROUP).members,
+            table.placement_of(PLACEMENT_GROUP).members,
             encode_entry(PlacementStore(table=table).snapshot()),
         )
-        self.know(table)
+        self.adopt_table(table)
 
-    def present(self) -> tuple[Member, ...]:
-        """Processes that are there, this one too."""
-        return self.heard.present_members(self.me, self.now())
+    def present_members(self) -> tuple[Member, ...]:
+        """Processes heard of within the presence timeout, including this one."""
+        return self.peer_reports.present_members(self.me, self.now())
 
-    def leader_of(self, group: str) -> str:
-        """Where a group's leader is called; empty: not known."""
-        ledger = self.all.get(group)
-        if ledger is not None and ledger.group.is_leader():
+    def leader_address(self, group: str) -> str:
+        """The call address of a group's leader; empty if it is not known."""
+        backend = self.backends.get(group)
+        if backend is not None and backend.group.is_leader():
             return self.me.call
-        told = self.heard.reports.get(group)
-        return told[1].call if told is not None and self.now() - told[2] <= PRESENCE_TIMEOUT_MS else ""
-
-    def holders_of_list(self) -> tuple[Address, ...]:
-        """Where others are called that hold the list; none while this process tells it itself."""
-        ledger, placed = self.all[LIST_GROUP], self.table.of(LIST_GROUP)
-        member = any(m.id == self.me.id for m in ledger.group.replica.members)
-        if placed is None or member and ledger.age_ms() <= self.config.service.most_age_ms:
+        report = self.peer_reports.leader_reports.get(group)
+        return report[1].call if report is not None and self.now() - report[2] <= PRESENCE_TIMEOUT_MS else ""
+
+    def list_replica_addresses(self) -> tuple[Address, ...]:
+        """Call addresses of other processes with a replica of the list.
+
+        Empty if none is known, and while this process serves the list itself: it is a member and its copy is
+        within the bound on staleness.
+        """
+        backend, placed = self.backends[LIST_GROUP], self.table.placement_of(LIST_GROUP)
+        member = any(m.id == self.me.id for m in backend.group.replica.members)
+        if placed is None or member and backend.age_ms() <= self.config.service.most_age_ms:
             return ()
-        calls = {m.name: m.call for m in self.present() if m.id != self.me.id}
-        return tuple(address({"call": calls[home]}, "call") for home in placed.machine_names if home in calls)
+        address_by_name = {m.name: m.call for m in self.present_members() if m.id != self.me.id}
+        return tuple(
+            address({"call": address_by_name[home]}, "call")
+            for home in placed.machine_names
+            if home in address_by_name
+        )
 
-    def _hearsay(self, group: str) -> str:
-        """Where a group's leader is called, as others say. Who is a member knows by consensus whether there
-        is one; who was one, and has been taken out, may not have heard of it."""
-        placed, members = self.table.of(group), self.all[group].group.replica.members
-        here = placed is None or self.me.name in placed.machine_names
-        return "" if here and any(m.id == self.me.id for m in members) else self.leader_of(group)
+    def _reported_leader(self, group: str) -> str:
+        """The call address of a group's leader as other processes report it; empty on a member.
 
-    # --- What is led here ---------------------------------------------------------------------------------
+        A member learns from Raft whether there is a leader. A process that was removed from the group may not
+        have received the entry that removed it, so its own knowledge of the leader is out of date.
+        """
+        placed, members = self.table.placement_of(group), self.backends[group].group.replica.members
+        is_home = placed is None or self.me.name in placed.machine_names
+        return "" if is_home and any(m.id == self.me.id for m in members) else self.leader_address(group)
 
-    def led(self) -> list[str]:
+    # --- Groups led here ----------------------------------------------------------------------------------
+
+    def led_groups(self) -> list[str]:
         """Groups that this process leads."""
-        return [group for group, ledger in self.all.items() if ledger.group.is_leader()]
-
-    def reports(self) -> tuple[LeaderReport, ...]:
-        """What is told of them."""
-        return tuple(self._report(group) for group in self.led())
-
-    def _report(self, group: str) -> LeaderReport:
-        replica = self.all[group].group.replica
-        gone = lost(self.view(group), self.config.gone_ms)
-        return LeaderReport(group, replica.term, tuple((m.id, m.voter) for m in replica.members), gone)
-
-    def view(self, group: str, may_copy: bool = True) -> GroupView:
-        """What this process sees of a group, as its leader."""
-        now, replica = self.now(), self.all[group].group.replica
-        since = self._leads_since.get(group, now)
-        heard = {
+        return [group for group, backend in self.backends.items() if backend.group.is_leader()]
+
+    def leader_reports(self) -> tuple[LeaderReport, ...]:
+        """The reports on the groups led here that go out with each hello."""
+        return tuple(self._leader_report(group) for group in self.led_groups())
+
+    def _leader_report(self, group: str) -> LeaderReport:
+        replica = self.backends[group].group.replica
+        lost_ids = lost_members(self.group_view(group), self.config.gone_ms)
+        return LeaderReport(group, replica.term, tuple((m.id, m.voter) for m in replica.members), lost_ids)
+
+    def group_view(self, group: str, may_copy: bool = True) -> GroupView:
+        """The input of the next membership change of a group, as its leader sees it.
+
+        Silence counts from the start of this leadership at the earliest. `may_copy` is False where no
+        further learner may be added now.
+        """
+        now, replica = self.now(), self.backends[group].group.replica
+        since = self._leader_since.get(group, now)
+        heard_at = {
             m.id: max(replica.peers[m.id].heard_at, since) for m in replica.members if m.id in replica.peers
         }
-        placed = self.table.of(group)
+        placed = self.table.placement_of(group)
         return GroupView(
             self.me.id,
             replica.members,
             placed.machine_names if placed is not None else (),
-            {name: now - at for name, at in heard.items()},
-            self.present(),
+            {name: now - at for name, at in heard_at.items()},
+            self.present_members(),
             frozenset(name for name, peer in replica.peers.items() if peer.match >= replica.commit_index),
             PRESENCE_TIMEOUT_MS,
             may_copy,
         )
 
-    def sight(self) -> ClusterView:
-        """What this process sees of all groups, as leader of the one that agrees on places."""
+    def cluster_view(self) -> ClusterView:
+        """The input of the next placement table, as the leader of the placement group sees the cluster."""
         now = self.now()
-        led = {report.group: report for report in self.reports()}
-        since = self._leads_since.get(PLACEMENT_GROUP, now)
+        led = {report.group: report for report in self.leader_reports()}
+        since = self._leader_since.get(PLACEMENT_GROUP, now)
         config = self.config
-        return self.heard.sight(
-            self.all[PLACEMENT_GROUP].store.table, led, self.me, now, since, config.gone_ms, config.copies
+        return self.peer_reports.cluster_view(
+            self.backends[PLACEMENT_GROUP].store.table,
+            led,
+            self.me,
+            now,
+            since,
+            config.gone_ms,
+            config.copies,
         )
 
-    async def look(self) -> None:
-        """Bring the groups that are led here one step nearer to where they are wanted."""
-        now, led = self.now(), self.led()
-        before = set(self._leads_since)
-        self._leads_since = {group: self._leads_since.get(group, now) for group in led}
+    async def reconcile(self) -> None:
+        """Take one step towards the placement table in each group led here.
+
+        Groups with the fewest live voters go first; at most MAX_CONCURRENT_MOVES of them copy to a learner.
+        """
+        now, led = self.now(), self.led_groups()
+        before = set(self._leader_since)
+        self._leader_since = {group: self._leader_since.get(group, now) for group in led}
         if set(led) != before:
             self._changed()
-        self.know(self.all[PLACEMENT_GROUP].store.table)
-        order = sorted(led, key=lambda g: (self._copies(g), g))
-        copying = sum(any(not m.voter for m in self.all[g].group.replica.members) for g in led)
+        self.adopt_table(self.backends[PLACEMENT_GROUP].store.table)
+        order = sorted(led, key=lambda g: (self._live_voters(g), g))
+        copying = sum(any(not m.voter for m in self.backends[g].group.replica.members) for g in led)
         for group in order:
-            copying += self._step(group, copying < AT_ONCE)
+            copying += self._change_member(group, copying < MAX_CONCURRENT_MOVES)
         if PLACEMENT_GROUP in led:
-            await self._replace()
+            await self._change_placement()
 
-    def _copies(self, group: str) -> int:
-        """Voters of a group led here that are heard of: the fewer, the more endangered it is."""
-        replica, now = self.all[group].group.replica, self.now()
+    def _live_voters(self, group: str) -> int:
+        """Number of voters of a group led here that were heard of within the presence timeout."""
+        replica, now = self.backends[group].group.replica, self.now()
         return sum(
             v == self.me.id or now - replica.peers[v].heard_at < PRESENCE_TIMEOUT_MS for v in replica.voters()
         )
 
-    def short(self, group: str) -> int:
-        """Copies that are missing, as far as a leader hears; -1: not known here."""
-        if not self.all[group].group.is_leader():
+    def missing_copies(self, group: str) -> int:
+        """How many live voters a group led here lacks; -1 if this process is not its leader."""
+        if not self.backends[group].group.is_leader():
             return -1
-        return max(self.config.copies - self._copies(group), 0)
+        return max(self.config.copies - self._live_voters(group), 0)
 
-    def _step(self, group: str, may_copy: bool) -> bool:
-        """Change a member, if one is to be changed; whether a copy was begun."""
-        ledger = self.all[group]
-        before = ledger.group.replica.members
-        members = next_change(self.view(group, may_copy))
+    def _change_member(self, group: str, may_copy: bool) -> bool:
+        """Start the group's next membership change, if there is one; whether it adds a learner."""
+        backend = self.backends[group]
+        before = backend.group.replica.members
+        members = next_change(self.group_view(group, may_copy))
         if members is None:
             return False
         if all(m.id != self.me.id for m in members):
-            ledger.hand_over()  # whoever leads next takes us out
+            backend.transfer_leadership()  # the next leader removes this member
             return False
         try:
-            ledger.change(members)
+            backend.change_members(members)
         except (NotLeaderError, BusyError):
             return False
-        self.changes += 1
+        self.membership_changes += 1
         self._changed()
         log.info(
             Event(
                 "members",
-                "members of {group} are changed to {members}",
+                "membership change of {group} started: {members}",
                 group=group,
                 members=", ".join(m.id + ("" if m.voter else " (learner)") for m in members),
             )
         )
         return len(members) > len(before)
 
-    async def _replace(self) -> None:
-        """Agree on the next place, if one is to be changed."""
-        table = next_table(self.sight())
+    async def _change_placement(self) -> None:
+        """Propose the next placement table, if a change is due."""
+        table = next_table(self.cluster_view())
         if table is None:
             return
         try:
-            await self.all[PLACEMENT_GROUP].write(lambda store, now: store.plan(table))
+            await self.backends[PLACEMENT_GROUP].write(lambda store, now: store.plan(table))
         except (RefusedError, MisdirectedError, OutcomeUnknownError):
-            return  # it is looked at again
+            return  # the next round tries again
         homes = {
             p.group: p.machine_names
             for p in table.placed
-            if p.machine_names != self.table.of(p.group).machine_names
+            if p.machine_names != self.table.placement_of(p.group).machine_names
         }
-        log.info(Event("places", "places are changed: {homes}", homes=str(homes)))
+        log.info(Event("places", "placement changed: {homes}", homes=str(homes)))
 
     def close(self) -> None:
-        """Nothing more is written."""
-        for ledger in self.all.values():
-            ledger.close()
+        """Close all replicas and their disks."""
+        for backend in self.backends.values():
+            backend.close()
--- a/yewstage/holding/replicated_backend.py
+++ b/yewstage/holding/replicated_backend.py
@@ -1,5 +1,4 @@
-"""A group's replica on its event loop: writes to the disk on a thread, messages out, those who wait
-answered."""
+"""A group's replica on the event loop: disk writes on a thread, messages, timers, answers to callers."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from yewstage.holding.group import Group, ReplicatedStore, UnsureError, WritePlan
+from yewstage.holding.group import Group, LeadershipLostError, ReplicatedStore, WritePlan
 from yewstage.log import Event
 from yewstage.raft.core import BusyError, NotLeaderError, Write
 from yewstage.raft.disk import Disk, FullError
@@ -18,12 +17,15 @@
 
 log = logging.getLogger(__name__)
 
-FULL_S = 0.5  # how soon a full disk is tried again
+FULL_DISK_RETRY_S = 0.5  # between two tries to write to a full disk
 
 
 class ReplicatedBackend:
-    """One group's ledger, replicated. `failed` is told when the disk can't be trusted any more; `elsewhere`
-    knows where the leader is called, as others say."""
+    """A StoreBackend whose store is replicated by a Raft group.
+
+    `failed(reason)` is called when the disk can no longer be trusted. `reported_leader()` gives the leader's
+    call address as other processes report it, empty if not known.
+    """
 
     def __init__(
         self,
@@ -33,148 +35,160 @@
         loop: asyncio.AbstractEventLoop,
         send: Callable[[AnyMessage], None],
         failed: Callable[[str], None],
-        elsewhere: Callable[[], str],
+        reported_leader: Callable[[], str],
     ) -> None:
-        self.group, self.disk, self._most, self._loop = group, disk, snapshot_entries, loop
-        self._send, self._failed, self._elsewhere = send, failed, elsewhere
+        self.group, self.disk, self._snapshot_entries, self._loop = group, disk, snapshot_entries, loop
+        self._send, self._failed, self._reported_leader = send, failed, reported_leader
         self.changed: Callable[[], None] = lambda: None
         self._pool = ThreadPoolExecutor(1, "disk")
         self._queue: list[Write] = []
         self._writing: asyncio.Task | None = None
-        self._waiting: dict[int, asyncio.Future[Exception | None]] = {}
+        self._futures: dict[int, asyncio.Future[Exception | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._soon = False
-        self._halted = False  # the replica is being replaced by another one
-        self.unsure = self._forgot_told = 0
-        self.full = ""  # why the last write to the disk failed; empty: it did not
+        self._is_pump_scheduled = False
+        self._is_replacing = False  # while bootstrap replaces the replica
+        self.unknown_outcomes = self._logged_losses = 0
+        self.write_error = ""  # of the last write to the disk; empty if it succeeded
 
-    # The service's side
+    # --- For the service (StoreBackend) -------------------------------------------------------------------
 
     @property
     def store(self) -> ReplicatedStore:
+        """The store with all entries that are committed and applied here."""
         return self.group.store
 
     @property
     def log_entries(self) -> int:
-        return self.group.applied_since
+        """Entries applied since the last snapshot."""
+        return self.group.entries_since_snapshot
 
     @property
     def broken(self) -> str:
-        return self.disk.broken or self.full
+        """Why nothing can be written to the disk; empty if it can."""
+        return self.disk.broken or self.write_error
 
     def now(self) -> float:
+        """The event loop's time in ms."""
         return self._loop.time() * 1000
 
     def leader_store(self) -> ReplicatedStore | None:
-        return self.group.planned if self.group.is_leader() else None
+        """The speculative store, with the deadlines in force; None if not the leader."""
+        return self.group.speculative_store if self.group.is_leader() else None
 
     def leader(self) -> str:
-        return "" if self.group.is_leader() else self._call_of(self.group.replica.leader)
+        """The leader's call address; empty if it is this process or not known."""
+        return "" if self.group.is_leader() else self._address_of(self.group.replica.leader)
 
-    def _call_of(self, leader: str) -> str:
-        """Where a leader is called: by consensus, else by what is said."""
+    def _address_of(self, leader: str) -> str:
+        """A leader's call address: from the group's members, else as other processes report it."""
         member = self.group.replica.member(leader)
-        return member.call if member is not None else self._elsewhere()
+        return member.call if member is not None else self._reported_leader()
 
     def age_ms(self) -> float:
+        """Upper bound on the staleness of the store here."""
         return self.group.replica.age_ms(self.now())
 
     async def write(self, plan: WritePlan) -> bool:
-        """Planned here if we lead; done once a majority has it."""
-        made: list[Entry] = []
+        """Propose a write and return once it is committed; whether the plan made an entry.
+
+        Raises RefusedError of the plan, MisdirectedError and OutcomeUnknownError.
+        """
+        entries: list[Entry] = []
 
-        def noted(store: ReplicatedStore, now: float) -> Entry | None:
+        def recording_plan(store: ReplicatedStore, now: float) -> Entry | None:
             entry = plan(store, now)
-            made.extend([entry] if entry is not None else [])
+            entries.extend([entry] if entry is not None else [])
             return entry
 
-        await self._settled(lambda: self.group.write(self.now(), noted))
-        return bool(made)
+        await self._run_ticket(lambda: self.group.write(self.now(), recording_plan))
+        return bool(entries)
 
     async def confirm(self) -> None:
-        """Return once it is sure that we led after this was called; ElsewhereError, LaterError."""
-        await self._settled(lambda: self.group.confirm(self.now()))
+        """Return once leadership is confirmed after this call; MisdirectedError, OutcomeUnknownError."""
+        await self._run_ticket(lambda: self.group.confirm(self.now()))
 
-    async def _settled(self, begin: Callable[[], int]) -> None:
+    async def _run_ticket(self, start_ticket: Callable[[], int]) -> None:
         try:
-            ticket = begin()
+            ticket = start_ticket()
         except NotLeaderError as error:
-            self.soon()
-            raise MisdirectedError(self._call_of(error.leader)) from None
+            self.schedule_pump()
+            raise MisdirectedError(self._address_of(error.leader)) from None
         except BusyError as error:
             raise OutcomeUnknownError(str(error)) from None
-        future = self._waiting[ticket] = self._loop.create_future()
-        self.soon()
+        future = self._futures[ticket] = self._loop.create_future()
+        self.schedule_pump()
         error = await future
-        if isinstance(error, UnsureError):
-            self.unsure += 1
-            raise OutcomeUnknownError("leadership passed on meanwhile: it may have been done, ask again")
+        if isinstance(error, LeadershipLostError):
+            self.unknown_outcomes += 1
+            raise OutcomeUnknownError(
+                "leadership was lost meanwhile: the call may have taken effect, repeat it"
+            )
         if error is not None:
             raise error
 
-    # The replica's side
+    # --- For the replica ----------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Take up what the disk holds, and begin to keep time."""
+        """Apply what the disk holds and start the timers."""
         self._pump()
 
     def handle(self, message: AnyMessage) -> None:
-        """A message from another replica."""
-        if self._halted:
+        """Handle a message from another replica."""
+        if self._is_replacing:
             return
         self.group.handle(self.now(), message)
-        self.soon()
+        self.schedule_pump()
 
-    async def begin(self, write: Write, make: Callable[[], Group]) -> None:
-        """Begin with what a write makes durable, in place of a replica that held nothing."""
-        self._halted = True
+    async def bootstrap(self, write: Write, make: Callable[[], Group]) -> None:
+        """Make a bootstrap snapshot durable, and replace the replica without state by one that has it."""
+        self._is_replacing = True
         if self._writing is not None:
             await self._writing
-        self._queue.clear()  # what it may have voted was told to nobody, or is in the write
+        self._queue.clear()  # a vote in it was not sent yet, or is part of `write`
         await self._loop.run_in_executor(self._pool, self.disk.write, [write])
-        self.group, self._halted = make(), False
-        self.soon()
+        self.group, self._is_replacing = make(), False
+        self.schedule_pump()
 
-    def change(self, members: Members) -> None:
-        """Begin to change a member. NotLeaderError, BusyError."""
+    def change_members(self, members: Members) -> None:
+        """Start a membership change. NotLeaderError, BusyError."""
         self.group.replica.change_members(self.now(), members)
-        self.soon()
+        self.schedule_pump()
 
-    def soon(self) -> None:
-        """See to what came out, once for all that comes in this turn of the loop."""
-        if not self._soon:
-            self._soon = True
+    def schedule_pump(self) -> None:
+        """Process the replica's output, once for all events of this turn of the event loop."""
+        if not self._is_pump_scheduled:
+            self._is_pump_scheduled = True
             self._loop.call_soon(self._pump)
 
     def _pump(self) -> None:
-        self._soon = False
-        if self._halted:
+        self._is_pump_scheduled = False
+        if self._is_replacing:
             return
-        if self.group.applied_since >= self._most:
+        if self.group.entries_since_snapshot >= self._snapshot_entries:
             self.group.compact(self.now())
         result = self.group.take(self.now())
         for message in result.messages:
             self._send(message)
-        if self.group.replica.durability_losses > self._forgot_told:
-            self._tell_forgot()
+        if self.group.replica.durability_losses > self._logged_losses:
+            self._log_durability_losses()
         self._queue += result.writes
         if self._queue and self._writing is None:
-            self._writing = self._loop.create_task(self._write_on())
+            self._writing = self._loop.create_task(self._write_queued())
         if result.changed:
             self.changed()
         for done in result.done:
-            future = self._waiting.pop(done.ticket, None)
+            future = self._futures.pop(done.ticket, None)
             if future is not None and not future.done():
                 future.set_result(done.error)
         self._set_timer()
 
-    def _tell_forgot(self) -> None:
+    def _log_durability_losses(self) -> None:
         replica = self.group.replica
-        self._forgot_told = replica.durability_losses
+        self._logged_losses = replica.durability_losses
         log.error(
             Event(
                 "disk_forgot",
-                "replace the disk: what it had said to be durable is gone at {members}",
+                "replace the disk of {members}: it lost entries that it had acknowledged as durable",
                 members=", ".join(name for name, peer in replica.peers.items() if peer.durability_losses),
             )
         )
@@ -183,14 +197,14 @@
         if self._timer is not None:
             self._timer.cancel()
         at_ms = self.group.replica.next_at()
-        self._timer = self._loop.call_at(at_ms / 1000, self._ring) if at_ms != float("inf") else None
+        self._timer = self._loop.call_at(at_ms / 1000, self._on_timer) if at_ms != float("inf") else None
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         self.group.tick(self.now())
         self._pump()
 
-    async def _write_on(self) -> None:
-        """One after the other, all that has come meanwhile with one sync."""
+    async def _write_queued(self) -> None:
+        """Write to the disk until the queue is empty; what is queued during a write shares the next sync."""
         try:
             while self._queue:
                 batch, self._queue = self._queue, []
@@ -198,26 +212,30 @@
                     await self._loop.run_in_executor(self._pool, self.disk.write, batch)
                 except FullError as error:
                     if self.disk.broken:
-                        self._failed(f"the disk cannot be trusted any more: {error}")
+                        self._failed(f"the disk can no longer be trusted: {error}")
                         return
                     self._queue = batch + self._queue
-                    await self._wait_for_room(str(error))
+                    await self._wait_for_disk_space(str(error))
                     continue
-                self.full = ""
+                self.write_error = ""
                 self.group.durable(self.now(), batch[-1].number)
-                self.soon()
+                self.schedule_pump()
         finally:
             self._writing = None
 
-    async def _wait_for_room(self, why: str) -> None:
-        if not self.full:
-            log.error(Event("disk_full", "nothing can be made durable here: {why}", why=why))
-        self.full = why
-        self.hand_over()
-        await asyncio.sleep(FULL_S)
+    async def _wait_for_disk_space(self, why: str) -> None:
+        if not self.write_error:
+            log.error(
+                Event(
+                    "disk_full", "writes to the disk fail, nothing can be made durable here: {why}", why=why
+                )
+            )
+        self.write_error = why
+        self.transfer_leadership()
+        await asyncio.sleep(FULL_DISK_RETRY_S)
 
-    def hand_over(self) -> bool:
-        """Hand leadership to the voter that is furthest; whether there is one, and it is ours to hand."""
+    def transfer_leadership(self) -> bool:
+        """Transfer leadership to the most up-to-date voter; False if that cannot start now."""
         replica = self.group.replica
         voters = [v for v in replica.voters() if v in replica.peers]
         if not self.group.is_leader() or not voters:
@@ -226,11 +244,11 @@
             replica.transfer_leadership(self.now(), max(voters, key=lambda v: replica.peers[v].match))
         except (NotLeaderError, BusyError):
             return False
-        self.soon()
+        self.schedule_pump()
         return True
 
     def close(self) -> None:
-        """Nothing more is written, nobody waits on."""
+        """Stop the timer and writes, and close the disk."""
         if self._timer is not None:
             self._timer.cancel()
         if self._writing is not None:
