--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -25,7 +25,7 @@
 from yewstage.membership.config import peers
 from yewstage.membership.messages import (
     ALIVE,
-    LONGEST,
+    MAX_DATAGRAM_BYTES,
     SUSPECT,
     BadDatagramError,
     Datagram,
@@ -53,7 +53,7 @@
     net.kill(5)
     net.run(40_000)
     told = net.told(5, since=began)
-    period, patience = net.settings.period_ms, net.seats[0].swim.suspect_ms(0)
+    period, patience = net.settings.period_ms, net.seats[0].swim.suspicion_timeout_ms(0)
     assert len(told) == size - 1 and net.false({5}) == 0
     assert told[0] - began <= 2 * size * period + patience  # each asks all others in turn
     net.start(5)
@@ -138,14 +138,14 @@
 def test_what_is_sealed_otherwise_is_of_another_cluster_or_too_long_is_counted_and_dropped() -> None:
     data = seal(Datagram("fleet", ROW, 1, Ping(1, 2)), KEY)
     assert unseal(data, "fleet", (b"o" * 32, KEY)).sender == ROW  # two keys during a change
-    assert len(data) < LONGEST
+    assert len(data) < MAX_DATAGRAM_BYTES
     for wrong, why in (
         (data[:-1] + bytes((data[-1] ^ 1,)), "forged"),
         (seal(Datagram("fleet", ROW, 1, Ping(1, 2)), b"x" * 32), "forged"),
         (seal(Datagram("other", ROW, 1, Ping(1, 2)), KEY), "foreign"),
         (bytes((9,)) + data[1:], "version"),
         (b"", "version"),
-        (data + b"x" * LONGEST, "oversized"),
+        (data + b"x" * MAX_DATAGRAM_BYTES, "oversized"),
     ):
         with pytest.raises(BadDatagramError, match=why):
             unseal(wrong, "fleet", (KEY,))
@@ -181,7 +181,7 @@
 
     net._send = noted
     net.run(8_000)
-    assert 1000 < longest[0] <= LONGEST
+    assert 1000 < longest[0] <= MAX_DATAGRAM_BYTES
 
 
 def test_a_bad_configuration_names_its_field() -> None:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -11,8 +11,8 @@
 
 from plumwall.model.members import Net, fleet
 from yewstage.shared.tables import (
-    LONGEST_VALUE,
-    ROOM,
+    MAX_MESSAGE_BYTES,
+    MAX_VALUE_BYTES,
     Answer,
     FullTableError,
     Settings,
@@ -62,7 +62,7 @@
                 except FullTableError:
                     return
                 held = {k: c.value for k, c in member.own.entries.items() if c.value is not None}
-                self.history[member.me].append((self.now, held))
+                self.history[member.own_name].append((self.now, held))
             case 3:
                 j = (i + 1 + pick % 3) % 4
                 self.wire.append(("ask", i, j, member.ask(self.clock(i))))
@@ -73,7 +73,7 @@
                 message = parse(encode(message))
                 if kind == "ask":
                     pages = self.members[b].answer(message, self.clock(b))
-                    assert all(len(encode(page)) <= ROOM + 16 for page in pages)
+                    assert all(len(encode(page)) <= MAX_MESSAGE_BYTES + 16 for page in pages)
                     self.wire += [("answer", b, a, page) for page in pages]
                 else:
                     self.members[b].take(message, self.clock(b))
@@ -90,7 +90,7 @@
                 since = self.now - age / DRIFTS[i]  # the reader's clock alone is out of its hands
                 states = [state for at, state in self.history[name] if at >= since]
                 before = [state for at, state in self.history[name] if at <= since]
-                assert held in [*states, before[-1]], (reader.me, name, age)
+                assert held in [*states, before[-1]], (reader.own_name, name, age)
 
 
 KINDS = (0, 0, 1, 1, 2, 3, 3, 3, 4, 5, 5, 5, 5, 5, 5)
@@ -183,11 +183,11 @@
     for i in range(5):
         mine.drop("b", f"goes{i}")
     for i in range(40):
-        mine.put("a", f"k{i}", b"y" * LONGEST_VALUE)
+        mine.put("a", f"k{i}", b"y" * MAX_VALUE_BYTES)
         mine.drop("a", f"k{i}")
     for i in range(6):
-        mine.put("a", f"big{i}", b"z" * LONGEST_VALUE)  # more than a page holds
-    assert mine.own.floor > 0 and len(mine.own.entries) <= 2 * mine.most()
+        mine.put("a", f"big{i}", b"z" * MAX_VALUE_BYTES)  # more than a page holds
+    assert mine.own.floor_version > 0 and len(mine.own.entries) <= 2 * mine.max_entries()
     net.run(12_000)
     now = net._clock(2)
     held = {t.key for table in ("a", "b") for t in net.seats[2].shared.tables.read(table, now)}
@@ -201,10 +201,10 @@
         liar.put("a", f"k{i}", b"v")
     with pytest.raises(FullTableError, match="a: 6 entries"):
         liar.put("a", "k7", b"v")
-    with pytest.raises(ValueError, match="at the most"):
+    with pytest.raises(ValueError, match="value at most"):
         liar.put("b", "k", b"v" * 600)
     for i in range(40):
-        liar._change("a", f"more{i}", b"v")  # one that lies does not ask
+        liar._record_change("a", f"more{i}", b"v")  # one that lies does not ask
     net.run(5_000)
     for seat in net.seats[1:]:
         told = seat.shared.tables
--- a/yewstage/membership/__init__.py
+++ b/yewstage/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Who of a fleet is there: SWIM with suspicion and local health, over datagrams.
+"""Membership of a group of gateways: SWIM with suspicion and the local health multiplier of Lifeguard.
 
-Off in `run` unless `peers` is configured: nothing of it is imported then. Pure: `net/peers.py` has the
-socket.
+Off unless `peers` is configured; then none of its modules are imported. The package opens no sockets and
+reads no clock: `net/peers.py` has the socket and the timer.
 """
--- a/yewstage/membership/messages.py
+++ b/yewstage/membership/messages.py
@@ -1,7 +1,7 @@
-"""What members tell one another: MessagePack arrays, sealed with a key, in datagrams of 1,400 bytes at most.
+"""Messages between members: MessagePack arrays, authenticated with a shared key, one per datagram.
 
-Arrays without names: a later version may add fields at the end, with defaults, and each side passes over what
-it does not know. Another version byte is another format, and is dropped.
+Structs are encoded as arrays without field names. A later version may add fields with defaults at the end;
+each side ignores trailing fields that it does not know. A datagram with another version byte is dropped.
 """
 
 from __future__ import annotations
@@ -12,87 +12,91 @@
 
 import msgspec
 
-VERSION = 1
-LONGEST = 1400  # bytes of a datagram: under the usual path's limit, so that none is cut in pieces
-SEAL = 16  # bytes of HMAC-SHA-256 that are sent
-BUCKETS = 32  # of the table, by name: each has its digest
+FORMAT_VERSION = 1
+MAX_DATAGRAM_BYTES = 1400  # fits in the usual path MTU, so that no datagram is fragmented
+MAC_BYTES = 16  # of the HMAC-SHA-256, which is sent truncated
+DIGEST_BUCKETS = 32  # members are assigned to buckets by name; anti-entropy compares one digest per bucket
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 STATES = ("alive", "suspect", "dead", "left")
 
 
 class BadDatagramError(ValueError):
-    """It is dropped; the text is the reason that is counted."""
+    """Raised for a datagram that has to be dropped. The text is the reason under which it is counted."""
 
 
 class MemberRow(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member. Of two, the one of the higher incarnation counts, then the worse state."""
+    """The state of one member, as members report it to each other. See `rank` for which of two rows wins."""
 
     name: str
-    start_id: int  # of the process: another one under the name has another
-    at: str  # HOST:PORT of its datagrams
+    start_id: int  # differs for each process that has used the name
+    at: str  # HOST:PORT of the member's UDP socket
     zone: str
     region: str
-    incarnation: int  # only the member itself raises it
+    incarnation: int  # raised by the member itself only
     state: int = ALIVE
-    by: str = ""  # who suspects it, or found it dead
+    by: str = ""  # name of the member that suspects it or declared it dead
 
     def rank(self) -> tuple[int, int, int]:
-        """What is newer is greater: the same for all, whatever the order in which they hear."""
+        """Sort key; of two rows for a name the one with the greater rank wins: the higher incarnation, then
+        the later state in STATES, then the greater start id. So all members come to hold the same row,
+        in whatever order they receive them."""
         return self.incarnation, self.state, self.start_id
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Are you there? `life` is whose: another process at that address does not answer for it."""
+    """A probe. Another process at the same address does not answer it, as its `start_id` differs."""
 
-    probe: int
-    life: int
+    probe_number: int
+    start_id: int
     rows: tuple[MemberRow, ...] = ()
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Whoever was asked is there."""
+    """The answer to a ping, or to a ping request if the target has answered."""
 
-    probe: int
+    probe_number: int
     rows: tuple[MemberRow, ...] = ()
 
 
 class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask another one for me: ack if it answers you, nack if it does not, so that I know it was not me."""
+    """Asks the receiver to ping `target` on the sender's behalf. It answers with an ack if the target does,
+    and with a nack if not; without either, the sender's own connectivity may be at fault."""
 
-    probe: int
+    probe_number: int
     target: MemberRow
     rows: tuple[MemberRow, ...] = ()
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """I am there, and the one that you had me ask does not answer me."""
+    """The answer to a ping request whose target has not answered in time."""
 
-    probe: int
+    probe_number: int
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """What I know, by bucket, as digests: tell me what differs."""
+    """The sender's digest of each bucket. The receiver answers with its rows of the buckets that differ."""
 
     digests: tuple[int, ...]
 
 
 class Page(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Rows of buckets that differed, as many as fit."""
+    """Rows of buckets whose digests differ, as many as fit into one datagram."""
 
     rows: tuple[MemberRow, ...]
 
 
-class Carried(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Something that stands on membership, of no meaning to it."""
+class Payload(msgspec.Struct, frozen=True, array_like=True, tag=7):
+    """Data of a protocol on top of membership, which does not interpret it."""
 
     data: bytes
 
 
-Message = Ping | Ack | PingRequest | Nack | Sync | Page | Carried
+Message = Ping | Ack | PingRequest | Nack | Sync | Page | Payload
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """A message and who sent it. `serial` rises with each: one that comes again is not taken again."""
+    """A message with its sender. `serial` rises with each datagram of a sender, so that receivers can drop
+    duplicates."""
 
     cluster: str
     sender: MemberRow
@@ -101,38 +105,39 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-_letter = msgspec.msgpack.Decoder(Datagram)
+_decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-def size(value: object) -> int:
-    """Bytes that a part of a message takes."""
+def encoded_bytes(value: object) -> int:
+    """The encoded size of a message or a part of one, in bytes."""
     return len(encode(value))
 
 
-def seal(letter: Datagram, key: bytes) -> bytes:
-    """The datagram: version, seal, letter."""
-    body = bytes((VERSION,)) + encode(letter)
-    return body[:1] + _seal(body, key) + body[1:]
+def seal(datagram: Datagram, key: bytes) -> bytes:
+    """Encode and authenticate a datagram: version byte, MAC, MessagePack body."""
+    body = bytes((FORMAT_VERSION,)) + encode(datagram)
+    return body[:1] + _mac(body, key) + body[1:]
 
 
 def unseal(data: bytes, cluster: str, keys: Sequence[bytes]) -> Datagram:
-    """The letter of a datagram. BadDatagramError says why there is none: oversized, version, forged, nonsense
-    or foreign."""
-    if len(data) > LONGEST:
+    """Verify and decode a datagram; any of `keys` may have signed it. Raises BadDatagramError with the
+    reason: oversized, version, forged (no key matches), nonsense (cannot be decoded) or foreign (another
+    cluster)."""
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise BadDatagramError("oversized")
-    if not data or data[0] != VERSION:
+    if not data or data[0] != FORMAT_VERSION:
         raise BadDatagramError("version")
-    seal, body = data[1 : 1 + SEAL], data[:1] + data[1 + SEAL :]
-    if not any(hmac.compare_digest(seal, _seal(body, key)) for key in keys):
+    mac, body = data[1 : 1 + MAC_BYTES], data[:1] + data[1 + MAC_BYTES :]
+    if not any(hmac.compare_digest(mac, _mac(body, key)) for key in keys):
         raise BadDatagramError("forged")
     try:
-        letter = _letter.decode(body[1:])
+        datagram = _decoder.decode(body[1:])
     except msgspec.MsgspecError:
         raise BadDatagramError("nonsense") from None
-    if letter.cluster != cluster:
+    if datagram.cluster != cluster:
         raise BadDatagramError("foreign")
-    return letter
+    return datagram
 
 
-def _seal(body: bytes, key: bytes) -> bytes:
-    return hmac.new(key, body, hashlib.sha256).digest()[:SEAL]
+def _mac(body: bytes, key: bytes) -> bytes:
+    return hmac.new(key, body, hashlib.sha256).digest()[:MAC_BYTES]
--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -1,10 +1,15 @@
-"""Who is there, as one member sees it: SWIM with suspicion, and Lifeguard's local health. Pure.
+"""Failure detection by SWIM with suspicion and Lifeguard's local health multiplier, as a state machine
+without I/O.
 
-Messages and time go in, messages and changes come out. Times are milliseconds of this process's own clock;
-no other machine's clock is asked. Each period one member is asked, at first directly, then through others;
-who does not answer is suspected, and dead once its time to object is over. Who doubts its own ears (its
-questions go unanswered, it is suspected itself) asks more slowly and condemns later. What is new is told on
-some times in the messages that are sent anyway; what got lost is mended by comparing digests.
+The caller passes in datagrams and the current time, and takes out datagrams to send and changed rows
+(`Output`). Times are milliseconds of this process's own clock; they are never compared with the clock of
+another machine.
+
+In each period one member is probed, first by a ping, then indirectly through other members. A member that
+does not answer becomes suspect, and dead if it does not refute that before the suspicion time-out. A member
+whose own probes go unanswered, or which is suspected itself, raises its local health multiplier: it probes
+more slowly and waits longer for answers. New rows are attached a limited number of times to messages that are
+sent anyway; anti-entropy by digests repairs what is lost.
 
 Sources: Das, Gupta, Motivala, SWIM (2002); Dadgar, Phillips, Currey, Lifeguard (2018).
 """
@@ -22,45 +27,46 @@
 
 from yewstage.membership.messages import (
     ALIVE,
-    BUCKETS,
     DEAD,
+    DIGEST_BUCKETS,
     LEFT,
-    LONGEST,
-    SEAL,
+    MAC_BYTES,
+    MAX_DATAGRAM_BYTES,
     SUSPECT,
     Ack,
-    Carried,
     Datagram,
     MemberRow,
     Message,
     Nack,
     Page,
+    Payload,
     Ping,
     PingRequest,
     Sync,
-    size,
+    encoded_bytes,
 )
 
-HELPERS = 3  # who are had to ask in our place
-WORST = 8  # of local health: then periods are nine times as long
-REPEATS = 4  # times the logarithm of the members: how often what is new is told on
-CONFIRMED = 3  # others who suspect as well, after whom a suspect's time is the shortest
-SLACK = 6.0  # the longest time of a suspect over its shortest
-WINDOW = 1024  # serials of a sender behind its highest that may still come, once each
-SYNC_PERIODS = 5.0  # between two comparisons of digests, and between two tries to reach one who is gone
-LEARNING = 0.1  # of a period between comparisons, while each brings something new
-FORGET_PERIODS = 3600.0  # for which one who is gone is remembered: a lost half may come back so much later
-HEAD = 1 + SEAL + 4  # bytes of a datagram beside its letter without rows, and for the count of those
+INDIRECT_PROBE_MEMBERS = 3  # asked to ping a member that has not answered our own ping
+MAX_LOCAL_HEALTH = 8  # limit of the local health multiplier; at it periods are nine times as long
+RETRANSMIT_FACTOR = 4  # times the logarithm of the number of members: how often a new row is sent
+MAX_CONFIRMATIONS = 3  # members that confirm a suspicion, from which on the time-out is the shortest
+MAX_SUSPICION_FACTOR = 6.0  # the longest suspicion time-out over the shortest
+SERIAL_WINDOW = 1024  # serials below a sender's highest that are still accepted, each once
+SYNC_INTERVAL_PERIODS = 5.0  # mean time between two syncs, which also retry dead members and seeds
+CATCH_UP_INTERVAL_PERIODS = 0.1  # time to the next sync after one that brought something new
+RETENTION_PERIODS = 3600.0  # dead members are kept this long, so that a partition can heal this much later
+# bytes beside the encoded datagram without rows: version byte, MAC, and a longer length prefix of the rows
+DATAGRAM_OVERHEAD_BYTES = 1 + MAC_BYTES + 4
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What members go by. All of a cluster have the same."""
+    """Parameters of the protocol. All members of a cluster must have the same."""
 
     cluster: str
     period_ms: float = 1000.0
-    answer_ms: float = 300.0  # within which a direct question is answered
-    suspicion: float = 4.0  # the shortest time of a suspect, in periods, times the members' decimal logarithm
+    answer_ms: float = 300.0  # time allowed for the answer to a direct ping
+    suspicion: float = 4.0  # the shortest suspicion time-out, in periods per decimal logarithm of the members
 
 
 @dataclass(slots=True)
@@ -68,463 +74,490 @@
     """What is known of another member."""
 
     row: MemberRow
-    since: float  # when it came to be in that state
+    since: float  # when it entered its present state
     suspected_by: set[str] = field(default_factory=set)
-    serial: int = 0  # the highest of its life, and which of those behind it came
-    came: int = 0
+    highest_serial: int = 0  # of datagrams of its present process
+    seen_serials: int = 0  # bit i is set if the serial i below the highest was received
 
 
 @dataclass(slots=True)
 class _Probe:
     number: int
     target: MemberRow
-    indirect_at: float
-    over_at: float
-    asked: int = 0  # helpers
+    indirect_at: float  # when indirect probes are sent if there is no answer
+    ends_at: float
+    ping_requests: int = 0  # members that were asked to ping the target
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class _Errand:
-    """A question that another one has us ask."""
+class _IndirectProbe:
+    """A ping that this member sends for another member."""
 
-    number: int  # its own
-    for_whom: MemberRow
-    until: float
+    requester_number: int  # the requester's number of the probe
+    requester: MemberRow
+    ends_at: float
 
 
 @dataclass(slots=True)
 class Output:
-    """What came out: letters, each with a name (empty: not known) and an address; rows that changed."""
+    """Everything produced since the last call of `take`: datagrams to send, each with the receiver's name
+    (empty if unknown) and address, and rows that changed."""
 
     letters: list[tuple[str, str, Datagram]] = field(default_factory=list)
     changes: list[MemberRow] = field(default_factory=list)
-    # What came for others, with its sender.
+    # sender and data of each payload received
     carried: list[tuple[MemberRow, bytes]] = field(default_factory=list)
 
 
 class Swim:
-    """One member."""
+    """One member's instance of the protocol."""
 
     def __init__(
         self, own_row: MemberRow, settings: Settings, seeds: Iterable[str], rng: random.Random, now: float
     ) -> None:
-        """`own_row`: incarnation 1 or more; its life has to be another one for each start.
-        `seeds`: addresses.
+        """`own_row` needs an incarnation of at least 1 and a `start_id` that no earlier process of its name
+        has used. `seeds` are addresses of members to join through.
         """
         self.own_row, self.settings, self.seeds, self._rng = own_row, settings, tuple(seeds), rng
         self.peers: dict[str, PeerState] = {}
-        self.health = 0  # 0 is well, WORST is worst
-        self.out = Output()
-        self.dropped: Counter[str] = Counter()  # letters, by reason
+        self.health = 0  # the local health multiplier: 0 is healthy, MAX_LOCAL_HEALTH the worst
+        self._output = Output()
+        self.dropped: Counter[str] = Counter()  # datagrams, by reason
         self.suspicions = self.false_suspicions = self.refuted = 0
-        self.contested = False  # another process goes by our name, and goes first
-        self._claims: list[float] = []  # when others that live went by our name
-        self._serial = 0
-        self._news: dict[str, int] = {}  # name: how often it was told
-        self._ring: list[str] = []
+        self.contested = False  # another live process uses our name and takes precedence
+        self._conflicts: list[float] = []  # when other live processes were seen to use our name
+        self._last_serial = 0
+        self._transmissions: dict[str, int] = {}  # by name of each new row: how often it was sent
+        self._probe_order: list[str] = []
         self._probe: _Probe | None = None
-        self._errands: dict[int, _Errand] = {}
-        self._probes = 0
-        self._period_at = now + rng.random() * settings.period_ms
-        self._sync_at = now
-        self._looked_at = now
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
+        self._last_probe_number = 0
+        self._next_probe_at = now + rng.random() * settings.period_ms
+        self._next_sync_at = now
+        self._last_active_at = now
         self.left = False
-        self._digests = [0] * BUCKETS
-        self._noted(None, own_row)
+        self._digests = [0] * DIGEST_BUCKETS
+        self._update_digests(None, own_row)
 
     # --- Reading ------------------------------------------------------------------------------------------
 
     def rows(self) -> list[MemberRow]:
-        """All that is known, this member too."""
+        """The rows of all known members, this one first."""
         return [self.own_row, *(other.row for other in self.peers.values())]
 
     def alive(self) -> list[MemberRow]:
-        """Others that are there, suspects too."""
+        """The rows of the other members that are alive or suspect."""
         return [other.row for other in self.peers.values() if other.row.state in (ALIVE, SUSPECT)]
 
     def next_at(self) -> float:
-        """When `tick` is to be called at the latest."""
-        times = [self._period_at, self._sync_at]
+        """The time by which `tick` has to be called."""
+        times = [self._next_probe_at, self._next_sync_at]
         if self._probe is not None:
-            times.append(self._probe.over_at if self._probe.asked else self._probe.indirect_at)
-        times += [errand.until for errand in self._errands.values()]
+            times.append(self._probe.ends_at if self._probe.ping_requests else self._probe.indirect_at)
+        times += [indirect.ends_at for indirect in self._indirect_probes.values()]
         return min(times)
 
     def take(self) -> Output:
-        """What came out; the caller sends it."""
-        out, self.out = self.out, Output()
-        return out
+        """Take everything produced since the last call; the caller sends the datagrams."""
+        output, self._output = self._output, Output()
+        return output
 
-    def suspect_ms(self, confirmed: int) -> float:
-        """How long a suspect has to object: the shorter the more others suspect it, too.
+    def suspicion_timeout_ms(self, confirmations: int) -> float:
+        """How long a suspect has to refute; shorter the more other members confirm the suspicion.
 
-        shortest = suspicion x max(1, log10(members)) x period, longest = SLACK x shortest; the time goes from
-        one to the other with the logarithm of the others who suspect, of CONFIRMED.
+        shortest = suspicion x max(1, log10(members)) x period; longest = MAX_SUSPICION_FACTOR x shortest. The
+        time-out falls from the longest to the shortest with the logarithm of the number of confirmations, up
+        to MAX_CONFIRMATIONS or to the number of members that can confirm, if that is less.
         """
         members = len(self.alive()) + 1
         shortest = self.settings.suspicion * max(1.0, math.log10(members)) * self.settings.period_ms
-        wanted = min(CONFIRMED, max(members - 2, 0))
-        if confirmed >= wanted:
+        needed = min(MAX_CONFIRMATIONS, max(members - 2, 0))
+        if confirmations >= needed:
             return shortest
-        share = math.log(confirmed + 1) / math.log(wanted + 1)
-        return shortest * (SLACK - (SLACK - 1) * share)
+        share = math.log(confirmations + 1) / math.log(needed + 1)
+        return shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * share)
 
     # --- Time ---------------------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
-        self._wake(now)
+        """Do all that is due by `now`."""
+        self._compensate_pause(now)
         if self.left:
-            self._period_at = self._sync_at = float("inf")
+            self._next_probe_at = self._next_sync_at = float("inf")
             return
         probe = self._probe
-        if probe is not None and not probe.asked and now >= probe.indirect_at:
-            self._ask_others(probe)
-        if probe is not None and now >= probe.over_at:
-            self._missed(probe, now)
-        for number, errand in list(self._errands.items()):
-            if now >= errand.until:
-                del self._errands[number]
-                self._send(errand.for_whom, Nack(errand.number))
-        self._judge_suspects(now)
-        if now >= self._period_at:
-            self._period_at = now + self._span()
-            self._begin_probe(now)
-        if now >= self._sync_at:
-            self._sync_at = now + SYNC_PERIODS * self.settings.period_ms * (0.5 + self._rng.random())
-            self._compare(now)
-
-    def _wake(self, now: float) -> None:
-        """Danger: one that was stopped wakes to questions without an answer and suspects that did not object.
-        It was not there to hear them: they get that time again, and it doubts its own health."""
-        slept = now - max(self._looked_at, self.next_at())
-        self._looked_at = now
-        if slept <= self.settings.period_ms:
+        if probe is not None and not probe.ping_requests and now >= probe.indirect_at:
+            self._send_ping_requests(probe)
+        if probe is not None and now >= probe.ends_at:
+            self._fail_probe(probe, now)
+        for number, indirect in list(self._indirect_probes.items()):
+            if now >= indirect.ends_at:
+                del self._indirect_probes[number]
+                self._send(indirect.requester, Nack(indirect.requester_number))
+        self._expire_members(now)
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + self._probe_interval_ms()
+            self._start_probe(now)
+        if now >= self._next_sync_at:
+            self._next_sync_at = now + SYNC_INTERVAL_PERIODS * self.settings.period_ms * (
+                0.5 + self._rng.random()
+            )
+            self._send_sync(now)
+
+    def _compensate_pause(self, now: float) -> None:
+        """After this process was paused for more than a period, drop its open probes, extend all suspicions
+        by the pause and raise the local health multiplier. Otherwise it would declare members dead whose
+        answers and refutations it could not receive."""
+        paused_ms = now - max(self._last_active_at, self.next_at())
+        self._last_active_at = now
+        if paused_ms <= self.settings.period_ms:
             return
-        self._probe, self._errands = None, {}
-        self.health = min(self.health + 1, WORST)
+        self._probe, self._indirect_probes = None, {}
+        self.health = min(self.health + 1, MAX_LOCAL_HEALTH)
         for other in self.peers.values():
-            other.since += slept
+            other.since += paused_ms
 
-    def _span(self) -> float:
+    def _probe_interval_ms(self) -> float:
         return self.settings.period_ms * (self.health + 1)
 
-    # --- Questions ----------------------------------------------------------------------------------------
+    # --- Probes -------------------------------------------------------------------------------------------
 
-    def _begin_probe(self, now: float) -> None:
+    def _start_probe(self, now: float) -> None:
         if self._probe is not None:
-            return  # it is not over: we are slow
-        while self._ring or self.alive():
-            if not self._ring:  # all, in an order of our own, before any comes again
-                self._ring = [row.name for row in self.alive()]
-                self._rng.shuffle(self._ring)
-            other = self.peers.get(self._ring.pop())
+            return  # the previous probe is still open, as ticks come late
+        while self._probe_order or self.alive():
+            if not self._probe_order:  # every member is probed once, in random order, before any is again
+                self._probe_order = [row.name for row in self.alive()]
+                self._rng.shuffle(self._probe_order)
+            other = self.peers.get(self._probe_order.pop())
             if other is None or other.row.state not in (ALIVE, SUSPECT):
                 continue
-            self._probes += 1
+            self._last_probe_number += 1
             answer_ms = self.settings.answer_ms * (self.health + 1)
-            self._probe = _Probe(self._probes, other.row, now + answer_ms, now + self._span())
-            # A suspect is told so first of all, that it may object.
-            first = (other.row,) if other.row.state == SUSPECT else ()
-            self._send(other.row, Ping(self._probes, other.row.start_id, first))
+            self._probe = _Probe(
+                self._last_probe_number, other.row, now + answer_ms, now + self._probe_interval_ms()
+            )
+            # The ping tells a suspect of the suspicion, so that it can refute.
+            rows = (other.row,) if other.row.state == SUSPECT else ()
+            self._send(other.row, Ping(self._last_probe_number, other.row.start_id, rows))
             return
 
-    def _ask_others(self, probe: _Probe) -> None:
-        helpers = [row for row in self.alive() if row.name != probe.target.name and row.state == ALIVE]
-        chosen = self._rng.sample(helpers, min(HELPERS, len(helpers)))
-        probe.asked = len(chosen)
+    def _send_ping_requests(self, probe: _Probe) -> None:
+        candidates = [row for row in self.alive() if row.name != probe.target.name and row.state == ALIVE]
+        chosen = self._rng.sample(candidates, min(INDIRECT_PROBE_MEMBERS, len(candidates)))
+        probe.ping_requests = len(chosen)
         if not chosen:
-            probe.indirect_at = probe.over_at
+            probe.indirect_at = probe.ends_at
         for row in chosen:
             self._send(row, PingRequest(probe.number, probe.target))
 
-    def _missed(self, probe: _Probe, now: float) -> None:
-        """Nobody has an answer from it. Helpers that did not even say so leave the doubt with us."""
+    def _fail_probe(self, probe: _Probe, now: float) -> None:
+        """Suspect the target of a probe without an answer. Each ping request that brought not even a nack
+        raises the local health multiplier, as the fault may be our own."""
         self._probe = None
-        silent = probe.asked - probe.nacks
-        self._feel(silent if probe.asked else 1)
+        missing_nacks = probe.ping_requests - probe.nacks
+        self._adjust_health(missing_nacks if probe.ping_requests else 1)
         other = self.peers.get(probe.target.name)
         if other is not None and other.row.rank() == probe.target.rank() and other.row.state == ALIVE:
             self.suspicions += 1
-            self._take_row(structs.replace(other.row, state=SUSPECT, by=self.own_row.name), now)
+            self._merge_row(structs.replace(other.row, state=SUSPECT, by=self.own_row.name), now)
         elif other is not None and other.row.state == SUSPECT and other.row.start_id == probe.target.start_id:
-            self._take_row(structs.replace(other.row, by=self.own_row.name), now)
+            self._merge_row(structs.replace(other.row, by=self.own_row.name), now)
 
-    def _feel(self, worse: int) -> None:
-        self.health = min(max(self.health + worse, 0), WORST)
+    def _adjust_health(self, change: int) -> None:
+        self.health = min(max(self.health + change, 0), MAX_LOCAL_HEALTH)
 
-    def _judge_suspects(self, now: float) -> None:
+    def _expire_members(self, now: float) -> None:
+        """Declare suspects dead after the suspicion time-out, and remove members that are dead or have left
+        after the retention period."""
         for other in list(self.peers.values()):
-            state, since = other.row.state, now - other.since
-            if state == SUSPECT and since >= self.suspect_ms(len(other.suspected_by) - 1):
-                self._take_row(structs.replace(other.row, state=DEAD, by=self.own_row.name), now)
-            elif state in (DEAD, LEFT) and since >= FORGET_PERIODS * self.settings.period_ms:
+            state, elapsed_ms = other.row.state, now - other.since
+            if state == SUSPECT and elapsed_ms >= self.suspicion_timeout_ms(len(other.suspected_by) - 1):
+                self._merge_row(structs.replace(other.row, state=DEAD, by=self.own_row.name), now)
+            elif state in (DEAD, LEFT) and elapsed_ms >= RETENTION_PERIODS * self.settings.period_ms:
                 del self.peers[other.row.name]
-                self._noted(other.row, None)
-                self._news.pop(other.row.name, None)
+                self._update_digests(other.row, None)
+                self._transmissions.pop(other.row.name, None)
 
-    # --- Comparison ---------------------------------------------------------------------------------------
+    # --- Anti-entropy -------------------------------------------------------------------------------------
 
-    def _compare(self, now: float) -> None:
-        """With one that is there, and now and then with one that is gone, or a seed: two halves that were cut
-        apart find each other so."""
-        there = self.alive()
+    def _send_sync(self, now: float) -> None:
+        """Send our digests to a random live member and, at random, also to a dead member or a seed. The
+        latter lets two partitions that hold each other dead find each other again."""
+        members = self.alive()
         digests = Sync(self.digests())
-        if there:
-            self._send(self._rng.choice(there), digests)
-        gone = [other.row.at for other in self.peers.values() if other.row.state == DEAD]
-        known = {row.at for row in there}
-        far = [at for at in (*gone, *self.seeds) if at not in known and at != self.own_row.at]
-        if far and (not there or self._rng.random() < 0.5):
-            self._post(self._rng.choice(far), digests)
+        if members:
+            self._send(self._rng.choice(members), digests)
+        dead_addresses = [other.row.at for other in self.peers.values() if other.row.state == DEAD]
+        live_addresses = {row.at for row in members}
+        unreached = [
+            at for at in (*dead_addresses, *self.seeds) if at not in live_addresses and at != self.own_row.at
+        ]
+        if unreached and (not members or self._rng.random() < 0.5):
+            self._send_to_address(self._rng.choice(unreached), digests)
 
     def digests(self) -> tuple[int, ...]:
-        """Of each bucket of the table."""
+        """The digest of each bucket of rows."""
         return tuple(self._digests)
 
-    def _noted(self, old: MemberRow | None, new: MemberRow | None) -> None:
-        """One row of the table has changed, come or gone."""
+    def _update_digests(self, old: MemberRow | None, new: MemberRow | None) -> None:
+        """Replace a row in the digests; `old` is None for an added row, `new` for a removed one."""
         for row in (old, new):
             if row is not None:
                 self._digests[_bucket(row.name)] ^= _digest(row)
 
-    def _on_sync(self, sender: MemberRow, m: Sync) -> None:
-        mine = self.digests()
-        if len(m.digests) != BUCKETS:
+    def _on_sync(self, sender: MemberRow, sync: Sync) -> None:
+        own_digests = self.digests()
+        if len(sync.digests) != DIGEST_BUCKETS:
             return
-        differ = {i for i in range(BUCKETS) if mine[i] != m.digests[i]}
-        rows = [row for row in self.rows() if _bucket(row.name) in differ]
+        differing = {i for i in range(DIGEST_BUCKETS) if own_digests[i] != sync.digests[i]}
+        rows = [row for row in self.rows() if _bucket(row.name) in differing]
         if rows:
             self._rng.shuffle(rows)
-            self._send(sender, Page(tuple(self._fitting(rows))))
+            self._send(sender, Page(tuple(self._rows_that_fit(rows))))
 
-    def _on_page(self, m: Page, now: float) -> None:
-        learnt = [self._take_row(row, now) for row in m.rows]
-        if any(learnt):
-            soon = now + LEARNING * self.settings.period_ms
-            self._sync_at = min(self._sync_at, soon)
+    def _on_page(self, page: Page, now: float) -> None:
+        changed = [self._merge_row(row, now) for row in page.rows]
+        if any(changed):
+            catch_up_at = now + CATCH_UP_INTERVAL_PERIODS * self.settings.period_ms
+            self._next_sync_at = min(self._next_sync_at, catch_up_at)
 
-    # --- Letters ------------------------------------------------------------------------------------------
+    # --- Datagrams ----------------------------------------------------------------------------------------
 
-    def handle(self, now: float, letter: Datagram) -> None:
-        """One letter, whenever it comes."""
-        self._wake(now)
-        sender = letter.sender
-        if self.left or not self._believed(letter, now):
+    def handle(self, now: float, datagram: Datagram) -> None:
+        """Process one datagram. Datagrams may arrive late, repeatedly and in any order."""
+        self._compensate_pause(now)
+        sender = datagram.sender
+        if self.left or not self._accept_sender(datagram, now):
             return
-        match letter.message:
+        match datagram.message:
             case Ping():
-                self._hear(letter.message.rows, now)
-                if letter.message.life == self.own_row.start_id:
-                    self._send(sender, Ack(letter.message.probe))
+                self._merge_rows(datagram.message.rows, now)
+                if datagram.message.start_id == self.own_row.start_id:
+                    self._send(sender, Ack(datagram.message.probe_number))
             case Ack():
-                self._hear(letter.message.rows, now)
-                self._on_ack(letter.message, now)
+                self._merge_rows(datagram.message.rows, now)
+                self._on_ack(datagram.message, now)
             case PingRequest():
-                self._hear(letter.message.rows, now)
-                self._run_errand(letter.message, sender, now)
+                self._merge_rows(datagram.message.rows, now)
+                self._on_ping_request(datagram.message, sender, now)
             case Nack():
-                if self._probe is not None and self._probe.number == letter.message.probe:
+                if self._probe is not None and self._probe.number == datagram.message.probe_number:
                     self._probe.nacks += 1
             case Sync():
-                self._on_sync(sender, letter.message)
+                self._on_sync(sender, datagram.message)
             case Page():
-                self._on_page(letter.message, now)
-            case Carried():
-                self.out.carried.append((sender, letter.message.data))
-
-    def _believed(self, letter: Datagram, now: float) -> bool:
-        """Whether a letter is no repeat, and of its sender's present life. Who goes by our own name, or by a
-        life that another one has followed, is told what is known of that name, and nothing of it is taken."""
-        sender = letter.sender
+                self._on_page(datagram.message, now)
+            case Payload():
+                self._output.carried.append((sender, datagram.message.data))
+
+    def _accept_sender(self, datagram: Datagram, now: float) -> bool:
+        """Merge the sender's row; True if the datagram is no duplicate and its sender is the present process
+        of its name. Another process with our own name, or one that a newer process has replaced, is sent the
+        row that supersedes its own, and its message is dropped."""
+        sender = datagram.sender
         if sender.name == self.own_row.name:
             if sender.start_id != self.own_row.start_id:
-                self._take_row(sender, now)
-                if isinstance(letter.message, Ping | Sync):  # danger: answers to answers would never end
-                    self._post(sender.at, Page((self.own_row,)))
+                self._merge_row(sender, now)
+                # only these are answered: otherwise the two would answer each other's answers without end
+                if isinstance(datagram.message, Ping | Sync):
+                    self._send_to_address(sender.at, Page((self.own_row,)))
             self.dropped["own name"] += 1
             return False
         known = self.peers.get(sender.name)
         if known is not None and known.row.start_id != sender.start_id and known.row.rank() > sender.rank():
             self.dropped["earlier life"] += 1
-            if isinstance(letter.message, Ping | Sync):
+            if isinstance(datagram.message, Ping | Sync):
                 self._send(sender, Page((known.row,)))
             return False
-        self._take_row(sender, now)
+        self._merge_row(sender, now)
         known = self.peers.get(sender.name)
-        if known is None or known.row.start_id != sender.start_id or not _fresh(known, letter.serial):
+        if (
+            known is None
+            or known.row.start_id != sender.start_id
+            or not _is_new_serial(known, datagram.serial)
+        ):
             self.dropped["repeated"] += 1
             return False
-        worse = known.row.state != ALIVE and known.row.incarnation >= sender.incarnation
-        if worse and sender.state == ALIVE and not isinstance(letter.message, Page):
-            self._send(sender, Page((known.row,)))  # it objects by a higher incarnation, if it can
+        not_alive = known.row.state != ALIVE and known.row.incarnation >= sender.incarnation
+        if not_alive and sender.state == ALIVE and not isinstance(datagram.message, Page):
+            self._send(sender, Page((known.row,)))  # so that it can refute with a higher incarnation
         return True
 
-    def _hear(self, rows: Iterable[MemberRow], now: float) -> None:
+    def _merge_rows(self, rows: Iterable[MemberRow], now: float) -> None:
         for row in rows:
-            self._take_row(row, now)
+            self._merge_row(row, now)
 
-    def _on_ack(self, m: Ack, now: float) -> None:
-        errand = self._errands.pop(m.probe, None)
-        if errand is not None:
-            self._send(errand.for_whom, Ack(errand.number))
-        elif self._probe is not None and self._probe.number == m.probe:
+    def _on_ack(self, ack: Ack, now: float) -> None:
+        indirect = self._indirect_probes.pop(ack.probe_number, None)
+        if indirect is not None:
+            self._send(indirect.requester, Ack(indirect.requester_number))
+        elif self._probe is not None and self._probe.number == ack.probe_number:
             self._probe = None
-            self._feel(-1)
+            self._adjust_health(-1)
 
-    def _run_errand(self, m: PingRequest, sender: MemberRow, now: float) -> None:
-        """Its number is ours, so that its answer is not taken for another one's."""
-        self._probes += 1
-        self._errands[self._probes] = _Errand(m.probe, sender, now + self.settings.answer_ms)
-        self._send(m.target, Ping(self._probes, m.target.start_id))
+    def _on_ping_request(self, request: PingRequest, sender: MemberRow, now: float) -> None:
+        """Ping the target under a probe number of our own: the requester's number could equal one of ours."""
+        self._last_probe_number += 1
+        self._indirect_probes[self._last_probe_number] = _IndirectProbe(
+            request.probe_number, sender, now + self.settings.answer_ms
+        )
+        self._send(request.target, Ping(self._last_probe_number, request.target.start_id))
 
-    # --- What is known ------------------------------------------------------------------------------------
+    # --- Rows ---------------------------------------------------------------------------------------------
 
     def know(self, row: MemberRow, now: float) -> None:
-        """Take in what is known of another member from elsewhere, as nothing new to tell on."""
-        if row.name != self.own_row.name and self._take_row(row, now):
-            del self._news[row.name]
+        """Merge a row of another member that was learnt outside the protocol, without disseminating it."""
+        if row.name != self.own_row.name and self._merge_row(row, now):
+            del self._transmissions[row.name]
 
-    def _take_row(self, row: MemberRow, now: float) -> bool:
-        """Take in what is said of a member; whether that was new."""
+    def _merge_row(self, row: MemberRow, now: float) -> bool:
+        """Apply a row that a member has reported; True if it changed what is known."""
         if row.name == self.own_row.name:
-            return self._of_me(row, now)
+            return self._merge_own_row(row, now)
         known = self.peers.get(row.name)
         if known is None:
             if row.state == DEAD and row.incarnation <= 0:
                 return False
             known = self.peers[row.name] = PeerState(row, now)
-            self._noted(None, row)
+            self._update_digests(None, row)
         else:
             if row.state == SUSPECT and known.row.rank() == row.rank():
-                return self._confirmed(known, row.by)
+                return self._add_confirmation(known, row.by)
             if row.rank() <= known.row.rank():
                 return False
             if known.row.state == SUSPECT and row.state == ALIVE and row.start_id == known.row.start_id:
                 self.false_suspicions += 1
             if row.start_id != known.row.start_id:
-                known.serial = known.came = 0
-            self._noted(known.row, row)
+                known.highest_serial = known.seen_serials = 0
+            self._update_digests(known.row, row)
             known.row, known.since = row, now
             known.suspected_by = set()
         if row.state == SUSPECT:
             known.suspected_by.add(row.by)
-        self._news[row.name] = 0
-        self.out.changes.append(row)
+        self._transmissions[row.name] = 0
+        self._output.changes.append(row)
         return True
 
-    def _confirmed(self, known: PeerState, by: str) -> bool:
-        """Another one suspects it as well: told on, as far as that shortens anybody's patience."""
-        if by in known.suspected_by or len(known.suspected_by) > CONFIRMED:
+    def _add_confirmation(self, known: PeerState, by: str) -> bool:
+        """Record that another member suspects it as well, and disseminate that as long as it shortens the
+        suspicion time-out."""
+        if by in known.suspected_by or len(known.suspected_by) > MAX_CONFIRMATIONS:
             return False
         known.suspected_by.add(by)
         known.row = structs.replace(known.row, by=by)
-        self._news[known.row.name] = 0
+        self._transmissions[known.row.name] = 0
         return True
 
-    def _of_me(self, row: MemberRow, now: float) -> bool:
-        """What is said of our own name: an objection is a higher incarnation, ours alone to take."""
+    def _merge_own_row(self, row: MemberRow, now: float) -> bool:
+        """Apply a row under our own name. A suspicion or a death is refuted with a higher incarnation."""
         if row.start_id == self.own_row.start_id:
             if row.state == ALIVE or row.incarnation < self.own_row.incarnation or self.left:
                 return False
-            self._raise(row.incarnation)
+            self._raise_incarnation(row.incarnation)
             self.refuted += 1
-            self._feel(1)
+            self._adjust_health(1)
             return True
         if row.rank() <= self.own_row.rank():
             return False
         if row.state == ALIVE:
-            self._claims = [at for at in self._claims if now - at < self._contest_ms()] + [now]
-        # Once is our own earlier life, of which some have not heard that it is over. Danger: two that go by
-        # one name would outbid each other without end; the lower life gives way, and both are told of.
-        if len(self._claims) > 1 and row.start_id > self.own_row.start_id:
+            self._conflicts = [at for at in self._conflicts if now - at < self._conflict_window_ms()] + [now]
+        # A single conflict is usually our own earlier process, which some members still hold alive. After a
+        # second one within the window the process with the lower `start_id` gives way, and both conflicts are
+        # reported. Otherwise two live processes with one name would raise their incarnations without end.
+        if len(self._conflicts) > 1 and row.start_id > self.own_row.start_id:
             self.contested = True
             return False
-        self.contested = len(self._claims) > 1
-        self._raise(row.incarnation)
+        self.contested = len(self._conflicts) > 1
+        self._raise_incarnation(row.incarnation)
         return True
 
-    def _contest_ms(self) -> float:
+    def _conflict_window_ms(self) -> float:
         return 60 * self.settings.period_ms
 
-    def _raise(self, above: int) -> None:
-        self._noted(self.own_row, me := structs.replace(self.own_row, incarnation=above + 1))
-        self.own_row = me
-        self._news[self.own_row.name] = 0
+    def _raise_incarnation(self, above: int) -> None:
+        self._update_digests(self.own_row, new_row := structs.replace(self.own_row, incarnation=above + 1))
+        self.own_row = new_row
+        self._transmissions[self.own_row.name] = 0
 
-    def carry(self, to: MemberRow, data: bytes) -> None:
-        """Send something of no meaning to membership; it may be lost, and never comes twice."""
-        self._send(to, Carried(data))
+    def send_payload(self, to: MemberRow, data: bytes) -> None:
+        """Send data of a protocol on top of membership. It may be lost and is delivered at most once."""
+        self._send(to, Payload(data))
 
     def leave(self, now: float) -> None:
-        """Say that we go, to as many as hear of things at first hand; nothing is sent after that."""
+        """Announce to a random sample of members that this one leaves; the others hear it by gossip. Nothing
+        is sent afterwards."""
         self.own_row = structs.replace(self.own_row, incarnation=self.own_row.incarnation + 1, state=LEFT)
-        there = self.alive()
-        for row in self._rng.sample(there, min(len(there), REPEATS * HELPERS)):
+        members = self.alive()
+        for row in self._rng.sample(members, min(len(members), RETRANSMIT_FACTOR * INDIRECT_PROBE_MEMBERS)):
             self._send(row, Page((self.own_row,)))
         self.left = True
 
     # --- Sending ------------------------------------------------------------------------------------------
 
     def _send(self, to: MemberRow, message: Message) -> None:
-        self._post(to.at, message, to.name)
+        self._send_to_address(to.at, message, to.name)
 
-    def _post(self, at: str, message: Message, name: str = "") -> None:
-        self._serial += 1
+    def _send_to_address(self, at: str, message: Message, name: str = "") -> None:
+        self._last_serial += 1
         if isinstance(message, Ping | Ack | PingRequest):
-            rows = (*message.rows, *self._told_on(self._room(message)))
+            rows = (*message.rows, *self._rows_to_disseminate(self._free_bytes(message)))
             message = structs.replace(message, rows=rows)
-        self.out.letters.append((name, at, self._letter(message)))
+        self._output.letters.append((name, at, self._datagram(message)))
 
-    def _letter(self, message: Message) -> Datagram:
-        return Datagram(self.settings.cluster, self.own_row, self._serial, message)
+    def _datagram(self, message: Message) -> Datagram:
+        return Datagram(self.settings.cluster, self.own_row, self._last_serial, message)
 
-    def _room(self, message: Message) -> int:
-        """Bytes that rows may take beside a message."""
-        return LONGEST - HEAD - size(self._letter(message))
+    def _free_bytes(self, message: Message) -> int:
+        """Bytes that are left for rows in the datagram of a message."""
+        return MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - encoded_bytes(self._datagram(message))
 
-    def _told_on(self, room: int) -> Iterator[MemberRow]:
-        """What is new, the least told first, as much as fits; what was told often enough is news no more."""
-        most = REPEATS * math.ceil(math.log10(len(self.peers) + 2))
-        for name in sorted(self._news, key=lambda n: self._news[n]):
+    def _rows_to_disseminate(self, free_bytes: int) -> Iterator[MemberRow]:
+        """New rows that fit, those sent least often first. A row is dropped from the new ones after
+        RETRANSMIT_FACTOR times the logarithm of the members."""
+        max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.peers) + 2))
+        for name in sorted(self._transmissions, key=lambda n: self._transmissions[n]):
             row = self.own_row if name == self.own_row.name else self.peers[name].row
-            room -= size(row)
-            if room < 0:
+            free_bytes -= encoded_bytes(row)
+            if free_bytes < 0:
                 return
-            self._news[name] += 1
-            if self._news[name] >= most:
-                del self._news[name]
+            self._transmissions[name] += 1
+            if self._transmissions[name] >= max_transmissions:
+                del self._transmissions[name]
             yield row
 
-    def _fitting(self, rows: Iterable[MemberRow]) -> Iterator[MemberRow]:
-        room = self._room(Page(()))
+    def _rows_that_fit(self, rows: Iterable[MemberRow]) -> Iterator[MemberRow]:
+        free_bytes = self._free_bytes(Page(()))
         for row in rows:
-            room -= size(row)
-            if room < 0:
+            free_bytes -= encoded_bytes(row)
+            if free_bytes < 0:
                 return
             yield row
 
 
 def _bucket(name: str) -> int:
-    return xxhash.xxh32_intdigest(name.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(name.encode()) % DIGEST_BUCKETS
 
 
 def _digest(row: MemberRow) -> int:
-    """A suspicion is none of it: it passes, and is told by itself."""
+    """Hash of a row. A suspect counts as alive: suspicions are short-lived and disseminated on their own."""
     state = ALIVE if row.state == SUSPECT else row.state
     return xxhash.xxh32_intdigest(f"{row.name}/{row.start_id}/{row.incarnation}/{state}".encode())
 
 
-def _fresh(known: PeerState, serial: int) -> bool:
-    """Whether a serial is new of its sender: above all so far, or within the window behind and not seen."""
-    if serial > known.serial:
-        ahead = serial - known.serial
-        known.came = ((known.came << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-        known.serial = serial
+def _is_new_serial(known: PeerState, serial: int) -> bool:
+    """Record a serial of a sender; False if it was received before or is too far below the highest to
+    tell."""
+    if serial > known.highest_serial:
+        ahead = serial - known.highest_serial
+        known.seen_serials = (
+            ((known.seen_serials << ahead) | 1) & ((1 << SERIAL_WINDOW) - 1) if ahead < SERIAL_WINDOW else 1
+        )
+        known.highest_serial = serial
         return True
-    behind = known.serial - serial
-    if behind >= WINDOW or known.came >> behind & 1:
+    behind = known.highest_serial - serial
+    if behind >= SERIAL_WINDOW or known.seen_serials >> behind & 1:
         return False
-    known.came |= 1 << behind
+    known.seen_serials |= 1 << behind
     return True
--- a/yewstage/shared/__init__.py
+++ b/yewstage/shared/__init__.py
@@ -1,4 +1,5 @@
-"""What gateways tell one another about what they see: tables with a bound on staleness, over `membership`.
+"""Tables shared between gateways by anti-entropy over `membership`, with a bound on staleness.
 
-Pure. Each entry has one origin, which alone changes it; the age of what is read rests on one's own clock.
+Each entry has one origin, which alone changes it. Ages are computed from this process's own clock. The
+package does no I/O.
 """
--- a/yewstage/shared/anti_entropy.py
+++ b/yewstage/shared/anti_entropy.py
@@ -1,4 +1,5 @@
-"""Tables on top of a member: whom to ask and when, questions and answers in its letters. Pure."""
+"""Anti-entropy of the shared tables: when to ask which member, with questions and answers sent as payloads of
+the membership protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -6,38 +7,38 @@
 from collections.abc import Iterable
 
 from yewstage.membership.messages import ALIVE, MemberRow
-from yewstage.membership.messages import encode as encoded
+from yewstage.membership.messages import encode as encode_payload
 from yewstage.membership.swim import Swim
 from yewstage.shared.tables import Answer, Question, Settings, Table, Tables, parse
 
 
 class SharedTables:
-    """One member's tables, kept with those of the others."""
+    """One member's copy of the tables, synchronized with the copies of the other members."""
 
     def __init__(
         self, swim: Swim, tables: Iterable[Table], settings: Settings, rng: random.Random, now: float
     ) -> None:
         self._swim, self._rng = swim, rng
         self.tables = Tables(swim.own_row.name, swim.own_row.start_id, tables, settings, rng, now)
-        self.nonsense = 0
+        self.nonsense = 0  # payloads that could not be decoded
 
     def next_at(self) -> float:
-        """When `tick` is to be called at the latest."""
-        return self.tables.ask_at
+        """The time by which `tick` has to be called, in ms."""
+        return self.tables.next_question_at
 
     def tick(self, now: float) -> None:
-        """Time has passed."""
-        if now < self.tables.ask_at or self._swim.left:
+        """Ask a random live member if a question is due."""
+        if now < self.tables.next_question_at or self._swim.left:
             return
-        there = self._swim.alive()
-        self.tables.members({row.name: row.start_id for row in there}, now)
+        members = self._swim.alive()
+        self.tables.members({row.name: row.start_id for row in members}, now)
         question = self.tables.ask(now)
-        well = [row for row in there if row.state == ALIVE]
-        if well:
-            self._swim.carry(self._rng.choice(well), encoded(question))
+        candidates = [row for row in members if row.state == ALIVE]
+        if candidates:
+            self._swim.send_payload(self._rng.choice(candidates), encode_payload(question))
 
     def handle(self, now: float, sender: MemberRow, data: bytes) -> None:
-        """What a member's letter carried."""
+        """Process a payload received from a member."""
         try:
             message = parse(data)
         except ValueError:
@@ -46,6 +47,6 @@
         match message:
             case Question():
                 for page in self.tables.answer(message, now):
-                    self._swim.carry(sender, encoded(page))
+                    self._swim.send_payload(sender, encode_payload(page))
             case Answer():
                 self.tables.take(message, now)
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -1,15 +1,16 @@
-"""Tables that all members hold, each entry written by its origin alone, spread by asking. Pure.
-
-An origin numbers its changes. What another one knows of it is a number up to which it has all of them, and
-when that was certain: an age. Now and then a member tells another how far it is with some origins, and is
-told what it lacks (Scuttlebutt; van Renesse, Dumitriu, Gough, Thomas, 2008). Two such states merge by the
-greater number and the later certainty, in any order and as often as they come.
-
-Ages are counted by one's own clock only: an answer says how old its knowledge was when it was given, and the
-time since the question was asked is added to that. So a slow link, a stopped process or a clock that is hours
-off makes an age greater than the truth, never less; clocks may run apart by `drift`. What is older than its
-table's bound counts as not there. A member that lies can lie about others' entries as well: who reads has to
-weigh by origins.
+"""Tables that every member holds a copy of. Each entry is written by its origin alone. No I/O.
+
+An origin numbers its changes; the number is the version of its state. For each origin a member keeps the
+version up to which it has all changes, and the time at which that was known to be the latest. At intervals a
+member sends another one these versions and ages (a digest), and is answered with the changes it lacks
+(deltas). This is Scuttlebutt reconciliation (van Renesse, Dumitriu, Gough, Thomas, 2008). States merge by the
+greater version and the later time, in any order and any number of times.
+
+Ages are measured by the reader's own clock only: an answer says how old its knowledge was when it was given,
+and the time since the question was asked is added to that. So a slow link, a paused process or a clock that
+is hours off makes an age greater than the truth, never less; clocks may run apart in rate by at most `drift`.
+Entries older than the staleness bound of their table are not returned. A faulty member can pass on false
+entries of other origins too; readers have to allow for that when they count origins.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 import msgspec
 import xxhash
 
-from yewstage.membership.messages import encode, size
+from yewstage.membership.messages import encode, encoded_bytes
 
-LONGEST_KEY, LONGEST_VALUE = 96, 512  # bytes
-ROOM = 1150  # bytes of a message: what a letter leaves beside its sender
-PAGES = 3  # messages that answer one question, at the most
-NAMED = 95  # origins that one question names: as many as a message has room for
-OPEN = 8  # questions whose answers are still taken
+MAX_KEY_BYTES, MAX_VALUE_BYTES = 96, 512
+MAX_MESSAGE_BYTES = 1150  # what a datagram leaves for a payload beside the sender's row
+MAX_ANSWER_PAGES = 3  # messages that answer one question
+MAX_QUESTION_ORIGINS = 95  # origins that one question names; more do not fit into a message
+MAX_OPEN_QUESTIONS = 8  # latest questions whose answers are still accepted
 NEVER = float("-inf")
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of a table as its origin has it since one of its changes; without a value it is gone."""
+    """The latest change of one entry. Without a value it is a tombstone: the entry was deleted."""
 
     version: int
     table: str
@@ -40,44 +41,46 @@
     value: bytes | None
 
 
-class Known(msgspec.Struct, frozen=True, array_like=True):
-    """How far somebody is with an origin: all of its changes up to a version, as of so long ago."""
+class DigestEntry(msgspec.Struct, frozen=True, array_like=True):
+    """What the sender knows of one origin: all changes up to `version`, as of `age_ms` ago (-1: unknown)."""
 
-    mark: int
+    origin_hash: int
     version: int
     age_ms: int
 
 
 class Question(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """What have you newer than this?"""
+    """Asks for everything newer than the digest."""
 
     number: int
-    known: tuple[Known, ...]
+    digest: tuple[DigestEntry, ...]
 
 
-class Part(msgspec.Struct, frozen=True, array_like=True):
-    """Changes of one origin behind `after` up to `version`; `whole`: in place of all that was known."""
+class Delta(msgspec.Struct, frozen=True, array_like=True):
+    """Changes of one origin after `base_version` up to `version`. A full delta replaces all that the receiver
+    knows of the origin."""
 
-    mark: int
-    after: int
+    origin_hash: int
+    base_version: int
     version: int
-    age_ms: int  # how long ago that was all; under 0: there is more
+    age_ms: int  # how long ago `version` was the latest; -1 if unknown or if another delta follows
     changes: tuple[Change, ...] = ()
-    whole: bool = False
-    floor: int = 0  # changes up to here may be left out: they are gone without a trace
+    is_full: bool = False
+    floor_version: int = 0  # tombstones up to this version may be missing
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """A page of what is newer: origins that have changed, and those that have not."""
+    """One page of an answer: deltas, and origins that have no newer changes but whose age here is lower."""
 
     number: int
-    parts: tuple[Part, ...]
-    same: tuple[Known, ...] = ()
+    deltas: tuple[Delta, ...]
+    unchanged: tuple[DigestEntry, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A kind of entries: `most` of one origin; older than `bound_ms` counts as not there."""
+    """A kind of entries. Each origin may have at most `most` of them; entries of an origin whose age is above
+    `bound_ms` are not returned."""
 
     name: str
     bound_ms: float
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableEntry:
-    """An entry as it is read: what its origin held at some moment no longer than `age_ms` ago."""
+    """An entry as read: its origin held this value at some moment within the last `age_ms`."""
 
     key: str
     origin: str
@@ -96,286 +99,323 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """How entries are spread."""
+    """Parameters of the anti-entropy."""
 
-    interval_ms: float = 250.0  # between two questions
-    drift: float = 0.01  # by which clocks may run apart
+    interval_ms: float = 250.0  # mean time between two questions
+    drift: float = 0.01  # largest difference in rate between two clocks, as a share
 
 
 class FullTableError(Exception):
-    """An origin has as many entries of a table as it may."""
+    """Raised when this member already has the maximum number of entries in a table."""
 
 
 @dataclass(slots=True)
 class Origin:
-    """What is known of one."""
+    """What is known of one origin."""
 
-    life: int
-    version: int = 0  # up to which all changes are known
-    fresh_at: float = NEVER  # our own time as of which we know all of its changes
-    floor: int = 0
+    start_id: int
+    version: int = 0  # all changes up to this one are known
+    fresh_at: float = NEVER  # the latest time, on our own clock, as of which all of its changes are known
+    floor_version: int = 0  # tombstones up to this version may be missing
     entries: dict[tuple[str, str], Change] = field(default_factory=dict)
 
-    def behind(self, version: int) -> list[Change]:
-        """Changes that come after one, in their order."""
+    def changes_after(self, version: int) -> list[Change]:
+        """The changes after a version, by version."""
         newer = (change for change in self.entries.values() if change.version > version)
         return sorted(newer, key=lambda change: change.version)
 
 
 class Tables:
-    """One member's copy."""
+    """One member's copy of all tables."""
 
     def __init__(
-        self, me: str, life: int, tables: Iterable[Table], settings: Settings, rng: random.Random, now: float
+        self,
+        own_name: str,
+        start_id: int,
+        tables: Iterable[Table],
+        settings: Settings,
+        rng: random.Random,
+        now: float,
     ) -> None:
-        self.me, self.settings, self._rng = me, settings, rng
+        self.own_name, self.settings, self._rng = own_name, settings, rng
         self.tables = {table.name: table for table in tables}
-        self.own = Origin(life)
-        self.origins: dict[str, Origin] = {me: self.own}
-        self._lives: dict[str, int] = {me: life}
-        self._marks: dict[str, int] = {me: mark(me, life)}  # by name; of two alike one is left out
-        self._names: dict[int, str] = {mark(me, life): me}
-        self._asked: dict[int, float] = {}  # when each question was asked
-        self._numbers = rng.getrandbits(31)
-        self._ring: list[str] = []
-        self.ask_at = now + rng.random() * settings.interval_ms
-        self.refused = 0  # parts that were beyond what an origin may hold, or made no sense
+        self.own = Origin(start_id)
+        self.origins: dict[str, Origin] = {own_name: self.own}
+        self._start_ids: dict[str, int] = {own_name: start_id}
+        # by name; of two members with the same hash one is left out
+        self._hashes: dict[str, int] = {own_name: origin_hash(own_name, start_id)}
+        self._names: dict[int, str] = {origin_hash(own_name, start_id): own_name}
+        self._asked_at: dict[int, float] = {}  # by question number
+        self._last_question_number = rng.getrandbits(31)
+        self._digest_order: list[str] = []
+        self.next_question_at = now + rng.random() * settings.interval_ms
+        self.refused = 0  # deltas dropped for exceeding an origin's limits
 
     # --- Writing ------------------------------------------------------------------------------------------
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Set one of our own entries. FullTableError, ValueError where key or value are too long."""
-        if len(key.encode()) > LONGEST_KEY or len(value) > LONGEST_VALUE:
-            raise ValueError(f"{table}: a key of {LONGEST_KEY} bytes, a value of {LONGEST_VALUE} at the most")
+        """Set one of our own entries. Raises FullTableError, and ValueError if the key or value is too
+        long."""
+        if len(key.encode()) > MAX_KEY_BYTES or len(value) > MAX_VALUE_BYTES:
+            raise ValueError(
+                f"{table}: a key may have at most {MAX_KEY_BYTES} and a value at most {MAX_VALUE_BYTES} bytes"
+            )
         known = self.own.entries.get((table, key))
         if known is not None and known.value == value:
             return
         if known is None or known.value is None:
-            mine = sum(c.table == table and c.value is not None for c in self.own.entries.values())
-            if mine >= self.tables[table].most:
-                raise FullTableError(f"{table}: {mine} entries of this gateway are the most")
-        self._change(table, key, value)
+            count = sum(c.table == table and c.value is not None for c in self.own.entries.values())
+            if count >= self.tables[table].most:
+                raise FullTableError(f"{table}: {count} entries of this gateway are the maximum")
+        self._record_change(table, key, value)
 
     def drop(self, table: str, key: str) -> None:
-        """Take one of our own entries away."""
+        """Delete one of our own entries."""
         known = self.own.entries.get((table, key))
         if known is not None and known.value is not None:
-            self._change(table, key, None)
-            self._forget_traces()
+            self._record_change(table, key, None)
+            self._remove_old_tombstones()
 
-    def _change(self, table: str, key: str, value: bytes | None) -> None:
+    def _record_change(self, table: str, key: str, value: bytes | None) -> None:
         self.own.version += 1
         self.own.entries[table, key] = Change(self.own.version, table, key, value)
 
-    def _forget_traces(self) -> None:
-        """Of what is gone as many traces are kept as entries may be; who is behind them is told the whole."""
-        traces = [c for c in self.own.behind(0) if c.value is None]
-        for old in traces[: max(0, len(traces) - self.most())]:
+    def _remove_old_tombstones(self) -> None:
+        """Keep as many tombstones as there may be entries. A member whose version is below the removed ones
+        is sent a full delta."""
+        tombstones = [c for c in self.own.changes_after(0) if c.value is None]
+        for old in tombstones[: max(0, len(tombstones) - self.max_entries())]:
             del self.own.entries[old.table, old.key]
-            self.own.floor = max(self.own.floor, old.version)
+            self.own.floor_version = max(self.own.floor_version, old.version)
 
-    def most(self) -> int:
-        """Entries that one origin may have over all tables; as many traces of what is gone beside them."""
+    def max_entries(self) -> int:
+        """How many entries one origin may have over all tables. It may have as many tombstones besides."""
         return sum(table.most for table in self.tables.values())
 
     def bound_bytes(self, members: int) -> int:
-        """What this copy may take at the most: members x 2 x entries of one x bytes of one."""
-        return members * 2 * self.most() * (LONGEST_KEY + LONGEST_VALUE + 32)
+        """Upper bound of this copy's size in bytes: for each member, entries and tombstones of the largest
+        size with 32 bytes for their other fields."""
+        return members * 2 * self.max_entries() * (MAX_KEY_BYTES + MAX_VALUE_BYTES + 32)
 
     # --- Reading ------------------------------------------------------------------------------------------
 
     def read(self, table: str, now: float) -> Iterator[TableEntry]:
-        """All entries of a table that are new enough."""
-        bound = self.tables[table].bound_ms
+        """All entries of a table within its staleness bound."""
+        bound_ms = self.tables[table].bound_ms
         for name, origin in self.origins.items():
             age = self.age_ms(name, now)
-            if age > bound:
+            if age > bound_ms:
                 continue
             for change in origin.entries.values():
                 if change.table == table and change.value is not None:
                     yield TableEntry(change.key, name, change.value, age)
 
     def age_ms(self, name: str, now: float) -> float:
-        """For how long an origin may have changed something that is not known here; a bound."""
-        if name == self.me:
+        """Upper bound of the time for which changes of an origin can be missing here; infinite if unknown."""
+        if name == self.own_name:
             return 0.0
         origin = self.origins.get(name)
         return now - origin.fresh_at if origin is not None else float("inf")
 
-    # --- Who is there -------------------------------------------------------------------------------------
-
-    def members(self, lives: Mapping[str, int], now: float) -> None:
-        """Who is there, with the life of each. Another life begins with nothing; who is gone is forgotten
-        once all that it said is too old."""
-        now_there = {**lives, self.me: self.own.life}
-        if now_there != self._lives:
-            self._lives = now_there
-            self._names = {mark(name, life): name for name, life in sorted(now_there.items())}
-            self._marks = {name: number for number, name in self._names.items()}
-        longest = max((table.bound_ms for table in self.tables.values()), default=0.0)
+    # --- Membership ---------------------------------------------------------------------------------------
+
+    def members(self, start_ids: Mapping[str, int], now: float) -> None:
+        """Set the present members, with the start id of each. A restarted member begins with no entries;
+        those of a departed one are removed once they are older than every staleness bound."""
+        present = {**start_ids, self.own_name: self.own.start_id}
+        if present != self._start_ids:
+            self._start_ids = present
+            self._names = {origin_hash(name, start_id): name for name, start_id in sorted(present.items())}
+            self._hashes = {name: number for number, name in self._names.items()}
+        longest_ms = max((table.bound_ms for table in self.tables.values()), default=0.0)
         for name, origin in list(self.origins.items()):
-            life = self._lives.get(name)
-            if life is not None and life != origin.life or life is None and now - origin.fresh_at > longest:
+            start_id = self._start_ids.get(name)
+            if (
+                start_id is not None
+                and start_id != origin.start_id
+                or start_id is None
+                and now - origin.fresh_at > longest_ms
+            ):
                 del self.origins[name]
 
-    # --- Asking -------------------------------------------------------------------------------------------
+    # --- Questions and answers ----------------------------------------------------------------------------
 
     def ask(self, now: float) -> Question:
-        """The next question, to any member: origins in turn, those that we know nothing of too."""
-        self.ask_at = now + self.settings.interval_ms * (0.5 + self._rng.random())
-        self._numbers += 1
-        self._asked[self._numbers] = now
-        while len(self._asked) > OPEN:
-            del self._asked[next(iter(self._asked))]
+        """The next question, which any member can answer. Its digest covers the origins in turn, also those
+        of which nothing is known."""
+        self.next_question_at = now + self.settings.interval_ms * (0.5 + self._rng.random())
+        self._last_question_number += 1
+        self._asked_at[self._last_question_number] = now
+        while len(self._asked_at) > MAX_OPEN_QUESTIONS:
+            del self._asked_at[next(iter(self._asked_at))]
         names: list[str] = []
-        while len(names) < min(NAMED, len(self._marks) - 1):
-            if not self._ring:
-                self._ring = [name for name in self._marks if name != self.me]
-                self._rng.shuffle(self._ring)
-            name = self._ring.pop()
-            if name in self._marks and name not in names:
+        while len(names) < min(MAX_QUESTION_ORIGINS, len(self._hashes) - 1):
+            if not self._digest_order:
+                self._digest_order = [name for name in self._hashes if name != self.own_name]
+                self._rng.shuffle(self._digest_order)
+            name = self._digest_order.pop()
+            if name in self._hashes and name not in names:
                 names.append(name)
-        return Question(self._numbers, tuple(_fitting([self._known(name, now) for name in names])))
+        return Question(
+            self._last_question_number,
+            tuple(_values_that_fit([self._digest_entry(name, now) for name in names])),
+        )
 
-    def _known(self, name: str, now: float) -> Known:
-        origin = self.origins.get(name) or Origin(self._lives[name])
-        return Known(self._marks[name], origin.version, _told_ms(self.age_ms(name, now)))
+    def _digest_entry(self, name: str, now: float) -> DigestEntry:
+        origin = self.origins.get(name) or Origin(self._start_ids[name])
+        return DigestEntry(self._hashes[name], origin.version, _encoded_age_ms(self.age_ms(name, now)))
 
     def answer(self, question: Question, now: float) -> list[Answer]:
-        """What we have newer: changes, our own first, then how fresh the rest is."""
-        parts, same = [], []
-        for known in question.known:
-            name = self._names.get(known.mark, "")
+        """Everything newer than the question's digest: deltas, our own first and then the freshest, and then
+        the ages of unchanged origins."""
+        deltas, unchanged = [], []
+        for theirs in question.digest:
+            name = self._names.get(theirs.origin_hash, "")
             origin = self.origins.get(name)
             if origin is None:
                 continue
             age = self.age_ms(name, now)
-            if origin.version > known.version:
-                parts.append((name != self.me, age, self._part(known, origin, age)))
-            elif origin.version == known.version and self._newer(age, known.age_ms):
-                same.append(Known(known.mark, origin.version, _told_ms(age)))
-        parts.sort(key=lambda part: part[:2])
-        pages = list(_paged(question.number, [piece for *_, part in parts for piece in _pieces(part)]))
-        left = list(_fitting(same, size(pages[-1]) if pages else 16))
-        if left:
+            if origin.version > theirs.version:
+                deltas.append((name != self.own_name, age, self._delta(theirs, origin, age)))
+            elif origin.version == theirs.version and self._is_fresher(age, theirs.age_ms):
+                unchanged.append(DigestEntry(theirs.origin_hash, origin.version, _encoded_age_ms(age)))
+        deltas.sort(key=lambda delta: delta[:2])
+        pages = list(_paginate(question.number, [piece for *_, delta in deltas for piece in _split(delta)]))
+        fitting = list(_values_that_fit(unchanged, encoded_bytes(pages[-1]) if pages else 16))
+        if fitting:
             last = pages.pop() if pages else Answer(question.number, ())
-            pages.append(Answer(last.number, last.parts, tuple(left)))
+            pages.append(Answer(last.number, last.deltas, tuple(fitting)))
         return pages
 
-    def _newer(self, age: float, theirs_ms: int) -> bool:
-        """Whether an age is worth telling."""
-        return age < float("inf") if theirs_ms < 0 else age + self.settings.interval_ms < theirs_ms
-
-    def _part(self, known: Known, origin: Origin, age: float) -> Part:
-        whole = known.version < origin.floor
-        after = 0 if whole else known.version
-        changes = tuple(origin.behind(after))
-        return Part(known.mark, after, origin.version, _told_ms(age), changes, whole, origin.floor)
+    def _is_fresher(self, age: float, their_age_ms: int) -> bool:
+        """Whether our age of an origin is lower than theirs by more than the interval between questions."""
+        return age < float("inf") if their_age_ms < 0 else age + self.settings.interval_ms < their_age_ms
+
+    def _delta(self, theirs: DigestEntry, origin: Origin, age: float) -> Delta:
+        is_full = theirs.version < origin.floor_version
+        base_version = 0 if is_full else theirs.version
+        changes = tuple(origin.changes_after(base_version))
+        return Delta(
+            theirs.origin_hash,
+            base_version,
+            origin.version,
+            _encoded_age_ms(age),
+            changes,
+            is_full,
+            origin.floor_version,
+        )
 
     def take(self, answer: Answer, now: float) -> None:
-        """Take in a page. It counts from when its question was asked: it cannot have been given before."""
-        asked_at = self._asked.get(answer.number)
+        """Merge one page of an answer. Its ages count from the time of the question, as the answer cannot
+        have been given earlier."""
+        asked_at = self._asked_at.get(answer.number)
         if asked_at is None:
             return
-        for part in answer.parts:
-            name = self._names.get(part.mark, self.me)
-            if name != self.me:
-                self._take_part(name, part, asked_at)
-        for known in answer.same:
-            name = self._names.get(known.mark, self.me)
+        for delta in answer.deltas:
+            name = self._names.get(delta.origin_hash, self.own_name)
+            if name != self.own_name:
+                self._merge_delta(name, delta, asked_at)
+        for known in answer.unchanged:
+            name = self._names.get(known.origin_hash, self.own_name)
             if name not in self.origins and not known.version:
-                self.origins[name] = Origin(self._lives[name])  # it has nothing yet, which is known so
+                # version 0: the origin is known to have no entries yet
+                self.origins[name] = Origin(self._start_ids[name])
             if name in self.origins and self.origins[name].version >= known.version:
-                self._certain(self.origins[name], known.age_ms, asked_at)
+                self._update_freshness(self.origins[name], known.age_ms, asked_at)
 
-    def _certain(self, origin: Origin, age_ms: int, asked_at: float) -> None:
+    def _update_freshness(self, origin: Origin, age_ms: int, asked_at: float) -> None:
         if age_ms >= 0 and origin is not self.own:
-            certain = asked_at - age_ms * (1 + self.settings.drift)
-            origin.fresh_at = max(origin.fresh_at, certain)
-
-    def _take_part(self, name: str, part: Part, asked_at: float) -> None:
-        origin = self.origins.get(name) or Origin(self._lives[name])
-        if not part.whole and part.after > origin.version:
-            return  # what lies between did not come
-        if part.whole and part.version > origin.version:
+            fresh_at = asked_at - age_ms * (1 + self.settings.drift)
+            origin.fresh_at = max(origin.fresh_at, fresh_at)
+
+    def _merge_delta(self, name: str, delta: Delta, asked_at: float) -> None:
+        origin = self.origins.get(name) or Origin(self._start_ids[name])
+        if not delta.is_full and delta.base_version > origin.version:
+            return  # the changes between were not received
+        if delta.is_full and delta.version > origin.version:
             origin.entries, origin.version, origin.fresh_at = {}, 0, NEVER
         entries = dict(origin.entries)
-        for change in part.changes:
-            if change.table in self.tables and origin.version < change.version <= part.version:
+        for change in delta.changes:
+            if change.table in self.tables and origin.version < change.version <= delta.version:
                 entries[change.table, change.key] = change
-        if len(entries) > 2 * self.most() or not all(map(_sane, part.changes)):
+        if len(entries) > 2 * self.max_entries() or not all(map(_is_within_limits, delta.changes)):
             self.refused += 1
             return
-        floor = max(origin.floor, part.floor)
-        origin.entries = {k: c for k, c in entries.items() if c.value is not None or c.version > floor}
-        origin.floor, origin.version = floor, max(origin.version, part.version)
-        self._certain(origin, part.age_ms, asked_at)
+        floor_version = max(origin.floor_version, delta.floor_version)
+        origin.entries = {
+            k: c for k, c in entries.items() if c.value is not None or c.version > floor_version
+        }
+        origin.floor_version, origin.version = floor_version, max(origin.version, delta.version)
+        self._update_freshness(origin, delta.age_ms, asked_at)
         self.origins[name] = origin
 
 
-def mark(name: str, life: int) -> int:
-    """A member's life in 32 bits. Danger: two may have the same, of 1,000 once in 8,600 fleets; then one of
-    them is not there in the tables, which only makes others more careful."""
-    return xxhash.xxh32_intdigest(f"{name}/{life}".encode())
+def origin_hash(name: str, start_id: int) -> int:
+    """A 32-bit hash that stands for one process of a member in messages. Among 1,000 members two have the
+    same hash in one of 8,600 fleets. Then one of the two is missing in the tables, which only makes the
+    others more careful."""
+    return xxhash.xxh32_intdigest(f"{name}/{start_id}".encode())
 
 
-def _told_ms(age: float) -> int:
-    """An age as it is told, never less than it is; -1: none is known."""
+def _encoded_age_ms(age: float) -> int:
+    """An age in whole milliseconds, rounded up so that it is never too low; -1 if it is unknown."""
     return -1 if age == float("inf") else int(age) + 1
 
 
-def _paged(number: int, pieces: Iterable[Part]) -> Iterator[Answer]:
-    page, room, pages = [], ROOM, 1
+def _paginate(number: int, pieces: Iterable[Delta]) -> Iterator[Answer]:
+    page, free_bytes, pages = [], MAX_MESSAGE_BYTES, 1
     for piece in pieces:
-        if size(piece) > room:
-            if pages == PAGES:
+        if encoded_bytes(piece) > free_bytes:
+            if pages == MAX_ANSWER_PAGES:
                 break
             yield Answer(number, tuple(page))
-            page, room, pages = [], ROOM, pages + 1
+            page, free_bytes, pages = [], MAX_MESSAGE_BYTES, pages + 1
         page.append(piece)
-        room -= size(piece)
+        free_bytes -= encoded_bytes(piece)
     if page:
         yield Answer(number, tuple(page))
 
 
-def _pieces(part: Part) -> Iterator[Part]:
-    """A part as it is, or in pieces that each fit into a page; only the last one is all."""
-    if size(part) <= ROOM:
-        yield part
+def _split(delta: Delta) -> Iterator[Delta]:
+    """A delta in pieces that each fit into a page. Only the last piece has the delta's version and age."""
+    if encoded_bytes(delta) <= MAX_MESSAGE_BYTES:
+        yield delta
         return
-    left = list(part.changes)
-    after, whole = part.after, part.whole
-    while left:
-        piece = list(_fitting(left, 64))
-        left = left[len(piece) :]
-        last = not left
-        version, age_ms = (part.version, part.age_ms) if last else (piece[-1].version, -1)
-        yield Part(part.mark, after, version, age_ms, tuple(piece), whole, part.floor)
-        after, whole = piece[-1].version, False
-
-
-def _fitting(values: Iterable, beside: int = 16) -> Iterator:
-    """As many of them as a message has room for, beside so many bytes."""
-    room = ROOM - beside
+    remaining = list(delta.changes)
+    base_version, is_full = delta.base_version, delta.is_full
+    while remaining:
+        piece = list(_values_that_fit(remaining, 64))
+        remaining = remaining[len(piece) :]
+        is_last = not remaining
+        version, age_ms = (delta.version, delta.age_ms) if is_last else (piece[-1].version, -1)
+        yield Delta(
+            delta.origin_hash, base_version, version, age_ms, tuple(piece), is_full, delta.floor_version
+        )
+        base_version, is_full = piece[-1].version, False
+
+
+def _values_that_fit(values: Iterable, reserved_bytes: int = 16) -> Iterator:
+    """The first values, as many as fit into a message beside `reserved_bytes`."""
+    free_bytes = MAX_MESSAGE_BYTES - reserved_bytes
     for value in values:
-        room -= size(value)
-        if room < 0:
+        free_bytes -= encoded_bytes(value)
+        if free_bytes < 0:
             return
         yield value
 
 
-def _sane(change: Change) -> bool:
-    return len(change.key) <= LONGEST_KEY and (change.value is None or len(change.value) <= LONGEST_VALUE)
+def _is_within_limits(change: Change) -> bool:
+    return len(change.key) <= MAX_KEY_BYTES and (change.value is None or len(change.value) <= MAX_VALUE_BYTES)
 
 
 Message = Question | Answer
 __all__ = ["Answer", "Question", "Settings", "Table", "Tables", "TableEntry", "encode", "parse"]
-_message = msgspec.msgpack.Decoder(Message)
+_decoder = msgspec.msgpack.Decoder(Message)
 
 
 def parse(data: bytes) -> Message:
-    """A message from the wire; ValueError where it is none."""
+    """Decode a message; raises ValueError if it is invalid."""
     try:
-        return _message.decode(data)
+        return _decoder.decode(data)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
