--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: one event, told as text or as a JSON line; bounded in lines a second."""
+"""Logging: an event as text and as a JSON line, and the limit on lines per second."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         return "s-1 full"
 
 
-def told(
+def logged_lines(
     style: str, lines_per_s: int | None, events: list[Event], monkeypatch: pytest.MonkeyPatch
 ) -> list[str]:
     stream = io.StringIO()
@@ -52,10 +52,10 @@
 )
 
 
-def test_one_event_is_a_line_for_people_and_a_line_for_programs(monkeypatch: pytest.MonkeyPatch) -> None:
-    (text,) = told(TEXT, None, [EVENT], monkeypatch)
+def test_event_is_written_as_text_and_as_json(monkeypatch: pytest.MonkeyPatch) -> None:
+    (text,) = logged_lines(TEXT, None, [EVENT], monkeypatch)
     assert text.endswith("n0 INFO r-1: 503 after 12 ms; attempts: s-1 full; not sent")
-    (line,) = told(JSON, None, [EVENT], monkeypatch)
+    (line,) = logged_lines(JSON, None, [EVENT], monkeypatch)
     raw = json.loads(line)
     assert raw["gateway"] == "n0" and raw["event"] == "request" and raw["level"] == "info"
     assert raw["request"] == "r-1" and raw["took_ms"] == 12.345 and text.endswith(raw["message"])
@@ -63,22 +63,20 @@
 
 
 @pytest.mark.parametrize("style", [TEXT, JSON])
-def test_lines_beyond_the_limit_are_counted_in_the_same_form(
-    style: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    lines = told(style, 3, [EVENT] * 8 + [Event("next_second", "later")], monkeypatch)
+def test_dropped_lines_are_counted_in_the_same_format(style: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    lines = logged_lines(style, 3, [EVENT] * 8 + [Event("next_second", "later")], monkeypatch)
     assert len(lines) == 5 and "5 lines left out" in lines[3] and "later" in lines[4]
     assert style == TEXT or json.loads(lines[3])["count"] == 5
 
 
-def test_a_gateway_logs_json_lines_with_request_and_gateway_where_it_is_told_to(tmp_path: Path) -> None:
+def test_gateway_logs_json_lines_if_configured(tmp_path: Path) -> None:
     async def scenario() -> None:
-        class Told(Rig):
+        class JsonLogRig(Rig):
             async def spawn(self) -> None:
                 self.path.write_text(json.dumps({**self.config, "log": "json"}))
                 await super().spawn()
 
-        async with Told(tmp_path, lambda seen: reply(b"", 500)) as rig:
+        async with JsonLogRig(tmp_path, lambda seen: reply(b"", 500)) as rig:
             assert await rig.status(message("pay")) == 502
             raw = json.loads(await rig.logged('"event": "request"'))
             assert raw["request"] == "9b1f03aa5c7e2d41" and raw["gateway"] == "n0" and raw["class"] == "pay"
@@ -88,7 +86,7 @@
     on_loop(scenario)
 
 
-def test_text_is_what_a_start_pays_for_and_a_wrong_form_is_refused(tmp_path: Path) -> None:
+def test_json_formatter_is_not_imported_by_default_and_invalid_log_format_is_refused(tmp_path: Path) -> None:
     code = "import sys, yewstage.__main__; sys.exit('pythonjsonlogger' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=False).returncode == 0
     path = tmp_path / "config.json"
--- a/yewstage/checker.py
+++ b/yewstage/checker.py
@@ -1,6 +1,7 @@
-"""The checker: asks the listed servers whether they are well, and writes what it finds into the list.
+"""The checker: actively checks the health of the listed servers and writes its verdicts into the list.
 
-Several may run; the one that holds the duty acts. `python -m yewstage.checker --config FILE`.
+Several checkers may run; only the one that holds the lease probes and writes. Start with
+`python -m yewstage.checker --config FILE`.
 """
 
 from __future__ import annotations
@@ -28,27 +29,27 @@
 
 log = logging.getLogger(__name__)
 
-DUTY = "checker"
-IDLE_S = 0.2  # how often one that does not hold the duty, or knows no server, looks again
+LEASE_NAME = "checker"
+IDLE_INTERVAL_S = 0.2  # between two rounds while the lease is not held or no server is known
 
 
 @dataclass(slots=True)
-class Finding:
-    """What probes of one server have come to."""
+class ServerHealth:
+    """Results of the probes of one server."""
 
-    fails: int = 0  # in a row
-    passes: int = 0
-    told: bool | None = None  # the verdict that the list holds by our word
+    consecutive_failures: int = 0
+    consecutive_successes: int = 0
+    written_verdict: bool | None = None  # the last verdict written by this checker
 
 
 class _Probe(ReplyProtocol):
-    """One connection, one question, one answer."""
+    """One connection that sends one health check. Its future gets the status of the answer, or 0."""
 
-    def __init__(self, over: asyncio.Future[int]) -> None:
+    def __init__(self, result: asyncio.Future[int]) -> None:
         super().__init__()
-        self._over = over
+        self._result = result
 
-    def ask(self, host: Address) -> None:
+    def send_request(self, host: Address) -> None:
         self.write(
             b"GET /health HTTP/1.1\r\nHost: %b:%d\r\nConnection: close\r\n\r\n" % (host[0].encode(), host[1])
         )
@@ -60,40 +61,40 @@
         self._end(0)
 
     def _end(self, status: int) -> None:
-        if not self._over.done():
-            self._over.set_result(status)
+        if not self._result.done():
+            self._result.set_result(status)
 
 
 async def probe(target: Address, timeout_s: float) -> int:
-    """The status that a server's `/health` answers; 0: none in time."""
+    """The status with which a server answers `GET /health`; 0 if it does not answer within the time-out."""
     loop = asyncio.get_running_loop()
-    over: asyncio.Future[int] = loop.create_future()
+    result: asyncio.Future[int] = loop.create_future()
     connections: list[_Probe] = []
 
-    def dialled(connection: _Probe | None, cause: str) -> None:
+    def on_connect(connection: _Probe | None, cause: str) -> None:
         if connection is None:
-            if not over.done():
-                over.set_result(0)
-        elif over.done():
+            if not result.done():
+                result.set_result(0)
+        elif result.done():
             connection.abort()
         else:
             connections.append(connection)
-            connection.ask(target)
+            connection.send_request(target)
 
-    dial = ConnectAttempt(loop, lambda: _Probe(over), target, timeout_s, DescriptorUse(), dialled)
+    attempt = ConnectAttempt(loop, lambda: _Probe(result), target, timeout_s, DescriptorUse(), on_connect)
     try:
         async with asyncio.timeout(timeout_s):
-            return await over
+            return await result
     except TimeoutError:
         return 0
     finally:
-        dial.cancel()
+        attempt.cancel()
         for connection in connections:
             connection.abort()
 
 
 class Checker:
-    """Probes at a paced rate while it holds the duty, and writes under its token."""
+    """Probes servers at a limited rate and writes verdicts, under the fencing token of its lease."""
 
     def __init__(
         self,
@@ -101,98 +102,106 @@
         watch: ListWatch,
         duty: LeaseHolder,
         client: ServiceClient,
-        ask: Callable[[Address, float], Awaitable[int]] = probe,
+        probe_server: Callable[[Address, float], Awaitable[int]] = probe,
         rng: random.Random | None = None,
     ) -> None:
-        self._config, self.watch, self.duty, self._client, self._ask = config, watch, duty, client, ask
+        self._config, self.watch, self.duty, self._client, self._probe_server = (
+            config,
+            watch,
+            duty,
+            client,
+            probe_server,
+        )
         self._rng = rng or random.Random()
-        self._findings: dict[str, Finding] = {}
-        self._figures = MetricsPage(self._collect)
-        self.probes, self.written, self.refused = 0, 0, 0
+        self._health: dict[str, ServerHealth] = {}  # by server name
+        self._metrics_page = MetricsPage(self._collect)
+        self.probes, self.written, self.refused = 0, 0, 0  # probes made; verdicts written and refused
 
     async def run(self) -> None:
-        """Check for as long as the process lives."""
+        """Run rounds until cancelled."""
         while True:
             await self.round()
 
     async def round(self) -> None:
-        """Every listed server once, in random order."""
-        self._findings = {name: found for name, found in self._findings.items() if name in self.watch.servers}
+        """Probe every listed server once, in random order. Ends early if the lease is lost."""
+        self._health = {name: health for name, health in self._health.items() if name in self.watch.servers}
         names = list(self.watch.servers)
         self._rng.shuffle(names)
         for name in names:
             if not self.duty.is_held():
-                self._findings.clear()  # what the next holder writes meanwhile is not known here
+                self._health.clear()  # the next holder may write other verdicts, which are not known here
                 break
             if name in self.watch.addresses:
                 await self._check(name)
                 await asyncio.sleep(1 / self._config.rate_per_s)
         if not names or not self.duty.is_held():
-            await asyncio.sleep(IDLE_S)
+            await asyncio.sleep(IDLE_INTERVAL_S)
 
     async def _check(self, name: str) -> None:
         self.probes += 1
-        status = await self._ask(self.watch.addresses[name], self._config.timeout_ms / 1000)
+        status = await self._probe_server(self.watch.addresses[name], self._config.timeout_ms / 1000)
         if status == 404:
-            return  # it answers no probes: nothing is known of it
-        found = self._findings.setdefault(name, Finding())
+            return  # the server has no health check: nothing is known of its health
+        health = self._health.setdefault(name, ServerHealth())
         well = status == 200
-        found.fails, found.passes = (0, found.passes + 1) if well else (found.fails + 1, 0)
-        if found.passes >= self._config.passes and found.told is not True:
-            await self._write(name, found, True)
-        elif found.fails >= self._config.fails and found.told is not False:
-            await self._write(name, found, False)
+        health.consecutive_failures, health.consecutive_successes = (
+            (0, health.consecutive_successes + 1) if well else (health.consecutive_failures + 1, 0)
+        )
+        if health.consecutive_successes >= self._config.passes and health.written_verdict is not True:
+            await self._write_verdict(name, health, True)
+        elif health.consecutive_failures >= self._config.fails and health.written_verdict is not False:
+            await self._write_verdict(name, health, False)
 
-    async def _write(self, name: str, found: Finding, well: bool) -> None:
+    async def _write_verdict(self, name: str, health: ServerHealth, well: bool) -> None:
         if not self.duty.is_held():
-            return  # it ended while we asked
+            return  # the lease ended during the probe
         try:
-            told = await self._client.call(
+            reply = await self._client.call(
                 "POST", f"/v1/endpoints/{name}/verdict", {"well": well, **self.duty.fence()}
             )
         except NoAnswerError as error:
             log.warning(
                 Event(
                     "verdict_lost",
-                    "no verdict on {server} could be written: {error}",
+                    "verdict on {server} could not be written: {error}",
                     server=name,
                     error=str(error),
                 )
             )
             return
-        if told.status == 200:
-            found.told = well
+        if reply.status == 200:
+            health.written_verdict = well
             self.written += 1
             log.info(
                 Event("verdict", "{server} is {verdict}", server=name, verdict="well" if well else "not well")
             )
-        elif told.status in (404, 409):
+        elif reply.status in (404, 409):
             self.refused += 1
             log.warning(
                 Event(
                     "verdict_refused",
                     "verdict on {server} refused: {error}",
                     server=name,
-                    error=told.body.get("error"),
+                    error=reply.body.get("error"),
                 )
             )
 
     def ready(self) -> bool:
-        """Whether the list is known; holding the duty is no condition."""
+        """Whether the list is known. A checker is ready without the lease, too."""
         return bool(self.watch.servers) or not self.watch.stale_reason
 
     def metrics(self) -> str:
-        """What operators read."""
-        return self._figures.text()
+        """The metrics page, in the Prometheus text format."""
+        return self._metrics_page.text()
 
     def _collect(self) -> list[Metric]:
-        unwell = sum(found.told is False for found in self._findings.values())
+        unhealthy = sum(health.written_verdict is False for health in self._health.values())
         return [
             gauge("checker_holds_duty", "whether it acts", self.duty.is_held()),
             gauge("checker_token", "of the duty as it held it last", self.duty.token),
             count("checker_grants", "of the duty", self.duty.grants),
             gauge("checker_servers", "in the list", len(self.watch.servers)),
-            gauge("checker_unwell", "by our word", unwell),
+            gauge("checker_unwell", "by our word", unhealthy),
             gauge("checker_list_age_seconds", "since the list was heard of", self.watch.age_s()),
             count("checker_probes", "of servers", self.probes),
             counts(
@@ -205,38 +214,39 @@
 
 
 async def serve(config: CheckerConfig) -> None:
-    """Run until SIGTERM or SIGINT, then leave the duty to the next."""
+    """Run until SIGTERM or SIGINT, then release the lease."""
     loop = asyncio.get_running_loop()
-    holder = f"{config.name}.{random.SystemRandom().getrandbits(48):012x}"  # each life is a holder of its own
-    # a watch holds its connection, renewals cannot wait
+    holder = f"{config.name}.{random.SystemRandom().getrandbits(48):012x}"  # unique to this process
+    # One client each: a watch occupies its connection, and renewals must not wait for other calls.
     clients = [ServiceClient(config.registry) for _ in range(3)]
     watch = ListWatch(clients[0], time.monotonic)
-    duty = LeaseHolder(clients[1], DUTY, holder, config.ttl_ms, config.drift, time.monotonic)
-    work = Checker(config, watch, duty, clients[2])
-    ops = Ops(loop, work.ready, work.metrics)
-    over = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    lease_holder = LeaseHolder(clients[1], LEASE_NAME, holder, config.ttl_ms, config.drift, time.monotonic)
+    checker_loop = Checker(config, watch, lease_holder, clients[2])
+    ops = Ops(loop, checker_loop.ready, checker_loop.metrics)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
-    tasks = [loop.create_task(part.run()) for part in (watch, duty, work)]
-    ending = loop.create_task(over.wait())
-    done, _ = await asyncio.wait([*tasks, ending], return_when=asyncio.FIRST_COMPLETED)
-    for task in (ending, *tasks):
+    tasks = [loop.create_task(part.run()) for part in (watch, lease_holder, checker_loop)]
+    stop_task = loop.create_task(stop_requested.wait())
+    done, _ = await asyncio.wait([*tasks, stop_task], return_when=asyncio.FIRST_COMPLETED)
+    for task in (stop_task, *tasks):
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
     ops.stop()
     for client in clients:
         client.close()
     for task in done:
-        if task is not ending:
-            task.result()  # a part that ended by itself failed: say how
+        if task is not stop_task:
+            task.result()  # a task that ended by itself has failed: raise its exception
 
 
 def main() -> int:
-    """0 after SIGTERM; 2 with one plain line if the configuration or the address is no good."""
+    """Exit status 0 after SIGTERM or SIGINT; 2, with one line on stderr, if the configuration or the
+    address cannot be used."""
     parser = argparse.ArgumentParser(prog="python -m yewstage.checker", description=__doc__.splitlines()[0])
     parser.add_argument("--config", required=True, metavar="FILE")
-    parser.add_argument("--log-format", choices=FORMATS, help="goes before the file's `log`")
+    parser.add_argument("--log-format", choices=FORMATS, help="overrides `log` in the file")
     options = parser.parse_args()
     try:
         config = checker(read(options.config))
--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -254,7 +254,8 @@
 
     def _fail_probe(self, probe: _Probe, now: float) -> None:
         """Suspect the target of a probe without an answer. Each ping request that brought not even a nack
-        raises the local health multiplier, as the fault may be our own."""
+        raises the local health multiplier by one, as the fault may be our own; so does a probe for which no
+        other member could be asked."""
         self._probe = None
         missing_nacks = probe.ping_requests - probe.nacks
         self._adjust_health(missing_nacks if probe.ping_requests else 1)
--- a/yewstage/metrics.py
+++ b/yewstage/metrics.py
@@ -1,7 +1,7 @@
-"""Figures of the list service and the checker in the form that Prometheus reads, by its own library.
+"""Metrics of the list service, the holding service and the checker, by the Prometheus client library.
 
-The gateway's figures do without: the library takes a fifth of a gateway's start and memory more, two hundred
-times over.
+The gateway does not use it: the library adds a fifth to a gateway's start-up time and memory, and a fleet has
+two hundred gateways.
 """
 
 from __future__ import annotations
@@ -12,57 +12,57 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-By = Mapping[str, float]  # by the value of one label
+LabelledValues = Mapping[str, float]  # by the value of one label
 
 
 def gauge(name: str, meaning: str, value: float) -> Metric:
-    """What can rise and fall."""
+    """A metric that can rise and fall."""
     return GaugeMetricFamily(name, meaning, value=value)
 
 
-def gauges(name: str, meaning: str, label: str, values: By) -> Metric:
-    """The same, by a label."""
+def gauges(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
+    """A gauge with one sample for each value of a label."""
     return _labelled(GaugeMetricFamily(name, meaning, labels=[label]), values)
 
 
 def count(name: str, meaning: str, value: float) -> Metric:
-    """What only rises while the process lives; `_total` comes with the form."""
+    """A metric that only rises while the process lives. `_total` is appended to its name."""
     return CounterMetricFamily(name, meaning, value=value)
 
 
-def counts(name: str, meaning: str, label: str, values: By) -> Metric:
-    """The same, by a label."""
+def counts(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
+    """A counter with one sample for each value of a label. `_total` is appended to its name."""
     return _labelled(CounterMetricFamily(name, meaning, labels=[label]), values)
 
 
 class MetricsPage:
-    """What a program tells of itself when asked, and what the system tells of its process."""
+    """The metrics page of a program: its own metrics and those of its process (CPU time, memory)."""
 
     def __init__(self, collect: Callable[[], Iterable[Metric]]) -> None:
         self._registry = CollectorRegistry()
-        self._registry.register(_Asked(collect))
+        self._registry.register(_OnDemandCollector(collect))
         ProcessCollector(registry=self._registry)
 
     def text(self) -> str:
-        """All of it, in the text form."""
+        """The page in the Prometheus text format."""
         return generate_latest(self._registry).decode()
 
 
-class _Asked(Collector):
-    """Collects at the moment of the question: nothing is kept twice."""
+class _OnDemandCollector(Collector):
+    """Calls `collect` for each request of the page, so that no second copy of the values is kept."""
 
     def __init__(self, collect: Callable[[], Iterable[Metric]]) -> None:
         self._collect = collect
 
     def describe(self) -> list[Metric]:
-        """Nothing is known before it is asked for."""
+        """No metrics: otherwise the registry would call `collect` when the collector is registered."""
         return []
 
     def collect(self) -> Iterable[Metric]:
         return self._collect()
 
 
-def _labelled(family: CounterMetricFamily | GaugeMetricFamily, values: By) -> Metric:
+def _labelled(family: CounterMetricFamily | GaugeMetricFamily, values: LabelledValues) -> Metric:
     for label, value in values.items():
         family.add_metric([label], value)
     return family
