--- a/yewstage/__init__.py
+++ b/yewstage/__init__.py
@@ -1,4 +1,4 @@
-"""yewstage: the decisions of a front door that meters many customers' use of one back end."""
+"""yewstage: an API gateway that meters many customers' use of one back end. `Gateway` makes its decisions."""
 
 from yewstage.policy import Gateway
 
--- a/yewstage/__main__.py
+++ b/yewstage/__main__.py
@@ -1,4 +1,4 @@
-"""One gateway: start-up, signals, exit."""
+"""Entry point of a gateway process: start-up, signals, reconfiguration, shutdown and exit status."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPT_S = 0.5  # after SIGTERM, connections still come for 0.4 s
-LONGEST_S = 3.0  # SIGKILL comes 0.7 s after the longest deadline, or this if that is less, at the soonest
-LAST_S = 0.4
-CHECK_S = 0.02
-READY_S = 2.0  # how long clients of a held socket wait for the first list
-SUCCESSOR_S = 0.1  # spacing of the look for a next process
-LINES_PER_S = 20
-GC_ALLOCATIONS = 20_000
+ACCEPT_AFTER_SIGTERM_S = 0.5  # new connections still arrive for 0.4 s after SIGTERM
+# SIGKILL follows SIGTERM no earlier than min(longest deadline, MAX_DRAIN_DEADLINE_S) + 0.7 s. Requests still
+# open DRAIN_MARGIN_S after that minimum are failed, so that they are answered before SIGKILL.
+MAX_DRAIN_DEADLINE_S = 3.0
+DRAIN_MARGIN_S = 0.4
+CHECK_INTERVAL_S = 0.02  # between checks of readiness, or of open connections while draining
+READY_WAIT_S = 2.0  # longest wait for the first server list before an inherited listening socket is served
+SUCCESSOR_CHECK_INTERVAL_S = 0.1
+MAX_LOG_LINES_PER_S = 20
+GC_THRESHOLD_ALLOCATIONS = 20_000
 
 
-class Succession:
-    """What this process shares with one before or after it on the same listening socket."""
+class HandoverCoordinator:
+    """Takes over from the previous process on the same listening socket, and hands over to the next one."""
 
     def __init__(
         self,
@@ -52,29 +54,30 @@
         self._peers = peers
 
     def start(self) -> None:
-        """Begin to accept, once a process before us has left that to us."""
-        if self._handover is not None and self._handover.start(self._took, self._alone):
-            log.info(Event("waiting", "another process serves: waiting for it to hand over"))
+        """Begin to accept connections; if another process still serves, once it has handed over."""
+        if self._handover is not None and self._handover.start(self._on_handover, self._on_predecessor_exit):
+            log.info(Event("waiting", "another process is serving; waiting for it to hand over"))
             self._core.share_descriptors(True)
         else:
-            self._join()
-            self._accept(self._loop.time() + READY_S if self._handover is not None else 0.0)
-            self._watch()
-
-    def _accept(self, at_latest: float) -> None:
-        """Accept once requests can be served: on a held socket they wait meanwhile, and are not refused."""
-        if self._core.ready() or self._loop.time() >= at_latest:
+            self._start_peers()
+            self._accept_when_ready(self._loop.time() + READY_WAIT_S if self._handover is not None else 0.0)
+            self._check_successor()
+
+    def _accept_when_ready(self, deadline: float) -> None:
+        """Accept connections once requests can be served, or at the deadline. Until then connections to an
+        inherited socket wait in its backlog and are not refused."""
+        if self._core.ready() or self._loop.time() >= deadline:
             self._server.accept()
         elif not self._core.draining:
-            self._loop.call_later(CHECK_S, self._accept, at_latest)
+            self._loop.call_later(CHECK_INTERVAL_S, self._accept_when_ready, deadline)
 
-    def _join(self) -> None:
-        """One process at a time goes by our name among the others."""
+    def _start_peers(self) -> None:
+        """Join the members. Only one process at a time may use this gateway's name among them."""
         if self._peers is not None:
             self._peers.start()
 
     def hand_over(self) -> bool:
-        """Leave all to the next process; False if there is none."""
+        """Leave the members and hand over to the next process; False if there is none."""
         if self._peers is not None:
             self._peers.leave()
         if self._handover is None or not self._handover.has_successor():
@@ -83,74 +86,81 @@
         return True
 
     def stop(self) -> None:
-        """Look for nothing more."""
+        """Stop looking for other processes."""
         if self._handover is not None:
             self._handover.stop()
 
-    def _took(self, state: dict[str, object] | None) -> None:
+    def _on_handover(self, state: dict[str, object] | None) -> None:
         how = "with no word" if state is None else "with what was handed over"
         log.info(Event("taking_over", "taking over, {how}", how=how))
         self._core.take_over(state)
-        self._join()
-        self._accept(self._loop.time() + READY_S)
+        self._start_peers()
+        self._accept_when_ready(self._loop.time() + READY_WAIT_S)
 
-    def _alone(self) -> None:
+    def _on_predecessor_exit(self) -> None:
         self._core.predecessor_exited()
-        self._watch()
+        self._check_successor()
 
-    def _watch(self) -> None:
-        """Share the descriptors while a next process is there, also if it never comes to serve."""
+    def _check_successor(self) -> None:
+        """Share the descriptors with the next process as long as it is present, even if it never serves."""
         if self._handover is not None and not self._core.draining:
             if self._handover.has_successor() != self._core.shared:
                 self._core.share_descriptors(not self._core.shared)
-            self._loop.call_later(SUCCESSOR_S, self._watch)
+            self._loop.call_later(SUCCESSOR_CHECK_INTERVAL_S, self._check_successor)
 
 
 class Shutdown:
-    """SIGTERM: accept a little longer or leave that to a next process, finish what was taken, then end."""
+    """Shutdown on SIGTERM or SIGINT: hand over to the next process or accept a little longer, finish the open
+    requests, then end."""
 
     def __init__(
-        self, core: Core, server: ClientListener, loop: asyncio.AbstractEventLoop, succession: Succession
+        self,
+        core: Core,
+        server: ClientListener,
+        loop: asyncio.AbstractEventLoop,
+        coordinator: HandoverCoordinator,
     ) -> None:
-        self._core, self._server, self._loop, self._succession = core, server, loop, succession
+        self._core, self._server, self._loop, self._coordinator = core, server, loop, coordinator
         self.done = asyncio.Event()
 
     def begin(self) -> None:
-        """The signal."""
+        """Start to drain; called on the signal."""
         if self._core.draining:
             return
         log.info(Event("draining", "draining"))
         self._core.draining = True
-        longest = max(c.deadline_ms for c in self._core.settings.classes) / 1000
-        self._loop.call_later(min(longest, LONGEST_S) + LAST_S, self._end)
-        if self._succession.hand_over():
+        longest_deadline_s = max(c.deadline_ms for c in self._core.settings.classes) / 1000
+        self._loop.call_later(
+            min(longest_deadline_s, MAX_DRAIN_DEADLINE_S) + DRAIN_MARGIN_S, self._fail_open_requests
+        )
+        if self._coordinator.hand_over():
             self._server.stop_accepting(succeeded=True)
-            self._check()
+            self._check_done()
         else:
-            self._loop.call_later(ACCEPT_S, self._stop_accepting)
+            self._loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._stop_accepting)
 
     def _stop_accepting(self) -> None:
         self._server.stop_accepting()
-        self._check()
+        self._check_done()
 
-    def _check(self) -> None:
-        # An answer closes its connection while we drain, so with the last connection all is answered.
+    def _check_done(self) -> None:
+        # While draining, an answer closes its connection; without connections everything is answered.
         if self._server.close_idle():
             self.done.set()
         else:
-            self._loop.call_later(CHECK_S, self._check)
+            self._loop.call_later(CHECK_INTERVAL_S, self._check_done)
 
-    def _end(self) -> None:
-        # Guards against SIGKILL: what is open then would be lost, an answer now is none too late. One that is
-        # on its way goes on for as long as we are let: with its connection the last check ends.
+    def _fail_open_requests(self) -> None:
+        # SIGKILL would leave open requests without an answer, so they are failed now. An answer that is being
+        # sent goes on; `_check_done` waits for its connection.
         self._core.fail_all()
 
 
 async def _open_peers(config: Config, core: Core, loop: asyncio.AbstractEventLoop) -> Peers | None:
-    """Where peers are configured: this process among them, with its address, that says nothing yet."""
+    """Open the membership socket if `peers` is configured. Nothing is sent before `Peers.start`."""
     if config.peers is None:
         return None
-    from yewstage.net.peers import Peers  # what it needs is paid only where there are some
+    from yewstage.net.peers import Peers  # imported here, as its dependencies are needed only with peers
 
     peers = Peers(config.peers, config.name, loop, random.Random(config.seed), core.failing)
     log.info(address_event("members", "hearing members on", await peers.open()))
@@ -158,10 +168,10 @@
     return peers
 
 
-def _reconfigure(core: Core, server: ClientListener, peers: Peers | None, first: Config) -> None:
-    """SIGHUP: take what the configuration says now; one that is no good changes nothing."""
+def _reconfigure(core: Core, server: ClientListener, peers: Peers | None, initial: Config) -> None:
+    """Apply the present configuration; called on SIGHUP. An invalid configuration changes nothing."""
     try:
-        config = reload(os.environ, first)
+        config = reload(os.environ, initial)
         names = ClassAndPlanNames(config.settings)
     except ConfigError as error:
         core.stats.invalid += 1
@@ -188,7 +198,8 @@
 
 
 def _handover(config: Config, loop: asyncio.AbstractEventLoop) -> Handover | None:
-    """Only a socket that the platform holds can pass from one process to the next."""
+    """The handover between processes; None without a listening socket that the platform passes in, as only
+    such a socket outlives a process, or without TMPDIR, the folder that the processes share."""
     folder = os.environ.get("TMPDIR")
     if config.listen_fd is None or not folder:
         return None
@@ -196,15 +207,15 @@
 
 
 async def serve(config: Config) -> None:
-    """Run until SIGTERM or SIGINT has been served; SIGHUP brings new addresses."""
+    """Run until the shutdown after SIGTERM or SIGINT is done. SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
     core = Core(config, loop)
     server = ClientListener(core, loop, config.sockets)
     peers = await _open_peers(config, core, loop)
-    succession = Succession(core, server, loop, _handover(config, loop), peers)
-    shutdown = Shutdown(core, server, loop, succession)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, shutdown.begin)
+    coordinator = HandoverCoordinator(core, server, loop, _handover(config, loop), peers)
+    shutdown = Shutdown(core, server, loop, coordinator)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown.begin)
     loop.add_signal_handler(signal.SIGHUP, _reconfigure, core, server, peers, config)
     core.start()
     pages = {"/ops/members": lambda: json.dumps(peers.status()).encode()} if peers is not None else {}
@@ -212,11 +223,11 @@
     if config.ops is not None:
         log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     address = server.start(config.listen, config.listen_fd)
-    succession.start()
+    coordinator.start()
     log.info(
         Event(
             "links",
-            "connections to hosts: idle for {idle_ms:.0f} ms at most, dialled within "
+            "connections to servers: idle for at most {idle_ms:.0f} ms, connect time-out "
             "{dial_ms:.0f} ms; {descriptors} descriptors",
             idle_ms=config.idle_ms,
             dial_ms=config.dial_ms,
@@ -225,9 +236,9 @@
     )
     log.info(address_event("listening", "listening on", address))
     gc.freeze()
-    gc.set_threshold(GC_ALLOCATIONS)  # requests leave next to no cycles: look for them seldom
+    gc.set_threshold(GC_THRESHOLD_ALLOCATIONS)  # requests create almost no cycles
     await shutdown.done.wait()
-    succession.stop()
+    coordinator.stop()
     ops.stop()
     if peers is not None:
         peers.stop()
@@ -236,13 +247,14 @@
 
 
 def main() -> int:
-    """0 after a drain; 2 with one plain line if the configuration is no good or the address is taken."""
+    """Exit status 0 after a drain; 2, with one line on stderr, if the configuration is invalid or the address
+    cannot be used."""
     try:
         config = load(os.environ)
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
-    configure_logging(config.name, config.log, {"gateway": config.name}, LINES_PER_S)
+    configure_logging(config.name, config.log, {"gateway": config.name}, MAX_LOG_LINES_PER_S)
     try:
         uvloop.run(serve(config))
     except OSError as error:
