--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there: the protocol under virtual time, and real gateways with faults between them."""
+"""Membership: the protocol under virtual time, and real gateway processes with faults between them."""
 
 from __future__ import annotations
 
@@ -40,41 +40,41 @@
 
 ROW = MemberRow("g1", 7, "at:1", "a", "west", 1)
 ROOT = Path(__file__).parent.parent
-NEW, OLD, FOREIGN = "aa" * 16, "bb" * 16, "cc" * 16
+NEW_KEY, OLD_KEY, OTHER_KEY = "aa" * 16, "bb" * 16, "cc" * 16
 
 
 # --- Under virtual time
 
 
 @pytest.mark.parametrize("size", [12, 60])
-def test_one_that_is_lost_is_held_dead_by_all_within_its_bound_and_nobody_else_ever_is(size: int) -> None:
+def test_only_a_killed_member_is_declared_dead_and_within_the_time_bound(size: int) -> None:
     net = fleet(size, 5)
     began = net.now
     net.kill(5)
     net.run(40_000)
-    told = net.told(5, since=began)
-    period, patience = net.settings.period_ms, net.seats[0].swim.suspicion_timeout_ms(0)
-    assert len(told) == size - 1 and net.false({5}) == 0
-    assert told[0] - began <= 2 * size * period + patience  # each asks all others in turn
+    detected_at = net.told(5, since=began)
+    period, timeout_ms = net.settings.period_ms, net.seats[0].swim.suspicion_timeout_ms(0)
+    assert len(detected_at) == size - 1 and net.false({5}) == 0
+    assert detected_at[0] - began <= 2 * size * period + timeout_ms  # each probes all others in turn
     net.start(5)
     net.until_agreed(40_000)
     assert net.false({5}) == 0
 
 
-def test_one_in_twenty_that_stand_still_have_nobody_condemned_and_are_back_when_they_wake() -> None:
+def test_paused_members_declare_nobody_dead_and_are_alive_again_after_the_pause() -> None:
     net = fleet(40, 6)
-    still = set(range(0, 40, 20))
-    for i in still:
+    paused = set(range(0, 40, 20))
+    for i in paused:
         net.stall(i, 30_000)
     net.run(29_000)
-    assert net.false(still) == 0
-    assert all(net.told(i) for i in still)
+    assert net.false(paused) == 0
+    assert all(net.told(i) for i in paused)
     net.run(1_500)
     net.until_agreed(60_000)
-    assert net.false(still) == 0
+    assert net.false(paused) == 0
 
 
-def test_halves_that_were_cut_apart_find_each_other_without_help_though_each_held_the_other_dead() -> None:
+def test_partitions_merge_again_after_each_declared_the_other_dead() -> None:
     net = fleet(16, 7)
     net.split(range(8), range(8, 16))
     net.run(120_000)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(("loss", "repeat"), [(0.05, 0.1), (0.2, 0.0)])
-def test_lost_and_repeated_datagrams_condemn_nobody(loss: float, repeat: float) -> None:
+def test_lost_and_repeated_datagrams_cause_no_false_deaths(loss: float, repeat: float) -> None:
     net = fleet(20, 8)
     net.links.loss, net.links.repeat, net.links.delay_ms = loss, repeat, (0.1, 120.0)
     net.run(120_000)
@@ -94,52 +94,52 @@
     assert sum(seat.swim.dropped["repeated"] for seat in net.seats) > 0 or not repeat
 
 
-def test_one_that_hears_nobody_but_is_heard_condemns_nobody_for_others() -> None:
+def test_member_that_receives_nothing_does_not_make_others_declare_members_dead() -> None:
     net = fleet(12, 9)
     net.links.cut |= {(i, 3) for i in range(12) if i != 3}
     net.run(60_000)
     others = [seat.swim for seat in net.seats if seat.number != 3]
-    for swim in others:  # it says that they are dead, and each of them objects
+    for swim in others:  # it reports them as dead, and each of them refutes that
         states = {row.name: row.state for row in swim.rows() if row.name != "g3"}
         assert sum(state in (ALIVE, SUSPECT) for state in states.values()) == 11
     net.links.cut.clear()
     net.until_agreed(60_000)
 
 
-def test_a_restart_under_the_same_name_is_a_new_life_and_what_the_old_one_said_counts_no_more() -> None:
+def test_datagrams_of_an_earlier_process_are_dropped_after_a_restart() -> None:
     net = fleet(6, 10)
     old = net.seats[4].swim
-    said = seal(Datagram("fleet", old.own_row, 99, Page((net.seats[1].swim.own_row,))), KEY)
+    old_datagram = seal(Datagram("fleet", old.own_row, 99, Page((net.seats[1].swim.own_row,))), KEY)
     net.kill(4)
-    net.start(4)  # nobody has missed it yet
+    net.start(4)  # before any member suspects it
     net.until_agreed(20_000)
     swim = net.seats[0].swim
     held = next(row for row in swim.rows() if row.name == "g4")
     assert held.start_id == net.seats[4].swim.own_row.start_id != old.own_row.start_id
     before = swim.dropped["earlier life"]
-    swim.handle(net._clock(0), unseal(said, "fleet", (KEY,)))
+    swim.handle(net._clock(0), unseal(old_datagram, "fleet", (KEY,)))
     assert swim.dropped["earlier life"] == before + 1
     assert not any(seat.swim.contested for seat in net.seats)
 
 
-def test_a_name_used_twice_is_found_by_the_one_that_gives_way_and_they_do_not_outbid_each_other() -> None:
+def test_process_that_gives_way_reports_a_name_used_twice_and_incarnations_stay_low() -> None:
     net = fleet(6, 11)
     net.seats[5].swim = None
     net.start(5, name="g4")
     net.run(30_000)
-    twins = [net.seats[4].swim, net.seats[5].swim]
-    assert any(swim.contested for swim in twins)
-    assert max(swim.own_row.incarnation for swim in twins) < 20
-    winner = max(twins, key=lambda swim: swim.own_row.start_id)
+    processes = [net.seats[4].swim, net.seats[5].swim]
+    assert any(swim.contested for swim in processes)
+    assert max(swim.own_row.incarnation for swim in processes) < 20
+    winner = max(processes, key=lambda swim: swim.own_row.start_id)
     held = {next(r for r in seat.swim.rows() if r.name == "g4").start_id for seat in net.seats[:4]}
     assert held == {winner.own_row.start_id}
 
 
-def test_what_is_sealed_otherwise_is_of_another_cluster_or_too_long_is_counted_and_dropped() -> None:
+def test_invalid_datagrams_are_refused_with_a_reason() -> None:
     data = seal(Datagram("fleet", ROW, 1, Ping(1, 2)), KEY)
-    assert unseal(data, "fleet", (b"o" * 32, KEY)).sender == ROW  # two keys during a change
+    assert unseal(data, "fleet", (b"o" * 32, KEY)).sender == ROW  # both keys are accepted during a key change
     assert len(data) < MAX_DATAGRAM_BYTES
-    for wrong, why in (
+    for received, reason in (
         (data[:-1] + bytes((data[-1] ^ 1,)), "forged"),
         (seal(Datagram("fleet", ROW, 1, Ping(1, 2)), b"x" * 32), "forged"),
         (seal(Datagram("other", ROW, 1, Ping(1, 2)), KEY), "foreign"),
@@ -147,8 +147,8 @@
         (b"", "version"),
         (data + b"x" * MAX_DATAGRAM_BYTES, "oversized"),
     ):
-        with pytest.raises(BadDatagramError, match=why):
-            unseal(wrong, "fleet", (KEY,))
+        with pytest.raises(BadDatagramError, match=reason):
+            unseal(received, "fleet", (KEY,))
 
 
 SAID = st.tuples(st.integers(0, 3), st.integers(1, 4), st.integers(1, 3))
@@ -168,30 +168,30 @@
     assert held[0] == held[1] == held[2] == max(rows, key=MemberRow.rank, default=None)
 
 
-def test_every_letter_fits_into_a_datagram_and_what_it_tells_on_is_bounded() -> None:
+def test_no_datagram_exceeds_the_maximum_size() -> None:
     net = Net(300, 3)
     for i in range(300):
         net.start(i)
-    longest = [0]
+    max_bytes = [0]
     send = net._send
 
-    def noted(seat, to, letter) -> None:
-        longest[0] = max(longest[0], len(seal(letter, KEY)))
+    def record_size(seat, to, letter) -> None:
+        max_bytes[0] = max(max_bytes[0], len(seal(letter, KEY)))
         send(seat, to, letter)
 
-    net._send = noted
+    net._send = record_size
     net.run(8_000)
-    assert 1000 < longest[0] <= MAX_DATAGRAM_BYTES
+    assert 1000 < max_bytes[0] <= MAX_DATAGRAM_BYTES
 
 
-def test_a_bad_configuration_names_its_field() -> None:
-    good = {"cluster": "c", "listen": f"{HOST}:0", "keys": [NEW]}
-    assert peers({"name": "g0", "peers": good}).keys == (bytes.fromhex(NEW),)
+def test_invalid_configuration_names_its_field() -> None:
+    good = {"cluster": "c", "listen": f"{HOST}:0", "keys": [NEW_KEY]}
+    assert peers({"name": "g0", "peers": good}).keys == (bytes.fromhex(NEW_KEY),)
     for change, field in (
         ({"keys": []}, "peers.keys"),
         ({"keys": ["zz"]}, r"peers.keys\[0\]"),
         ({"keys": ["aa"]}, r"peers.keys\[0\]"),
-        ({"keys": [NEW, OLD, FOREIGN]}, "peers.keys"),
+        ({"keys": [NEW_KEY, OLD_KEY, OTHER_KEY]}, "peers.keys"),
         ({"seeds": ["x"]}, r"peers.seeds\[0\]"),
         ({"reach": {"g1": 3}}, "peers.reach.g1"),
         ({"answer_ms": 900.0}, "peers.answer_ms"),
@@ -201,7 +201,7 @@
             peers({"name": "g0", "peers": good | change})
 
 
-def test_without_peers_nothing_of_it_is_loaded() -> None:
+def test_membership_is_not_imported_without_peers() -> None:
     code = (
         "import sys, yewstage.__main__; from yewstage.net.config import parse; "
         "parse({'listen': 'h:1', 'discovery': 'h:2', 'seed': '1', 'settings': {'grades': "
@@ -213,21 +213,21 @@
     assert done.returncode == 0, done.stderr
 
 
-# --- Real gateways
+# --- Gateway processes
 
 
 def with_fleet(
     folder: Path, size: int, scenario: Callable[[Fleet], Awaitable[None]], keys: list[str]
 ) -> None:
-    async def played() -> None:
+    async def run_scenario() -> None:
         async with Fleet(folder, size, keys) as fleet:
             await fleet.until(fleet.names, dict.fromkeys(fleet.names, "alive"))
             await scenario(fleet)
 
-    on_loop(played, 100)
+    on_loop(run_scenario, 100)
 
 
-def test_gateways_find_out_who_is_lost_stopped_cut_off_or_gone_and_who_is_back(tmp_path: Path) -> None:
+def test_gateways_detect_kills_pauses_partitions_departures_and_returns(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         names = fleet.names
         await fleet.gateways["g1"].kill()
@@ -253,77 +253,78 @@
         fleet.heal()
         await fleet.until(names, dict.fromkeys(names, "alive"))
 
-        assert await fleet.gateways["g5"].end() == 0  # it says that it goes: nobody has to suspect it
+        assert await fleet.gateways["g5"].end() == 0  # announces that it leaves: no member suspects it
         rest = [name for name in names if name != "g5"]
         await fleet.until(rest, dict.fromkeys(rest, "alive") | {"g5": "left"})
-        told = [await fleet.status(name) for name in rest]
-        assert not any(one["contested"] for one in told)
+        statuses = [await fleet.status(name) for name in rest]
+        assert not any(status["contested"] for status in statuses)
         ops = ",".join(f"{HOST}:{fleet.gateways[name].ops}" for name in rest)
         while (await asyncio.to_thread(run, "plumwall", "members", "--at", ops)).returncode != 0:
-            pass  # the last objections are on their way
+            pass  # the last refutations may still be in transit
 
-    with_fleet(tmp_path, 6, scenario, [NEW])
+    with_fleet(tmp_path, 6, scenario, [NEW_KEY])
 
 
-def test_keys_are_changed_while_one_is_down_and_what_is_forged_is_counted(tmp_path: Path) -> None:
+def test_keys_change_while_one_gateway_is_down_and_forged_datagrams_are_counted(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet) -> None:
         names, down = fleet.names, "g3"
         await fleet.gateways[down].kill()
         rest = [name for name in names if name != down]
         await fleet.until(rest, {down: "dead"})
-        for keys in ([OLD, NEW], [NEW, OLD], [NEW]):  # each is taken by all before any signs with it
+        # every gateway accepts a key before any signs with it
+        for keys in ([OLD_KEY, NEW_KEY], [NEW_KEY, OLD_KEY], [NEW_KEY]):
             for name in rest:
-                taken = await figure(fleet, name, "gateway_cfg_accepted_total")
+                accepted = await metric_value(fleet, name, "gateway_cfg_accepted_total")
                 fleet.rekey(name, keys)
-                while await figure(fleet, name, "gateway_cfg_accepted_total") == taken:
+                while await metric_value(fleet, name, "gateway_cfg_accepted_total") == accepted:
                     await asyncio.sleep(0.02)
             assert "dead" not in [(await fleet.states(rest[0]))[name] for name in rest]
-        await fleet.start(down, keys=[OLD])  # it has slept through the change
+        await fleet.start(down, keys=[OLD_KEY])  # it was down during the key change
         while not (await fleet.status(rest[0]))["dropped"].get("forged"):
             await asyncio.sleep(0.02)
         assert (await fleet.states(rest[0]))[down] == "dead"
-        fleet.rekey(down, [NEW])
+        fleet.rekey(down, [NEW_KEY])
         await fleet.until(names, dict.fromkeys(names, "alive"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            foreign = seal(Datagram("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW))
+            foreign = seal(Datagram("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW_KEY))
             for data in (b"\xff" * 64, b"x" * 3000, foreign):
                 sock.sendto(data, (HOST, fleet.gateways["g0"].members))
         while not {"version", "oversized", "foreign"} <= set((await fleet.status("g0"))["dropped"]):
             await asyncio.sleep(0.02)
 
-    with_fleet(tmp_path, 4, scenario, [OLD])
+    with_fleet(tmp_path, 4, scenario, [OLD_KEY])
 
 
-async def figure(fleet: Fleet, name: str, figure: str) -> float:
+async def metric_value(fleet: Fleet, name: str, metric: str) -> float:
     reader, writer = await asyncio.open_connection(HOST, fleet.gateways[name].ops)
     writer.write(b"GET /ops/stats HTTP/1.1\r\n\r\n")
     text = (await reader.read()).decode()
     writer.close()
-    return float(text.split(f"\n{figure} ", 1)[1].split("\n", 1)[0])
+    return float(text.split(f"\n{metric} ", 1)[1].split("\n", 1)[0])
 
 
-ASK = (
+REQUEST = (
     b"GET /api/%016x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r\r\nX-Class: view\r\nPlan: open\r\n"
     b"X-Deadline: 4000m\r\nQuota-Info: units=1,spread=1,first=0\r\nConnection: close\r\n\r\n"
 )
 
 
-async def failing(fleet: Fleet, name: str) -> dict[str, set[str]]:
-    """Which servers fail for whom, as one gateway knows it."""
-    told = (await fleet.status(name)).get("servers", {})
-    return {server: {row["gateway"] for row in rows} for server, rows in told.items()}
+async def failing_servers(fleet: Fleet, name: str) -> dict[str, set[str]]:
+    """The gateways for which each server fails, as one gateway knows it."""
+    servers = (await fleet.status(name)).get("servers", {})
+    return {server: {row["gateway"] for row in rows} for server, rows in servers.items()}
 
 
-def test_what_one_gateway_finds_of_a_server_all_know_and_forget_when_they_hear_no_more_of_it(
+def test_a_failing_server_is_known_to_all_gateways_until_the_report_is_too_old(
     tmp_path: Path,
 ) -> None:
     async def scenario(fleet: Fleet) -> None:
-        names, finder = fleet.names, "g2"  # nobody is at the address of its one server
+        names, finder = fleet.names, "g2"  # nothing listens at the address of its one server
         reader, writer = await asyncio.open_connection(HOST, fleet.gateways[finder].listen)
-        writer.write(ASK % 1)
+        writer.write(REQUEST % 1)
         assert (await reader.read()).startswith(b"HTTP/1.1 503")
         for name in names:
-            while await failing(fleet, name) != {"s0": {finder}}:
+            while await failing_servers(fleet, name) != {"s0": {finder}}:
                 await asyncio.sleep(0.02)
         at = f"{HOST}:{fleet.gateways['g0'].ops}"
         done = await asyncio.to_thread(run, "plumwall", "verdicts", "--at", at)
@@ -332,48 +333,48 @@
         fleet.split([finder])
         rest = [name for name in names if name != finder]
         for name in rest:
-            while await failing(fleet, name):
+            while await failing_servers(fleet, name):
                 for row in (await fleet.status(name))["servers"].get("s0", ()):
-                    assert row["ageMs"] <= 10_000  # asserted all the while: older counts as not there
+                    assert row["ageMs"] <= 10_000  # older reports must not be shown
                 await asyncio.sleep(0.02)
-        assert await failing(fleet, finder) == {"s0": {finder}}
+        assert await failing_servers(fleet, finder) == {"s0": {finder}}
         fleet.heal()
         for name in rest:
-            while await failing(fleet, name) != {"s0": {finder}}:
+            while await failing_servers(fleet, name) != {"s0": {finder}}:
                 await asyncio.sleep(0.02)
-        await fleet.gateways[finder].kill()  # another life of it has found nothing
+        await fleet.gateways[finder].kill()  # the new process has found no failing server
         await fleet.start(finder)
         for name in names:
-            while await failing(fleet, name):
+            while await failing_servers(fleet, name):
                 await asyncio.sleep(0.02)
 
-    with_fleet(tmp_path, 4, scenario, [NEW])
+    with_fleet(tmp_path, 4, scenario, [NEW_KEY])
 
 
-def test_rounds_of_faults_on_gateways_hold_nobody_dead_that_is_there_and_all_agree_after_each(
+def test_rounds_of_faults_cause_no_false_deaths_and_all_gateways_agree_after_each(
     tmp_path: Path,
 ) -> None:
     plan = read_plan("members")
     plan = structs.replace(plan, gateways=6, period_ms=200.0)
     outcome = MembersOutcome()
 
-    async def played() -> None:
+    async def run_rounds() -> None:
         nonlocal outcome
         outcome = await MembersTorture(plan, tmp_path, 3, lambda text: None).play(5)
 
-    on_loop(played, 240)
+    on_loop(run_rounds, 240)
     assert not outcome.breach and outcome.rounds == 5 and outcome.false_dead == 0, outcome
     assert len(outcome.agreed_s) == 5 and outcome.first_s and 0 < outcome.oldest_ms <= 10_000
 
 
-def test_a_plan_of_members_names_the_field_that_is_wrong(tmp_path: Path) -> None:
+def test_invalid_members_plan_names_its_field(tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     text = (PLANS / "members.toml").read_text()
-    for old, new, says in (
+    for old, new, field in (
         ("killed = 4.0", "eaten = 4.0", "faults.eaten"),
         ("loss = 0.02", "loss = 1.5", "loss"),
         ("gateways = 12", "gateways = 2", "gateways"),
     ):
         path.write_text(text.replace(old, new))
-        with pytest.raises(ValueError, match=says):
+        with pytest.raises(ValueError, match=field):
             read_plan(str(path))
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""Tables that members share: what is read, and how old it may be, under every fault of links and clocks."""
+"""Shared tables: the entries that are read and their ages, under faults of links and clocks."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 BOUND_MS = 5000.0
 TABLES = (Table("a", BOUND_MS, 6), Table("b", 60_000.0, 6))
 NAMES = ("g0", "g1", "g2", "g3")
-DRIFTS = (1.0, 1.004, 0.995, 1.0)  # no two are further apart than is allowed
-OFF_MS = (0.0, 3.6e6, -3.6e6, 42.0)
+DRIFTS = (1.0, 1.004, 0.995, 1.0)  # rates of the clocks; any two differ by less than `Settings.drift`
+CLOCK_OFFSETS_MS = (0.0, 3.6e6, -3.6e6, 42.0)
 
 
 @dataclass
 class World:
-    """Four members, true time, and what each origin held when."""
+    """Four members, the true time, and the entries that each origin held at each time."""
 
     rng: random.Random
     now: float = 1e7
@@ -40,25 +40,25 @@
     wire: list[tuple[str, int, int, object]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        lives = {name: i + 1 for i, name in enumerate(NAMES)}
+        start_ids = {name: i + 1 for i, name in enumerate(NAMES)}
         for i, name in enumerate(NAMES):
-            made = Tables(name, lives[name], TABLES, Settings(), random.Random(i), self.clock(i))
-            made.members(lives, self.clock(i))
-            self.members.append(made)
+            member = Tables(name, start_ids[name], TABLES, Settings(), random.Random(i), self.clock(i))
+            member.members(start_ids, self.clock(i))
+            self.members.append(member)
             self.history[name] = [(0.0, {})]
 
     def clock(self, i: int) -> float:
-        return self.now * DRIFTS[i] + OFF_MS[i]
+        return self.now * DRIFTS[i] + CLOCK_OFFSETS_MS[i]
 
-    def step(self, what: int, i: int, pick: int) -> None:
+    def step(self, action: int, i: int, pick: int) -> None:
         member = self.members[i]
-        match what:
+        match action:
             case 0:
                 self.now += (1.0, 40.0, 700.0, 9000.0)[pick % 4]
             case 1 | 2:
                 table, key = ("a", "b")[pick % 2], f"k{pick % 5}"
                 try:
-                    member.put(table, key, b"%d" % pick) if what == 1 else member.drop(table, key)
+                    member.put(table, key, b"%d" % pick) if action == 1 else member.drop(table, key)
                 except FullTableError:
                     return
                 held = {k: c.value for k, c in member.own.entries.items() if c.value is not None}
@@ -68,7 +68,7 @@
                 self.wire.append(("ask", i, j, member.ask(self.clock(i))))
             case _ if self.wire:
                 kind, a, b, message = self.wire[pick % len(self.wire)]
-                if what != 4:  # else it comes again later
+                if action != 4:  # otherwise it is delivered again later
                     self.wire.remove((kind, a, b, message))
                 message = parse(encode(message))
                 if kind == "ask":
@@ -79,7 +79,7 @@
                     self.members[b].take(message, self.clock(b))
 
     def check(self) -> None:
-        """Whatever is read was true at some moment within its age."""
+        """Check that every origin held what a reader has of it at some moment within the age."""
         for i, reader in enumerate(self.members):
             for name in NAMES:
                 age = reader.age_ms(name, self.clock(i))
@@ -87,30 +87,30 @@
                     continue
                 entries = reader.origins[name].entries
                 held = {k: c.value for k, c in entries.items() if c.value is not None}
-                since = self.now - age / DRIFTS[i]  # the reader's clock alone is out of its hands
+                since = self.now - age / DRIFTS[i]  # the age is measured by the reader's clock, which drifts
                 states = [state for at, state in self.history[name] if at >= since]
                 before = [state for at, state in self.history[name] if at <= since]
                 assert held in [*states, before[-1]], (reader.own_name, name, age)
 
 
-KINDS = (0, 0, 1, 1, 2, 3, 3, 3, 4, 5, 5, 5, 5, 5, 5)
-STEPS = st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 3), st.integers(0, 59)), max_size=150)
+ACTIONS = (0, 0, 1, 1, 2, 3, 3, 3, 4, 5, 5, 5, 5, 5, 5)
+STEPS = st.lists(st.tuples(st.sampled_from(ACTIONS), st.integers(0, 3), st.integers(0, 59)), max_size=150)
 
 
-def plan(seed: int, length: int) -> list[tuple[int, int, int]]:
+def random_steps(seed: int, length: int) -> list[tuple[int, int, int]]:
     rng = random.Random(seed)
-    return [(rng.choice(KINDS), rng.randrange(4), rng.randrange(60)) for _ in range(length)]
+    return [(rng.choice(ACTIONS), rng.randrange(4), rng.randrange(60)) for _ in range(length)]
 
 
-def test_what_is_read_was_true_within_its_age_however_messages_come_and_clocks_are_off() -> None:
+def test_entries_read_were_true_within_their_age_despite_message_order_and_clock_errors() -> None:
     known = 0
     for seed in range(60):
         world = World(random.Random(seed))
-        for step in plan(seed, 300):
+        for step in random_steps(seed, 300):
             world.step(*step)
             world.check()
         known += sum(member.age_ms(name, 0.0) < 1e12 for member in world.members for name in NAMES)
-    assert known > 60 * 8  # most of them have heard of one another
+    assert known > 60 * 8  # most members know most origins
 
 
 @given(STEPS, st.randoms())
@@ -140,7 +140,7 @@
     assert states[0] == states[1] == states[2]
 
 
-def test_what_is_older_than_its_tables_bound_counts_as_not_there() -> None:
+def test_entries_older_than_the_staleness_bound_are_not_read() -> None:
     net = fleet(12, 4, TABLES)
     net.seats[3].shared.tables.put("a", "s1", b"bad")
     net.seats[3].shared.tables.put("b", "s1", b"slow")
@@ -160,7 +160,7 @@
     assert all(list(s.shared.tables.read("a", net._clock(s.number))) for s in net.seats)
 
 
-def test_a_restart_begins_with_nothing_of_its_earlier_life_and_nobody_tells_it_that_it_does() -> None:
+def test_entries_of_an_earlier_process_are_gone_after_a_restart() -> None:
     net = fleet(8, 5, TABLES)
     net.seats[2].shared.tables.put("b", "s1", b"old")
     net.run(5_000)
@@ -172,47 +172,47 @@
         assert not list(seat.shared.tables.read("b", net._clock(seat.number)))
 
 
-def test_a_copy_that_was_long_away_is_told_the_whole_of_an_origin_that_has_dropped_too_much() -> None:
+def test_a_copy_behind_removed_tombstones_gets_a_full_delta() -> None:
     net = fleet(3, 6, TABLES)
-    mine = net.seats[0].shared.tables
-    mine.put("b", "stays", b"x")
+    tables = net.seats[0].shared.tables
+    tables.put("b", "stays", b"x")
     for i in range(5):
-        mine.put("b", f"goes{i}", b"x")
+        tables.put("b", f"goes{i}", b"x")
     net.run(3_000)
     net.stall(2, 4_000)
     for i in range(5):
-        mine.drop("b", f"goes{i}")
+        tables.drop("b", f"goes{i}")
     for i in range(40):
-        mine.put("a", f"k{i}", b"y" * MAX_VALUE_BYTES)
-        mine.drop("a", f"k{i}")
+        tables.put("a", f"k{i}", b"y" * MAX_VALUE_BYTES)
+        tables.drop("a", f"k{i}")
     for i in range(6):
-        mine.put("a", f"big{i}", b"z" * MAX_VALUE_BYTES)  # more than a page holds
-    assert mine.own.floor_version > 0 and len(mine.own.entries) <= 2 * mine.max_entries()
+        tables.put("a", f"big{i}", b"z" * MAX_VALUE_BYTES)  # more than fits into one page
+    assert tables.own.floor_version > 0 and len(tables.own.entries) <= 2 * tables.max_entries()
     net.run(12_000)
     now = net._clock(2)
     held = {t.key for table in ("a", "b") for t in net.seats[2].shared.tables.read(table, now)}
     assert held == {"stays", *(f"big{i}" for i in range(6))}
 
 
-def test_an_origin_holds_no_more_than_it_may_and_others_take_no_more_from_it() -> None:
+def test_entry_limits_hold_at_the_origin_and_against_an_origin_that_ignores_them() -> None:
     net = fleet(3, 7, TABLES)
-    liar = net.seats[0].shared.tables
+    origin = net.seats[0].shared.tables
     for i in range(6):
-        liar.put("a", f"k{i}", b"v")
+        origin.put("a", f"k{i}", b"v")
     with pytest.raises(FullTableError, match="a: 6 entries"):
-        liar.put("a", "k7", b"v")
+        origin.put("a", "k7", b"v")
     with pytest.raises(ValueError, match="value at most"):
-        liar.put("b", "k", b"v" * 600)
+        origin.put("b", "k", b"v" * 600)
     for i in range(40):
-        liar._record_change("a", f"more{i}", b"v")  # one that lies does not ask
+        origin._record_change("a", f"more{i}", b"v")  # bypasses the limit
     net.run(5_000)
     for seat in net.seats[1:]:
-        told = seat.shared.tables
-        assert told.refused > 0 and "g0" not in {t.origin for t in told.read("a", net._clock(seat.number))}
+        copy = seat.shared.tables
+        assert copy.refused > 0 and "g0" not in {t.origin for t in copy.read("a", net._clock(seat.number))}
 
 
 @pytest.mark.parametrize(("size", "loss"), [(12, 0.0), (12, 0.2), (60, 0.05)])
-def test_ages_stay_far_under_a_bound_of_seconds_in_fleets_that_lose_datagrams(size: int, loss: float) -> None:
+def test_ages_stay_within_bounds_in_fleets_that_lose_datagrams(size: int, loss: float) -> None:
     net = fleet(size, 8, TABLES)
     net.links.loss = loss
     net.run(20_000)
@@ -225,7 +225,7 @@
     assert ages[-1] < 2 * BOUND_MS and ages[len(ages) // 2] < BOUND_MS / 2, (ages[len(ages) // 2], ages[-1])
 
 
-def test_nonsense_in_a_letter_is_counted_and_changes_nothing() -> None:
+def test_undecodable_payload_is_counted() -> None:
     net = Net(2, 1, tables=TABLES)
     for i in range(2):
         net.start(i)
