--- a/plumwall/cli/torture.py
+++ b/plumwall/cli/torture.py
@@ -187,13 +187,13 @@
     with waiting("random plans", json_) as say:
         if plans:
             found.append(
-                explore.search(range(seed, seed + plans), steps, say=lambda f: say(f"{f.plans} played"))
+                explore.search(range(seed, seed + plans), steps, report=lambda f: say(f"{f.plans} played"))
             )
             say("random plans of where copies are to be")
             found.append(places.search(range(seed, seed + plans), steps))
         for scene in SCENES if depth else ():
             say(f"all orders from {scene}")
-            found.append(explore.every(scene, depth))
+            found.append(explore.search_all_orders(scene, depth))
     for result in found:
         fields(
             {
--- a/plumwall/model/__init__.py
+++ b/plumwall/model/__init__.py
@@ -1,1 +1,1 @@
-"""Checking the pure parts by playing them under virtual time: all orders to a depth, long random plans."""
+"""Model checking of the pure protocols in virtual time: exhaustive search to a depth, random simulation."""
--- a/plumwall/model/keyed.py
+++ b/plumwall/model/keyed.py
@@ -1,137 +1,146 @@
-"""A group that holds keys of requests, as a value: whoever was told that a key is its own, and for how long
-nobody else may be.
+"""Model of a group that stores request keys: which request was told that it owns a key, and until
+when no other request may be told so.
 
-Clients repeat a claim until it is answered, through any replica; a request may end, be given back, or never
-be heard of again. Times are true time, from when a call was made: the earliest from which a window may count.
+Clients repeat a claim until it is answered, through any replica. A request may end, give its key back, or
+never be heard of again. Times are true time in ms, taken when a call is made: the earliest moment from which
+its window may count.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from plumwall.model.cluster import RULES, TTL_MS, BreachError, Cluster, PlantedBug
+from plumwall.model.cluster import LEASE_TTL_MS, RULES, Cluster, InvariantError, PlantedBug
 from yewstage.holding.group import encode_entry
 from yewstage.holding.keys import BEGUN, DONE, KeyStore, claim_plan
 from yewstage.registry.store import Entry
 
 KEYS = 2
-WINDOW_MS = TTL_MS  # as a wait of the plans is a little longer than
+WINDOW_MS = LEASE_TTL_MS  # one of the waits in plans is 2 % longer, so that plans reach the end of a window
 
 
 @dataclass
 class Owner:
-    """Who was told that a key is its own."""
+    """The request that was told that it owns a key."""
 
-    by: str
-    since: float  # when it last asked for something that begins a window anew
-    done: bool = False  # its end was taken down
+    claimant: str
+    since_ms: float  # true time of its last call that starts the window again
+    ended: bool = False  # its end is recorded
 
 
 class KeyedCluster(Cluster):
-    """Replicas of one group of keys."""
+    """The replicas of one group of keys, with the invariants of claims."""
 
     store = KeyStore
 
     def __init__(self, size: int = 3, planted: PlantedBug | None = None) -> None:
-        self.claims: dict[tuple[int, int], tuple[str, str, float, dict[str, object]]] = {}
-        self.ends: dict[tuple[int, int], tuple[str, str, float]] = {}
-        self.open: dict[str, str] = {}  # claims that were not answered yet, by key: they are repeated
+        self.pending_claims: dict[tuple[int, int], tuple[str, str, float, dict[str, object]]] = {}
+        self.pending_ends: dict[tuple[int, int], tuple[str, str, float]] = {}
+        self.unanswered: dict[str, str] = {}  # claimant by key: it repeats its claim
         self.owners: dict[str, Owner] = {}
-        self.over: set[str] = set()  # gave their key back: no late answer gives it to them again
-        self.statuses: dict[str, set[int]] = {}  # that a request said it ended with
+        self.released: set[str] = set()  # claimants whose late answers are ignored
+        self.reported_statuses: dict[str, set[int]] = {}  # statuses that a claimant sent as its end
         super().__init__(size, planted)
 
-    def _first(self) -> bytes:
+    def _initial_state(self) -> bytes:
         return encode_entry(KeyStore(RULES).snapshot())
 
-    def _calls(self) -> tuple[dict[tuple[int, int], object], ...]:
-        return *super()._calls(), self.claims, self.ends
+    def _pending_calls(self) -> tuple[dict[tuple[int, int], object], ...]:
+        return *super()._pending_calls(), self.pending_claims, self.pending_ends
 
-    # --- What clients do ----------------------------------------------------------------------------------
+    # --- Calls of clients ---------------------------------------------------------------------------------
 
     def write(self, i: int) -> bool:
-        """A request claims its key, or repeats a claim that was not answered."""
-        self.serial += 1
-        key = f"k{self.serial % KEYS}"
-        by, told = self.open.setdefault(key, f"r{self.serial}"), {}
-        plan = claim_plan(key, by, WINDOW_MS, told)
-        ticket = self._ask(i, lambda group: group.write(self.now(i), plan))
+        """Claim a key, or repeat its unanswered claim. Returns whether the call was accepted."""
+        self.write_serial += 1
+        key = f"k{self.write_serial % KEYS}"
+        claimant, answer = self.unanswered.setdefault(key, f"r{self.write_serial}"), {}
+        plan = claim_plan(key, claimant, WINDOW_MS, answer)
+        ticket = self._call(i, lambda group: group.write(self.now(i), plan))
         if ticket:
-            self.claims[i, ticket] = key, by, self.time, told
-        return self._asked(i, ticket)
+            self.pending_claims[i, ticket] = key, claimant, self.time_ms, answer
+        return self._finish_call(i, ticket)
 
     def acquire(self, i: int, holder: str) -> bool:
-        """A request that has a key ends, or gives it back."""
+        """End a request that owns a key (holder h1), or give its key back (h2).
+
+        Each holder stands for half of the requests, by the parity of the request's number. Returns whether
+        the call was accepted.
+        """
         for key, owner in sorted(self.owners.items()):
-            if not owner.done and holder.endswith(str(1 + int(owner.by[1:]) % 2)):
-                return self._end(i, key, owner.by) if holder == "h1" else self._release(i, key, owner.by)
+            if not owner.ended and holder.endswith(str(1 + int(owner.claimant[1:]) % 2)):
+                return (
+                    self._end(i, key, owner.claimant)
+                    if holder == "h1"
+                    else self._release(i, key, owner.claimant)
+                )
         return False
 
-    def _end(self, i: int, key: str, by: str) -> bool:
-        status = 200 + int(by[1:]) % 100
-        self.statuses.setdefault(by, set()).add(status)
+    def _end(self, i: int, key: str, claimant: str) -> bool:
+        status = 200 + int(claimant[1:]) % 100
+        self.reported_statuses.setdefault(claimant, set()).add(status)
 
         def plan(store: KeyStore, now: float) -> Entry | None:
-            return store.plan_done(key, by, status, "")
+            return store.plan_done(key, claimant, status, "")
 
-        ticket = self._ask(i, lambda group: group.write(self.now(i), plan))
+        ticket = self._call(i, lambda group: group.write(self.now(i), plan))
         if ticket:
-            self.ends[i, ticket] = key, by, self.time
-        return self._asked(i, ticket)
+            self.pending_ends[i, ticket] = key, claimant, self.time_ms
+        return self._finish_call(i, ticket)
 
-    def _release(self, i: int, key: str, by: str) -> bool:
-        del self.owners[key]  # from now on another one may have it
-        self.over.add(by)
+    def _release(self, i: int, key: str, claimant: str) -> bool:
+        del self.owners[key]  # from now on another request may own the key
+        self.released.add(claimant)
 
         def plan(store: KeyStore, now: float) -> Entry | None:
-            return store.plan_release(key, by)
+            return store.plan_release(key, claimant)
 
-        return self._asked(i, self._ask(i, lambda group: group.write(self.now(i), plan)))
+        return self._finish_call(i, self._call(i, lambda group: group.write(self.now(i), plan)))
 
     def forget(self, i: int) -> bool:
-        """A leader lets go what is past its window."""
+        """Remove the records whose window is over. Returns whether the call was accepted."""
 
         def plan(store: KeyStore, now: float) -> Entry | None:
             return store.plan_forget(now)
 
-        return self._asked(i, self._ask(i, lambda group: group.write(self.now(i), plan)))
+        return self._finish_call(i, self._call(i, lambda group: group.write(self.now(i), plan)))
 
-    # --- What must hold -----------------------------------------------------------------------------------
+    # --- Invariants ---------------------------------------------------------------------------------------
 
-    def _holds(self, owner: Owner) -> bool:
-        return self.time < owner.since + WINDOW_MS
+    def _in_window(self, owner: Owner) -> bool:
+        return self.time_ms < owner.since_ms + WINDOW_MS
 
-    def _done(self, i: int, ticket: int, error: Exception | None) -> None:
-        claim, end = self.claims.pop((i, ticket), None), self.ends.pop((i, ticket), None)
+    def _call_completed(self, i: int, ticket: int, error: Exception | None) -> None:
+        claim, end = self.pending_claims.pop((i, ticket), None), self.pending_ends.pop((i, ticket), None)
         if claim is not None and error is None:
-            self._claimed(*claim)
+            self._claim_answered(*claim)
         elif end is not None and error is None:
-            key, by, since = end
+            key, claimant, asked_at_ms = end
             owner = self.owners.get(key)
-            if owner is not None and owner.by == by:
-                owner.done, owner.since = True, max(owner.since, since)
+            if owner is not None and owner.claimant == claimant:
+                owner.ended, owner.since_ms = True, max(owner.since_ms, asked_at_ms)
         else:
-            super()._done(i, ticket, error)
+            super()._call_completed(i, ticket, error)
 
-    def _claimed(self, key: str, by: str, since: float, told: dict[str, object]) -> None:
-        if self.open.get(key) == by:
-            del self.open[key]
-        owner, state = self.owners.get(key), told.get("state", "yours")
+    def _claim_answered(self, key: str, claimant: str, asked_at_ms: float, answer: dict[str, object]) -> None:
+        if self.unanswered.get(key) == claimant:
+            del self.unanswered[key]
+        owner, state = self.owners.get(key), answer.get("state", "yours")
         if state == "yours":
-            if owner is not None and owner.by != by and self._holds(owner):
-                raise BreachError(f"{key} is given to {by} while it is {owner.by}'s")
-            if (owner is None or owner.by != by) and by not in self.over:
-                self.owners[key] = Owner(by, since)
-        elif state == DONE and told["status"] not in set().union(*self.statuses.values(), ()):
-            raise BreachError(f"{key} is told to have ended with {told['status']}, which nobody said")
-        elif state == BEGUN and self._has_ended(owner, since):
-            raise BreachError(f"{key} has ended, and {by} is told that it is under way")
-
-    def _has_ended(self, owner: Owner | None, before: float) -> bool:
-        return owner is not None and owner.done and self._holds(owner) and before > owner.since
-
-    def _missing(self, planned: KeyStore) -> list[str]:
-        """Keys whose owner a leader does not know. Its claim counts from when it was asked for."""
+            if owner is not None and owner.claimant != claimant and self._in_window(owner):
+                raise InvariantError(f"{key} is given to {claimant} while it is {owner.claimant}'s")
+            if (owner is None or owner.claimant != claimant) and claimant not in self.released:
+                self.owners[key] = Owner(claimant, asked_at_ms)
+        elif state == DONE and answer["status"] not in set().union(*self.reported_statuses.values(), ()):
+            raise InvariantError(f"{key} is told to have ended with {answer['status']}, which nobody said")
+        elif state == BEGUN and self._has_ended(owner, asked_at_ms):
+            raise InvariantError(f"{key} has ended, and {claimant} is told that it is under way")
+
+    def _has_ended(self, owner: Owner | None, asked_at_ms: float) -> bool:
+        return owner is not None and owner.ended and self._in_window(owner) and asked_at_ms > owner.since_ms
+
+    def _missing_at_leader(self, planned: KeyStore) -> list[str]:
+        """Keys within their window whose owner is missing at a leader. A window counts from the call."""
         known = {key: record.claimant for key, record in planned.records.items()}
-        held = {key: owner.by for key, owner in self.owners.items() if self._holds(owner)}
-        return sorted(key for key, by in held.items() if known.get(key) != by)
+        owned = {key: owner.claimant for key, owner in self.owners.items() if self._in_window(owner)}
+        return sorted(key for key, claimant in owned.items() if known.get(key) != claimant)
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -1,8 +1,9 @@
-"""Machines that come, go and lose their disks, and the code that decides where copies are, in virtual time.
+"""Model of copy placement in virtual time: machines start, stop and lose their disks, and links are cut.
 
-What runs is the code in service: `places`, `members` and `hearsay` of `yewstage.holding`. Consensus is taken
-as kept here, for `cluster` plays that: a group's change comes about where its leader reaches a majority of
-whole voters. What machines say of themselves is late, old or lost; not all know the same table.
+The code under test is the production code of `yewstage.holding`: `placement`, `member_changes` and
+`peer_reports`. Consensus is assumed to be correct, because `cluster` checks it: a group's change succeeds if
+its leader reaches a majority of complete voters. Reports of machines are late, outdated or lost, and machines
+may know different placement tables. A copy is complete when its disk has all data of its group.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 import numpy as np
 from msgspec import structs
 
-from plumwall.model.cluster import BreachError
-from plumwall.model.explore import SearchResult, Step, shortened
+from plumwall.model.cluster import InvariantError
+from plumwall.model.explore import SearchResult, Step, shortened_plan
 from yewstage.holding.group_names import PLACEMENT_GROUP, all_group_names
 from yewstage.holding.member_changes import GroupView, lost, next_change
 from yewstage.holding.peer_reports import PRESENCE_TIMEOUT_MS, PeerReports
@@ -34,179 +35,191 @@
 from yewstage.raft.messages import Member, Members, one_apart
 from yewstage.registry.store import RefusedError
 
-SIZE, COPIES, GROUPS = 7, 3, all_group_names(2)
+MACHINES, COPIES, GROUPS = 7, 3, all_group_names(2)
 GONE_MS, ELECTION_MS = 6000.0, 500.0
-WAITS = (200.0, 1000.0, 3000.0, 8000.0)
-LOOKS = 300  # by when, with all machines there and heard, every copy has to be where it is wanted
-QUIET = 15  # looks after that in which nothing may change any more
+WAITS_MS = (200.0, 1000.0, 3000.0, 8000.0)
+SETTLE_ROUNDS = 300  # with all machines up and connected, every copy is placed within so many rounds
+QUIET_ROUNDS = 15  # after as many further rounds, the table may not change for as many again
 
 
 @dataclass
 class Machine:
-    """One process and its disk."""
+    """One process, its disk, and what it knows of the cluster."""
 
     member: Member
     up: bool = True
     table: PlacementTable = field(default_factory=PlacementTable)
-    heard: PeerReports = field(default_factory=PeerReports)
-    since: dict[str, float] = field(default_factory=dict)  # when it began to lead which group
+    reports: PeerReports = field(default_factory=PeerReports)
+    led_since: dict[str, float] = field(default_factory=dict)  # time in ms by group it leads
 
 
 @dataclass
-class Copies:
-    """One group."""
+class GroupState:
+    """One group: its members and which of their copies are complete."""
 
     members: Members
-    whole: set[str]  # ids of disks that have all of it
+    complete: set[str]  # ids of disks with all data of the group
     term: int = 1
     leader: int = -1
-    heard: dict[str, float] = field(default_factory=dict)  # by its leader
-    confirmed_at: float = 0.0  # when it last heard a majority
+    heard_at: dict[str, float] = field(default_factory=dict)  # by member id: when the leader last heard it
+    confirmed_at_ms: float = 0.0  # when the leader last heard a majority, ms
 
 
 @dataclass
 class Decisions:
-    """The parts that decide; tests replace one by a mistake."""
+    """The decision functions under test; a test replaces one of them by a planted bug."""
 
     next_change: Callable[[GroupView], Members | None] = next_change
     next_table: Callable[[ClusterView], PlacementTable | None] = next_table
 
 
 class World:
-    """All machines and groups."""
+    """All machines and groups, with the events that change them."""
 
     def __init__(self, decisions: Decisions | None = None) -> None:
-        self.decide = decisions or Decisions()
-        self._disks = count(1)
-        self.machines = [Machine(self._member(f"m{i}", "abc"[i % 3])) for i in range(SIZE)]
-        self.time = 0.0
-        self.cut: set[tuple[int, int]] = set()
+        self.decisions = decisions or Decisions()
+        self._disk_numbers = count(1)
+        self.machines = [Machine(self._new_member(f"m{i}", "abc"[i % 3])) for i in range(MACHINES)]
+        self.time_ms = 0.0
+        self.cut_links: set[tuple[int, int]] = set()
         self.table = first_table(GROUPS, tuple(m.member for m in self.machines), COPIES, 0.0, {})
-        self.groups = {p.group: Copies(p.members, {m.id for m in p.members}) for p in self.table.placed}
+        self.groups = {p.group: GroupState(p.members, {m.id for m in p.members}) for p in self.table.placed}
 
-    def _member(self, name: str, zone: str) -> Member:
-        return Member(f"{name}.{next(self._disks)}", name, zone, "", "")
+    def _new_member(self, name: str, zone: str) -> Member:
+        return Member(f"{name}.{next(self._disk_numbers)}", name, zone, "", "")
 
-    # --- Who is where -------------------------------------------------------------------------------------
+    # --- Reachability -------------------------------------------------------------------------------------
 
-    def at(self, member_id: str) -> int:
-        """Which machine has a disk now; -1: none."""
+    def index_of(self, member_id: str) -> int:
+        """Index of the machine with this disk, or -1 if the disk is lost."""
         return next((i for i, m in enumerate(self.machines) if m.member.id == member_id), -1)
 
-    def reach(self, i: int, j: int) -> bool:
-        """Whether two machines hear each other."""
+    def can_reach(self, i: int, j: int) -> bool:
+        """Whether two machines are up and can send to each other."""
         both = self.machines[i].up and self.machines[j].up
-        return both and (i == j or not {(i, j), (j, i)} & self.cut)
+        return both and (i == j or not {(i, j), (j, i)} & self.cut_links)
 
-    def _majority(self, group: Copies, members: Members, i: int) -> bool:
-        """Whether a machine reaches a majority of voters that have all."""
+    def _has_majority(self, group: GroupState, members: Members, i: int) -> bool:
+        """Whether a machine reaches a majority of the voters, counting only complete copies."""
         voters = [m.id for m in members if m.voter]
-        near = [v for v in voters if v in group.whole and (j := self.at(v)) >= 0 and self.reach(i, j)]
-        return len(near) * 2 > len(voters)
-
-    def may_lose(self, i: int) -> bool:
-        """Whether each group keeps a majority of whole voters without this disk."""
-        gone = self.machines[i].member.id
+        reached = [
+            v for v in voters if v in group.complete and (j := self.index_of(v)) >= 0 and self.can_reach(i, j)
+        ]
+        return len(reached) * 2 > len(voters)
+
+    def can_lose_disk(self, i: int) -> bool:
+        """Whether each group keeps a majority of complete voters without this disk."""
+        lost_id = self.machines[i].member.id
         for group in self.groups.values():
             voters = [m.id for m in group.members if m.voter]
-            if len([v for v in voters if v in group.whole and v != gone]) * 2 <= len(voters):
+            if len([v for v in voters if v in group.complete and v != lost_id]) * 2 <= len(voters):
                 return False
         return True
 
-    # --- What the world does ------------------------------------------------------------------------------
+    # --- Events of the environment ------------------------------------------------------------------------
 
     def hello(self, i: int) -> None:
-        """A machine says how it is to all that it reaches, and hears their table's epoch from them."""
+        """Send a machine's reports to all that it reaches; those with an older table take its table."""
         me = self.machines[i]
         reports = tuple(self._report(i, g) for g, group in self.groups.items() if group.leader == i)
         for j, other in enumerate(self.machines):
-            if me.up and other.up and i != j and (i, j) not in self.cut:
-                other.heard.hear(me.member, reports, self.time)
+            if me.up and other.up and i != j and (i, j) not in self.cut_links:
+                other.reports.hear(me.member, reports, self.time_ms)
                 if me.table.epoch > other.table.epoch:
                     other.table = me.table
 
     def beat(self, g: str) -> None:
-        """A leader hears its members, or finds out that it leads no more."""
+        """Let a leader hear its members, or step down if it does not reach a majority."""
         group = self.groups[g]
         if group.leader < 0:
             return
-        if not self._majority(group, group.members, group.leader):
+        if not self._has_majority(group, group.members, group.leader):
             self._depose(group)
             return
-        group.confirmed_at = self.time
+        group.confirmed_at_ms = self.time_ms
         for member in group.members:
-            if (j := self.at(member.id)) >= 0 and self.reach(group.leader, j):
-                group.heard[member.id] = self.time
+            if (j := self.index_of(member.id)) >= 0 and self.can_reach(group.leader, j):
+                group.heard_at[member.id] = self.time_ms
 
     def stand(self, g: str, i: int) -> None:
-        """A voter that has all leads, if nobody does and a majority is there."""
+        """Make a complete voter the leader if the group has none and it reaches a majority."""
         group, me = self.groups[g], self.machines[i].member.id
         voter = any(m.id == me and m.voter for m in group.members)
-        if group.leader < 0 and voter and me in group.whole and self._majority(group, group.members, i):
-            group.leader, group.term, group.heard = i, group.term + 1, {}
-            group.confirmed_at = self.time
+        if (
+            group.leader < 0
+            and voter
+            and me in group.complete
+            and self._has_majority(group, group.members, i)
+        ):
+            group.leader, group.term, group.heard_at = i, group.term + 1, {}
+            group.confirmed_at_ms = self.time_ms
             if g == PLACEMENT_GROUP:
                 self.machines[i].table = self.table
 
     def copy(self, g: str) -> None:
-        """A learner that its leader reaches has all."""
+        """Complete one copy that the leader reaches."""
         group = self.groups[g]
-        lacking = [m.id for m in group.members if m.id not in group.whole]
-        for member in lacking if group.leader >= 0 else ():
-            if (j := self.at(member)) >= 0 and self.reach(group.leader, j):
-                group.whole.add(member)
+        incomplete = [m.id for m in group.members if m.id not in group.complete]
+        for member in incomplete if group.leader >= 0 else ():
+            if (j := self.index_of(member)) >= 0 and self.can_reach(group.leader, j):
+                group.complete.add(member)
                 return
 
     def lose(self, i: int) -> bool:
-        """A machine is lost with its disk, and comes back with an empty one."""
-        if not self.may_lose(i):
+        """Replace a machine's disk by an empty one. Returns False if a group would lose its majority."""
+        if not self.can_lose_disk(i):
             return False
         self.stop(i)
         old = self.machines[i].member
         for group in self.groups.values():
-            group.whole.discard(old.id)
-        self.machines[i] = Machine(self._member(old.name, old.zone))
+            group.complete.discard(old.id)
+        self.machines[i] = Machine(self._new_member(old.name, old.zone))
         return True
 
     def stop(self, i: int) -> None:
-        """A process ends."""
+        """End a process and lose all that it knows."""
         machine = self.machines[i]
-        machine.up, machine.table, machine.heard, machine.since = False, PlacementTable(), PeerReports(), {}
+        machine.up, machine.table, machine.reports, machine.led_since = (
+            False,
+            PlacementTable(),
+            PeerReports(),
+            {},
+        )
         for group in self.groups.values():
             if group.leader == i:
                 self._depose(group)
 
     def go(self, i: int) -> None:
-        """It comes back."""
+        """Start a process again."""
         self.machines[i].up = True
 
     @staticmethod
-    def _depose(group: Copies) -> None:
+    def _depose(group: GroupState) -> None:
         group.leader = -1
 
-    # --- What the program does ----------------------------------------------------------------------------
+    # --- Steps of the program -----------------------------------------------------------------------------
 
-    def _led(self, i: int) -> list[str]:
+    def _led_groups(self, i: int) -> list[str]:
         return [g for g, group in self.groups.items() if group.leader == i]
 
-    def _view(self, i: int, g: str, may_copy: bool = True) -> GroupView:
+    def _group_view(self, i: int, g: str, may_copy: bool = True) -> GroupView:
         me, group = self.machines[i], self.groups[g]
-        since = me.since.get(g, self.time)
+        since = me.led_since.get(g, self.time_ms)
         silent = {
-            m.id: self.time - max(group.heard.get(m.id, float("-inf")), since)
+            m.id: self.time_ms - max(group.heard_at.get(m.id, float("-inf")), since)
             for m in group.members
             if m.id != me.member.id
         }
         placed = me.table.of(g)
-        homes = placed.machine_names if placed is not None else ()
-        there = me.heard.present_members(me.member, self.time)
+        machine_names = placed.machine_names if placed is not None else ()
+        present = me.reports.present_members(me.member, self.time_ms)
         return GroupView(
             me.member.id,
             group.members,
-            homes,
+            machine_names,
             silent,
-            there,
-            frozenset(group.whole),
+            present,
+            frozenset(group.complete),
             PRESENCE_TIMEOUT_MS,
             may_copy,
         )
@@ -214,147 +227,153 @@
     def _report(self, i: int, g: str) -> LeaderReport:
         group = self.groups[g]
         members = tuple((m.id, m.voter) for m in group.members)
-        return LeaderReport(g, group.term, members, lost(self._view(i, g), GONE_MS))
+        return LeaderReport(g, group.term, members, lost(self._group_view(i, g), GONE_MS))
 
     def look(self, i: int) -> None:
-        """What a process does five times a second."""
+        """Run the decisions that a process makes five times a second."""
         me = self.machines[i]
         if not me.up:
             return
-        for g in self._led(i):  # check-quorum: who was not confirmed leads no more before it does anything
-            if self.time - self.groups[g].confirmed_at > ELECTION_MS:
+        for g in self._led_groups(i):  # check quorum: an unconfirmed leader steps down first
+            if self.time_ms - self.groups[g].confirmed_at_ms > ELECTION_MS:
                 self._depose(self.groups[g])
-        led = self._led(i)
-        me.since = {g: me.since.get(g, self.time) for g in led}
+        led = self._led_groups(i)
+        me.led_since = {g: me.led_since.get(g, self.time_ms) for g in led}
         if PLACEMENT_GROUP in led:
             me.table = self.table
         copying = sum(any(not m.voter for m in self.groups[g].members) for g in led)
         for g in sorted(led):
-            copying += self._step(i, g, copying < AT_ONCE)
+            copying += self._change_members(i, g, copying < AT_ONCE)
         if PLACEMENT_GROUP in led and self.groups[PLACEMENT_GROUP].leader == i:
-            self._plan(i, self.decide.next_table)
+            self._update_table(i, self.decisions.next_table)
 
-    def _step(self, i: int, g: str, may_copy: bool) -> bool:
+    def _change_members(self, i: int, g: str, may_copy: bool) -> bool:
         group = self.groups[g]
-        members = self.decide.next_change(self._view(i, g, may_copy))
+        members = self.decisions.next_change(self._group_view(i, g, may_copy))
         if members is None or group.leader != i:
             return False
         if all(m.id != self.machines[i].member.id for m in members):
-            self._hand_over(group)  # whoever leads next takes us out
+            self._hand_over(group)  # the next leader removes this machine
             return False
-        if not self._majority(group, members, i):
-            return False  # it does not come about
+        if not self._has_majority(group, members, i):
+            return False  # the change is not committed
         self._check_change(g, group, members)
-        grown = len(members) > len(group.members)
+        has_grown = len(members) > len(group.members)
         group.members = members
-        return grown
+        return has_grown
 
-    def _hand_over(self, group: Copies) -> None:
+    def _hand_over(self, group: GroupState) -> None:
         for member in group.members:
-            j = self.at(member.id)
-            near = member.voter and member.id in group.whole and j >= 0 and self.reach(group.leader, j)
-            if near and j != group.leader:
-                group.leader, group.term, group.heard = j, group.term + 1, {}
-                group.confirmed_at = self.time
+            j = self.index_of(member.id)
+            reached = (
+                member.voter and member.id in group.complete and j >= 0 and self.can_reach(group.leader, j)
+            )
+            if reached and j != group.leader:
+                group.leader, group.term, group.heard_at = j, group.term + 1, {}
+                group.confirmed_at_ms = self.time_ms
                 return
 
-    def _sight(self, i: int) -> ClusterView:
+    def _cluster_view(self, i: int) -> ClusterView:
         me = self.machines[i]
-        led = {g: self._report(i, g) for g in self._led(i)}
-        since = me.since.get(PLACEMENT_GROUP, self.time)
-        return me.heard.sight(self.table, led, me.member, self.time, since, GONE_MS, COPIES)
+        led = {g: self._report(i, g) for g in self._led_groups(i)}
+        since = me.led_since.get(PLACEMENT_GROUP, self.time_ms)
+        return me.reports.sight(self.table, led, me.member, self.time_ms, since, GONE_MS, COPIES)
 
-    def _plan(self, i: int, decide: Callable[[ClusterView], PlacementTable | None]) -> None:
-        places = self.groups[PLACEMENT_GROUP]
-        if places.leader != i or not self._majority(places, places.members, i):
+    def _update_table(self, i: int, decide: Callable[[ClusterView], PlacementTable | None]) -> None:
+        group = self.groups[PLACEMENT_GROUP]
+        if group.leader != i or not self._has_majority(group, group.members, i):
             return
         try:
-            table = decide(self._sight(i))
+            table = decide(self._cluster_view(i))
         except RefusedError:
             return
         if table is not None:
             if table.epoch != self.table.epoch + 1:
-                raise BreachError(f"epoch {table.epoch} follows {self.table.epoch}")
+                raise InvariantError(f"epoch {table.epoch} follows {self.table.epoch}")
             self.table = self.machines[i].table = table
 
-    def operator(self, i: int, out: bool) -> None:
-        """An operator takes a machine out, or lets it in."""
+    def set_out_of_service(self, i: int, out: bool) -> None:
+        """Take a machine out of the placement or put it in, as an operator does."""
         leader, name = self.groups[PLACEMENT_GROUP].leader, self.machines[i].member.name
         if leader >= 0:
-            self._plan(leader, lambda sight: (without_machine if out else with_machine)(sight, name))
+            self._update_table(leader, lambda view: (without_machine if out else with_machine)(view, name))
 
-    # --- What must hold -----------------------------------------------------------------------------------
+    # --- Invariants ---------------------------------------------------------------------------------------
 
-    def _check_change(self, g: str, group: Copies, members: Members) -> None:
-        """One member at a time; never fewer whole copies than there were, but for those beyond what is
-        wanted."""
+    def _check_change(self, g: str, group: GroupState, members: Members) -> None:
+        """Check that one member changes, that a majority of voters stays complete, and that complete copies
+        become fewer only above the wanted number."""
         if not one_apart(group.members, members):
-            raise BreachError(f"two members of {g} are changed at once")
-        before = len([m for m in group.members if m.voter and m.id in group.whole])
+            raise InvariantError(f"two members of {g} are changed at once")
+        complete_before = len([m for m in group.members if m.voter and m.id in group.complete])
         voters = [m for m in members if m.voter]
-        after = len([m for m in voters if m.id in group.whole])
-        if after < min(before, COPIES):
-            raise BreachError(f"{g} has {after} whole copies after a change, and had {before}")
-        if after * 2 <= len(voters):
-            raise BreachError(f"{g} has {after} whole copies of {len(voters)} voters")
-
-    def trouble(self) -> str:
-        """What is not where it ought to be; empty: nothing."""
+        complete_after = len([m for m in voters if m.id in group.complete])
+        if complete_after < min(complete_before, COPIES):
+            raise InvariantError(
+                f"{g} has {complete_after} whole copies after a change, and had {complete_before}"
+            )
+        if complete_after * 2 <= len(voters):
+            raise InvariantError(f"{g} has {complete_after} whole copies of {len(voters)} voters")
+
+    def misplacement(self) -> str:
+        """Describe the first group that is not placed as wanted; empty if all are."""
         usable = [m.member for m in self.machines if m.member.name not in self.table.out]
-        most = min(COPIES, len({m.zone for m in usable}))
+        wanted_zones = min(COPIES, len({m.zone for m in usable}))
         for placed in self.table.placed:
             group = self.groups[placed.group]
             if sorted(name_of(m.id) for m in group.members) != sorted(placed.machine_names):
                 return (
                     f"{placed.group} is at {[m.id for m in group.members]}, wanted at {placed.machine_names}"
                 )
-            if any(self.at(m.id) < 0 or m.id not in group.whole or not m.voter for m in group.members):
+            if any(
+                self.index_of(m.id) < 0 or m.id not in group.complete or not m.voter for m in group.members
+            ):
                 return f"{placed.group} has a copy that is not whole: {[m.id for m in group.members]}"
             if len(placed.machine_names) != COPIES or set(placed.machine_names) & set(self.table.out):
                 return f"{placed.group} has homes {placed.machine_names}"
-            if len({m.zone for m in group.members}) < most:
-                return f"{placed.group} stands in fewer than {most} zones: {placed.machine_names}"
+            if len({m.zone for m in group.members}) < wanted_zones:
+                return f"{placed.group} stands in fewer than {wanted_zones} zones: {placed.machine_names}"
         return ""
 
     def settle(self) -> None:
-        """All is there and heard: every group comes to be where it is wanted, and then stays."""
-        self.cut.clear()
-        for i in range(SIZE):
+        """Bring all machines and links up, and check that every copy is placed and then stays in place."""
+        self.cut_links.clear()
+        for i in range(MACHINES):
             self.go(i)
-        for _ in range(LOOKS):
-            self._fair()
-            if not self.trouble():
+        for _ in range(SETTLE_ROUNDS):
+            self._run_round()
+            if not self.misplacement():
                 break
         else:
-            raise BreachError(f"not whole after {LOOKS} looks: {self.trouble()}")
-        for _ in range(QUIET):
-            self._fair()
+            raise InvariantError(f"not whole after {SETTLE_ROUNDS} looks: {self.misplacement()}")
+        for _ in range(QUIET_ROUNDS):
+            self._run_round()
         epoch = self.table.epoch
-        for _ in range(QUIET):
-            self._fair()
+        for _ in range(QUIET_ROUNDS):
+            self._run_round()
         if self.table.epoch != epoch:
-            raise BreachError("places do not come to rest")
+            raise InvariantError("places do not come to rest")
 
-    def _fair(self) -> None:
-        self.time += ELECTION_MS
+    def _run_round(self) -> None:
+        self.time_ms += ELECTION_MS
         for g in self.groups:
             self.beat(g)
-            for i in range(SIZE):
+            for i in range(MACHINES):
                 self.stand(g, i)
             self.copy(g)
-        for i in range(SIZE):
+        for i in range(MACHINES):
             self.hello(i)
-        for i in range(SIZE):
+        for i in range(MACHINES):
             self.look(i)
 
 
 def play(world: World, step: Step) -> bool:
-    """One step."""
+    """Run one step. Returns False if it is not possible. Raises InvariantError."""
     name, a, b = step[0], int(step[1]), int(step[2])
     g = GROUPS[b % len(GROUPS)]
     match name:
         case "wait":
-            world.time += WAITS[a % len(WAITS)]
+            world.time_ms += WAITS_MS[a % len(WAITS_MS)]
         case "lose":
             return world.lose(a)
         case "stop" | "go" | "hello" | "look":
@@ -364,15 +383,15 @@
         case "beat" | "copy":
             getattr(world, name)(g)
         case "cut":
-            world.cut.add((a, b % SIZE))
+            world.cut_links.add((a, b % MACHINES))
         case "heal":
-            world.cut.clear()
+            world.cut_links.clear()
         case "out" | "in":
-            world.operator(a, name == "out")
+            world.set_out_of_service(a, name == "out")
     return True
 
 
-KINDS = {
+STEP_WEIGHTS = {
     "hello": 30,
     "look": 30,
     "beat": 15,
@@ -389,41 +408,41 @@
 }
 
 
-def walk(seed: int, length: int, decisions: Decisions | None = None) -> SearchResult:
-    """One random plan, then all that is left to be brought where it is wanted."""
-    rng, began = np.random.default_rng(np.random.SeedSequence(seed)), time.perf_counter()
-    weights = np.array(list(KINDS.values())) / sum(KINDS.values())
-    drawn = rng.choice(list(KINDS), length, p=weights)
+def run_random_plan(seed: int, length: int, decisions: Decisions | None = None) -> SearchResult:
+    """Run one random plan, then check that all copies get placed."""
+    rng, began_s = np.random.default_rng(np.random.SeedSequence(seed)), time.perf_counter()
+    weights = np.array(list(STEP_WEIGHTS.values())) / sum(STEP_WEIGHTS.values())
+    names = rng.choice(list(STEP_WEIGHTS), length, p=weights)
     plan = tuple(
         (str(name), str(a), str(b))
-        for name, (a, b) in zip(drawn, rng.integers(0, (SIZE, 84), (length, 2)), strict=True)
+        for name, (a, b) in zip(names, rng.integers(0, (MACHINES, 84), (length, 2)), strict=True)
     )
     found = SearchResult(plans=1, seed=seed, scene="places", steps=length)
-    ends, why = ending(plan, decisions)
+    steps, why = replay(plan, decisions)
     if why:
-        found.breach, found.plan = why, plan[:ends]
-    found.took_s = time.perf_counter() - began
+        found.breach, found.plan = why, plan[:steps]
+    found.took_s = time.perf_counter() - began_s
     return found
 
 
-def ending(plan: Iterable[Step], decisions: Decisions | None = None) -> tuple[int, str]:
-    """After how many steps a plan ends in a breach, and in which; 0 and nothing: it does not."""
-    world, played = World(decisions), 0
+def replay(plan: Iterable[Step], decisions: Decisions | None = None) -> tuple[int, str]:
+    """Replay a plan: the number of steps up to a breach and its text, or 0 and "" without one."""
+    world, steps = World(decisions), 0
     try:
         for step in plan:
-            played += 1
+            steps += 1
             play(world, step)
         world.settle()
-    except BreachError as breach:
-        return max(played, 1), str(breach)
+    except InvariantError as breach:
+        return max(steps, 1), str(breach)
     return 0, ""
 
 
 def search(seeds: Iterable[int], length: int, decisions: Decisions | None = None) -> SearchResult:
-    """Random plans, one after the other, until one breaks something."""
+    """Run a random plan for each seed until one ends in a breach."""
     total = SearchResult(scene="places")
     for seed in seeds:
-        found = walk(seed, length, decisions)
+        found = run_random_plan(seed, length, decisions)
         total = replace(
             total, plans=total.plans + 1, steps=total.steps + found.steps, took_s=total.took_s + found.took_s
         )
@@ -433,19 +452,19 @@
 
 
 def shorten(found: SearchResult, decisions: Decisions | None = None) -> tuple[Step, ...]:
-    """The fewest steps that still end in a breach."""
-    return shortened(found.plan, lambda plan: ending(plan, decisions)[0])
+    """The plan of a search result, shortened while it still ends in a breach."""
+    return shortened_plan(found.plan, lambda plan: replay(plan, decisions)[0])
 
 
 def hasty(view: GroupView) -> Members | None:
-    """A mistake to be found: a copy is taken out before the one in its place has come."""
+    """Planted bug: a copy is removed before the copy that replaces it is complete."""
     leaving = [m for m in view.members if m.voter and m.name not in view.machine_names and m.id != view.me]
     if view.machine_names and leaving:
         return tuple(m for m in view.members if m != leaving[0])
     return next_change(view)
 
 
-def crowding(sight: ClusterView) -> PlacementTable | None:
-    """A mistake to be found: zones are not looked at when a copy finds its place."""
-    blind = tuple(structs.replace(m, zone="") for m in sight.present)
-    return next_table(replace(sight, present=blind))
+def crowding(view: ClusterView) -> PlacementTable | None:
+    """Planted bug: zones are ignored when a copy is placed."""
+    without_zones = tuple(structs.replace(m, zone="") for m in view.present)
+    return next_table(replace(view, present=without_zones))
--- a/plumwall/model/scenes.py
+++ b/plumwall/model/scenes.py
@@ -1,14 +1,14 @@
-"""States worth beginning from: just before something that is easily done wrongly.
+"""Initial states for the search, each just before a situation that is error-prone.
 
-Each is reached by ordinary steps from the start, by whatever program is played; where a mistake breaks
-something on the way, that is a breach as any other.
+Each scene runs ordinary steps from the start, also with a planted bug in place. If an invariant is violated
+on the way, the scene raises InvariantError, which the search reports as any other breach.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from plumwall.model.cluster import SETTINGS, TTL_MS, Cluster, PlantedBug
+from plumwall.model.cluster import LEASE_TTL_MS, SETTINGS, Cluster, PlantedBug
 from plumwall.model.keyed import KEYS, KeyedCluster
 from yewstage.raft.core import LEADER
 from yewstage.raft.messages import AppendEntries
@@ -17,7 +17,10 @@
 
 
 def settle(cluster: Cluster, *still: int) -> None:
-    """All messages come and all writes are durable, but for those of machines that stand still."""
+    """Deliver all messages and make all writes durable, except writes of the machines `still`.
+
+    Raises AssertionError if messages are still in flight after 200 deliveries.
+    """
     for _ in range(200):
         for i, node in enumerate(cluster.nodes):
             if node.disk.pending and i not in still:
@@ -25,11 +28,11 @@
         if not cluster.network:
             return
         cluster.deliver(0)
-    raise AssertionError("it does not come to rest")
+    raise AssertionError("messages are still in flight after 200 deliveries")
 
 
 def elect(cluster: Cluster, i: int) -> None:
-    """One machine stands, and all others hear it."""
+    """Let one machine stand for election while all others can hear it."""
     cluster.wait(3 * SETTINGS.election_ms)
     cluster.tick(i)
     settle(cluster)
@@ -37,14 +40,14 @@
 
 
 def beat(cluster: Cluster, i: int) -> None:
-    """A leader's sign of life, and all that comes of it."""
+    """Let a leader send a heartbeat, and deliver everything that follows from it."""
     cluster.wait(SETTINGS.heartbeat_ms)
     cluster.tick(i)
     settle(cluster)
 
 
-def begin_anew(cluster: Cluster) -> None:
-    """All go on from a snapshot, after a restart."""
+def restart_from_snapshot(cluster: Cluster) -> None:
+    """Compact all replicas and restart them, so that they run from a snapshot."""
     for i in (A, B, C):
         cluster.compact(i)
     settle(cluster)
@@ -54,12 +57,12 @@
 
 
 def start(planted: PlantedBug | None) -> Cluster:
-    """Three machines that know nothing but their members."""
+    """Three machines that have just started and know only the member list."""
     return Cluster(planted=planted)
 
 
 def led(planted: PlantedBug | None) -> Cluster:
-    """One leads; a write is acknowledged, a duty is held."""
+    """A has become leader, a write is acknowledged and a lease on the duty is held."""
     cluster = Cluster(planted=planted)
     elect(cluster, A)
     cluster.write(A)
@@ -70,7 +73,8 @@
 
 
 def candidates(planted: PlantedBug | None) -> Cluster:
-    """Two stand in the same term; the third has heard one of them, and what it wrote is not durable yet."""
+    """Two candidates in one term; the third machine has received one vote request, and its write of the vote
+    is not durable yet."""
     cluster = Cluster(planted=planted)
     cluster.cut_links |= {(A, B), (B, A)}
     cluster.wait(3 * SETTINGS.election_ms)
@@ -86,8 +90,8 @@
 
 
 def older_entry(planted: PlantedBug | None) -> Cluster:
-    """A leader brings an entry of its earlier term to a second machine, while a third has one of a later
-    term in its place (figure 8 of the paper)."""
+    """A leader replicates an entry of its earlier term to a second machine, while a third machine has an
+    entry of a later term at the same index (figure 8 of the Raft paper)."""
     cluster = led(planted)
     cluster.cut_links |= {(A, B), (A, C)}
     cluster.write(A)
@@ -95,24 +99,27 @@
     cluster.crash(A)
     cluster.cut_links.clear()
     cluster.wait(3 * SETTINGS.election_ms)
-    _win(cluster, C)
+    _run_until_leader(cluster, C)
     cluster.network.clear()
     cluster.sync(C)
     cluster.crash(C)
     cluster.restart(A)
-    _win(cluster, A)
+    _run_until_leader(cluster, A)
     cluster.sync(A)
     while not any(isinstance(m, AppendEntries) and m.entries for m in cluster.network):
         cluster.deliver(0)
-    brought = next(m for m in cluster.network if isinstance(m, AppendEntries) and m.entries)
-    cluster.network = [brought]
+    append = next(m for m in cluster.network if isinstance(m, AppendEntries) and m.entries)
+    cluster.network = [append]
     cluster.deliver(0)
     cluster.sync(B)
     return cluster
 
 
-def _win(cluster: Cluster, i: int) -> None:
-    """One machine stands, as often as it takes, up to the moment in which it leads."""
+def _run_until_leader(cluster: Cluster, i: int) -> None:
+    """Let one machine stand for election until it leads, and stop at that moment.
+
+    Raises AssertionError if it does not lead after 100 rounds.
+    """
     replica = cluster.nodes[i].group.replica
     for _ in range(100):
         if replica.role == LEADER:
@@ -125,11 +132,11 @@
                 cluster.sync(at)
         if cluster.network and replica.role != LEADER:
             cluster.deliver(0)
-    raise AssertionError("it does not win")
+    raise AssertionError("the machine does not become leader within 100 rounds")
 
 
 def unheard(planted: PlantedBug | None) -> Cluster:
-    """A leader that one machine does not hear; the other one has confirmed it and then begun anew."""
+    """A leader that B cannot hear. C has confirmed it, restarted, and is now cut off from it too."""
     cluster = led(planted)
     cluster.cut_links |= {(A, B), (B, A)}
     for _ in range(3):
@@ -144,14 +151,14 @@
 
 
 def alone(planted: PlantedBug | None) -> Cluster:
-    """A leader that neither hears nor is heard, and has just been confirmed."""
+    """A leader that was confirmed by a quorum just before all its links were cut."""
     cluster = led(planted)
     cluster.cut_links |= {(A, B), (A, C), (B, A), (C, A)}
     return cluster
 
 
 def replaced(planted: PlantedBug | None) -> Cluster:
-    """One machine has come back with an empty disk, and is not let in yet."""
+    """C has restarted with a wiped disk and is not a member yet."""
     cluster = led(planted)
     cluster.wipe(C)
     beat(cluster, A)
@@ -159,15 +166,15 @@
 
 
 def held(planted: PlantedBug | None) -> Cluster:
-    """A duty is held, a snapshot stands in place of the entry that granted it, and the leader is gone."""
+    """A lease is held, its entry is compacted into a snapshot, and after restarts no machine leads."""
     cluster = led(planted)
-    begin_anew(cluster)
-    cluster.wait(TTL_MS / 2)
+    restart_from_snapshot(cluster)
+    cluster.wait(LEASE_TTL_MS / 2)
     return cluster
 
 
 def claimed(planted: PlantedBug | None) -> Cluster:
-    """A group of keys: one is claimed, the other one has ended, and all were started anew after that."""
+    """A group of keys: one key is claimed, the request of the other one has ended, and all have restarted."""
     cluster = KeyedCluster(planted=planted)
     elect(cluster, A)
     for _ in range(KEYS):
@@ -175,7 +182,7 @@
     settle(cluster)
     cluster.acquire(A, "h1")
     settle(cluster)
-    begin_anew(cluster)
+    restart_from_snapshot(cluster)
     return cluster
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -14,7 +14,7 @@
 
 from plumwall.model import places
 from plumwall.model.cluster import SETTINGS
-from plumwall.model.explore import every, search, shorten
+from plumwall.model.explore import search, search_all_orders, shorten
 from plumwall.model.places import Decisions
 from plumwall.model.planted import PLANTED
 from plumwall.model.scenes import SCENES, A, B, C, beat, elect, led, settle, start
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("scene", ["start", "candidates", "older-entry", "held", "claimed"])
 def test_invariants_hold_for_all_event_orders_up_to_a_depth(scene: str) -> None:
-    found = every(scene, 3)
+    found = search_all_orders(scene, 3)
     assert found.complete and found.depth == 3 and found.states > 100 and not found.breach, found
 
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("mistake", [Decisions(places.hasty), Decisions(next_table=places.crowding)])
 def test_planted_placement_bug_is_found(mistake: Decisions) -> None:
     found = places.search(range(100), 300, mistake)
-    assert found.breach and places.ending(places.shorten(found, mistake), mistake)[1]
+    assert found.breach and places.replay(places.shorten(found, mistake), mistake)[1]
 
 
 def test_complete_copy_is_kept_while_another_member_may_be_lost() -> None:
@@ -96,7 +96,7 @@
     last, commit = leader.last, leader.commit_index
     cluster.crash(C)
     del faulty.disk.saved.entries[-1:]
-    cluster.planted.keeps_name = True  # the model forbids a reported durability loss; here the loss is real
+    cluster.planted.reuses_id = True  # the model forbids a reported durability loss; here the loss is real
     cluster.restart(C)
     assert faulty.group.replica.last == last - 1
     for _ in range(4):
