--- a/plumwall/emulator/__init__.py
+++ b/plumwall/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The world on loopback sockets, round gateways that are the real program."""
+"""The emulator: the gateways' surroundings on loopback sockets, with the real program as the gateways."""
--- a/plumwall/emulator/clients.py
+++ b/plumwall/emulator/clients.py
@@ -1,7 +1,7 @@
-"""The front and its clients: an open loop that asks when it is due to, however long answers take.
+"""The load generator: clients and the load balancer in front of the gateways, as an open loop.
 
-A late generator does not thin the load: latency counts from when a try was due, and how late it was sent is
-told beside it.
+Each try is sent when it is due, no matter how long earlier answers take. Latency is counted from the time a
+try was due, so a slow generator does not hide delay; how late tries are sent is reported as well.
 """
 
 from __future__ import annotations
@@ -20,46 +20,57 @@
 from plumwall.emulator.tally import Tally
 from plumwall.world.generator import FaultEvent, FirstTry, GeneratedWorld, draw_between
 
-HEALTH_POLL_S = 0.1  # spacing of the front's look whether a gateway that was down is ready again
-DIAL_S = 1.0
-AHEAD_S = 0.002  # the loop's timers know no less
-LONGEST_SLEEP_MS = 50.0  # retries may come to be due meanwhile
-LONGEST = 4096  # of an answer's body that is looked at
+HEALTH_POLL_S = 0.1  # interval of the readiness checks of a gateway that was down
+CONNECT_TIMEOUT_S = 1.0
+MIN_SLEEP_S = 0.002  # timers of the event loop are not more precise
+MAX_SLEEP_MS = 50.0  # a retry may become due during the sleep
+MAX_BODY_BYTES = 4096  # of an answer that are kept for the check
 
 
 class PendingTry:
-    """A try on its way."""
-
-    __slots__ = ("first", "number", "id", "gateway", "due", "fresh", "line", "timer", "over", "late")
-
-    def __init__(self, first: FirstTry, number: int, rid: str, gateway: str, due: float) -> None:
-        self.first, self.number, self.id, self.gateway, self.due = first, number, rid, gateway, due
-        self.fresh = self.over = self.late = False
-        self.line: Line | None = None
+    """A try in progress. `due` is in milliseconds since the load began."""
+
+    __slots__ = (
+        "first",
+        "number",
+        "id",
+        "gateway",
+        "due",
+        "on_new_connection",
+        "connection",
+        "timer",
+        "is_ended",
+        "is_late",
+    )
+
+    def __init__(self, first: FirstTry, number: int, try_id: str, gateway: str, due: float) -> None:
+        self.first, self.number, self.id, self.gateway, self.due = first, number, try_id, gateway, due
+        self.on_new_connection = self.is_ended = self.is_late = False
+        self.connection: ClientConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
 
-class Line(asyncio.Protocol):
-    """One connection of the front to a gateway: one request at a time."""
+class ClientConnection(asyncio.Protocol):
+    """One client connection to a gateway. It carries one request at a time."""
 
     def __init__(self, target: Target) -> None:
         self._target = target
         self._parser = httptools.HttpResponseParser(self)
         self.pending: PendingTry | None = None
-        self.closed = False
-        self._begin()
+        self.is_closed = False
+        self._reset()
 
-    def _begin(self) -> None:
-        self._body, self._retry, self._any = b"", 0.0, False
+    def _reset(self) -> None:
+        self._body, self._retry_after_s, self._received_any = b"", 0.0, False
 
     def send(self, pending: PendingTry, data: bytes) -> None:
-        """Write a request."""
+        """Write the request of a try."""
         self.pending = pending
-        self._begin()
+        self._reset()
         self.transport.write(data)
 
-    def drop(self) -> None:
-        """End the connection."""
+    def abort(self) -> None:
+        """Close the connection at once."""
         self.transport.abort()
 
     # asyncio.Protocol
@@ -69,48 +80,48 @@
 
     def data_received(self, data: bytes) -> None:
         if self.pending is None:
-            self._target.spoke_unasked(self)
+            self._target.on_unsolicited_data(self)
             return
-        self._any = True
+        self._received_any = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._end(r.TRUNCATED)
+            self._on_end(r.TRUNCATED)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.closed = True
-        self._target.lost(self)
+        self.is_closed = True
+        self._target.on_closed(self)
         if self.pending is not None:
-            self._end(r.TRUNCATED if self._any else r.CLOSED)
+            self._on_end(r.TRUNCATED if self._received_any else r.CLOSED)
 
     # httptools
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         if name == b"retry-after":
-            self._retry = _seconds(value)
+            self._retry_after_s = _seconds(value)
 
     def on_body(self, data: bytes) -> None:
-        if len(self._body) < LONGEST:
+        if len(self._body) < MAX_BODY_BYTES:
             self._body += data
 
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() < 200:
             return
         keep = self._parser.should_keep_alive()
-        self._end(r.WHOLE, self._parser.get_status_code(), keep)
+        self._on_end(r.WHOLE, self._parser.get_status_code(), keep)
 
-    def _end(self, how: str, status: int = 0, keep: bool = False) -> None:
+    def _on_end(self, how: str, status: int = 0, keep: bool = False) -> None:
         pending, self.pending = self.pending, None
         if pending is None:
             return
-        if not keep and not self.closed:
+        if not keep and not self.is_closed:
             self.transport.abort()
-        if status == 200 and not self._target.made_by_server(pending, self._body):
+        if status == 200 and not self._target.is_server_answer(pending, self._body):
             how = r.WRONG
         if keep:
-            self._target.idle(self)
-        self._target.ended(pending, how, status, self._retry)
+            self._target.release(self)
+        self._target.on_ended(pending, how, status, self._retry_after_s)
 
 
 def _seconds(value: bytes) -> float:
@@ -122,101 +133,108 @@
 
 
 class Target:
-    """A gateway as the front sees it: whether it sends there, and its connections."""
+    """A gateway as the load generator sees it: whether it gets new tries, and the connections to it."""
 
-    def __init__(self, front: LoadGenerator, name: str, address: str) -> None:
-        self._front, self.name = front, name
+    def __init__(self, generator: LoadGenerator, name: str, address: str) -> None:
+        self._generator, self.name = generator, name
         host, _, port = address.rpartition(":")
         self._address = host, int(port)
-        self.up = True
-        self._idle: list[Line] = []
-        self._lines: set[Line] = set()
-        self._dialling: set[asyncio.Task] = set()
+        self.is_up = True
+        self._idle: list[ClientConnection] = []
+        self._connections: set[ClientConnection] = set()
+        self._connecting: set[asyncio.Task] = set()
 
     def send(self, pending: PendingTry) -> None:
-        """Send a try on an idle connection, or on a new one."""
+        """Send a try on an idle connection, or on a new one if there is none."""
         while self._idle:
-            line = self._idle.pop()
-            if not line.closed:
-                self._write(line, pending)
+            connection = self._idle.pop()
+            if not connection.is_closed:
+                self._write(connection, pending)
                 return
-        self.send_afresh(pending)
+        self.send_on_new_connection(pending)
 
-    def send_afresh(self, pending: PendingTry) -> None:
-        """On a new connection."""
-        pending.fresh = True
-        task = self._front.loop.create_task(self._dial(pending))
-        self._dialling.add(task)
-        task.add_done_callback(self._dialling.discard)
+    def send_on_new_connection(self, pending: PendingTry) -> None:
+        """Send a try on a new connection."""
+        pending.on_new_connection = True
+        task = self._generator.loop.create_task(self._connect(pending))
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
 
-    async def _dial(self, pending: PendingTry) -> None:
+    async def _connect(self, pending: PendingTry) -> None:
         try:
-            async with asyncio.timeout(DIAL_S):
-                _, line = await self._front.loop.create_connection(lambda: Line(self), *self._address)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                _, connection = await self._generator.loop.create_connection(
+                    lambda: ClientConnection(self), *self._address
+                )
         except (OSError, TimeoutError):
-            self._front.ended(pending, r.REFUSED, 0, 0.0)
+            self._generator.on_ended(pending, r.REFUSED, 0, 0.0)
             return
-        self._lines.add(line)
-        if pending.over:
-            line.drop()
+        self._connections.add(connection)
+        if pending.is_ended:
+            connection.abort()
         else:
-            self._write(line, pending)
-
-    def _write(self, line: Line, pending: PendingTry) -> None:
-        pending.line = line
-        left = pending.due + pending.first.try_ms - self._front.now()
-        if left < 1:
-            self.idle(line)
-            self._front.ended(pending, r.NOT_SENT, 0, 0.0)
+            self._write(connection, pending)
+
+    def _write(self, connection: ClientConnection, pending: PendingTry) -> None:
+        pending.connection = connection
+        left_ms = pending.due + pending.first.try_ms - self._generator.now()
+        if left_ms < 1:
+            self.release(connection)
+            self._generator.on_ended(pending, r.NOT_SENT, 0, 0.0)
             return
-        line.send(pending, self._front.bytes_of(pending, left))
-        self._front.sent(pending, left)
-
-    def idle(self, line: Line) -> None:
-        """A connection is free again."""
-        if not line.closed:
-            self._idle.append(line)
-
-    def lost(self, line: Line) -> None:
-        """A connection has ended."""
-        self._lines.discard(line)
-        if line in self._idle:
-            self._idle.remove(line)
-
-    def spoke_unasked(self, line: Line) -> None:
-        """Bytes behind a whole answer, or before any request."""
-        self._front.spoke_unasked(self.name)
-        line.drop()
-
-    def made_by_server(self, pending: PendingTry, body: bytes) -> bool:
-        """Whether a body is what one of our servers made for this request."""
-        return not self._front.known_servers or body.startswith(b'{"id":"%b"' % pending.id.encode())
-
-    def ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
-        """A try has come to its end here. A kept connection may have been closed as we wrote: once more."""
-        if how == r.CLOSED and not pending.fresh:
-            self._front.resend(pending)
+        connection.send(pending, self._generator.request_bytes(pending, left_ms))
+        self._generator.on_sent(pending, left_ms)
+
+    def release(self, connection: ClientConnection) -> None:
+        """Return a connection to the idle ones."""
+        if not connection.is_closed:
+            self._idle.append(connection)
+
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Forget a connection that has closed."""
+        self._connections.discard(connection)
+        if connection in self._idle:
+            self._idle.remove(connection)
+
+    def on_unsolicited_data(self, connection: ClientConnection) -> None:
+        """Handle bytes after a complete answer or before any request: a protocol error of the gateway."""
+        self._generator.on_unsolicited_data(self.name)
+        connection.abort()
+
+    def is_server_answer(self, pending: PendingTry, body: bytes) -> bool:
+        """Whether a body is one that a server of the emulator made for this request."""
+        return not self._generator.verifies_answers or body.startswith(b'{"id":"%b"' % pending.id.encode())
+
+    def on_ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
+        """Handle the end of a try. A kept connection may have been closed while the request was written: the
+        try is then sent again."""
+        if how == r.CLOSED and not pending.on_new_connection:
+            self._generator.resend(pending)
         else:
-            self._front.ended(pending, how, status, retry_s)
+            self._generator.on_ended(pending, how, status, retry_s)
 
     def close(self) -> None:
-        """The run is over."""
-        for task in self._dialling:
+        """Cancel all work and close all connections."""
+        for task in self._connecting:
             task.cancel()
-        for line in list(self._lines):
-            line.drop()
+        for connection in list(self._connections):
+            connection.abort()
 
-    async def ready(self) -> bool:
-        """Whether it says that it can serve."""
+    async def is_ready(self) -> bool:
+        """Whether the gateway reports itself ready."""
         try:
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 return await is_ready(*self._address)
         except TimeoutError:
             return False
 
 
 class LoadGenerator:
-    """Sends each try when it is due to one of its customer's gateways, and retries as clients do."""
+    """Sends each try when it is due to one of its customer's gateways, and retries as real clients would.
+
+    `gateways` maps names to addresses. Of all first tries, this generator sends those whose index modulo
+    `shards` is `shard`. An answer that comes within `overdue_ms` after a try's deadline is still recorded.
+    """
 
     def __init__(
         self,
@@ -227,105 +245,110 @@
         shard: int = 0,
         shards: int = 1,
         overdue_ms: float = 550.0,
-        known_servers: bool = True,
+        verifies_answers: bool = True,
     ) -> None:
         self.world, self.loop, self._write, self._overdue_ms = world, loop, write, overdue_ms
         self.t0 = 0.0
         self.tally = Tally(
             [c.name for c in world.scenario.classes], [world.plans[c.plan].name for c in world.customers]
         )
-        self.known_servers = known_servers  # their answers name the request
+        self.verifies_answers = verifies_answers  # a 200 must carry the id of its request
         self._names = [g.name for g in world.gateways]
         self.targets = {name: Target(self, name, gateways[name]) for name in self._names}
-        self._todo: deque[FirstTry] = deque(t for t in world.tries if t.index % shards == shard)
+        self._first_tries: deque[FirstTry] = deque(t for t in world.tries if t.index % shards == shard)
         self._retries: list[tuple[float, int, int, FirstTry]] = []
-        self.open = 0
-        self._salt = world.seed
-        self._notice_ms = (
+        self.open_count = 0
+        self._id_salt = world.seed
+        self._notice_delay_ms = (
             draw_between(world.random_streams.stream("notice"), world.scenario.clients.notice_s) * 1000
         )
-        self._heads = [self._head(i) for i in range(len(world.scenario.classes))]
-        self._watching: set[asyncio.Task] = set()
-        self.over = asyncio.Event()
+        self._request_heads = [self._request_head(i) for i in range(len(world.scenario.classes))]
+        self._polling: set[asyncio.Task] = set()
+        self.finished = asyncio.Event()
 
     def now(self) -> float:
         """Milliseconds since the load began."""
         return time.monotonic() * 1000 - self.t0
 
-    def begin(self) -> None:
-        """Ask from now on."""
-        self._turn()
+    def start(self) -> None:
+        """Start sending."""
+        self._send_due()
 
-    def change(self, change: FaultEvent) -> None:
-        """The front finds out late that a gateway is gone, and by its word that it is back."""
-        if change.kind not in ("gateway_kill", "gateway_restart"):
+    def apply_fault(self, event: FaultEvent) -> None:
+        """Apply a fault event. A stopped gateway is noticed after a delay, and used again once it reports
+        ready."""
+        if event.kind not in ("gateway_kill", "gateway_restart"):
             return
-        target = self.targets[change.target]
-        task = self.loop.create_task(self._watch(target, self._notice_ms / 1000))
-        self._watching.add(task)
-        task.add_done_callback(self._watching.discard)
+        target = self.targets[event.target]
+        task = self.loop.create_task(self._poll_until_ready(target, self._notice_delay_ms / 1000))
+        self._polling.add(task)
+        task.add_done_callback(self._polling.discard)
 
     def close(self) -> None:
-        """The run is over."""
-        for task in self._watching:
+        """Cancel all work and close all connections."""
+        for task in self._polling:
             task.cancel()
         for target in self.targets.values():
             target.close()
 
     # --- Sending ------------------------------------------------------------------------------------------
 
-    def _turn(self) -> None:
-        """Send all that is due, then sleep until the next is."""
+    def _send_due(self) -> None:
+        """Send all tries that are due, then sleep until the next one is."""
         now = self.now()
-        while self._todo and self._todo[0].due_ms <= now:
-            first = self._todo.popleft()
+        while self._first_tries and self._first_tries[0].due_ms <= now:
+            first = self._first_tries.popleft()
             self._send(first, 0, first.due_ms)
         while self._retries and self._retries[0][0] <= now:
             due, _, number, first = heapq.heappop(self._retries)
             self._send(first, number, due)
-        if not self._todo and not self._retries and not self.open:
-            self.over.set()
+        if not self._first_tries and not self._retries and not self.open_count:
+            self.finished.set()
             return
-        following = now + LONGEST_SLEEP_MS
-        if self._todo:
-            following = min(following, self._todo[0].due_ms)
+        next_due_ms = now + MAX_SLEEP_MS
+        if self._first_tries:
+            next_due_ms = min(next_due_ms, self._first_tries[0].due_ms)
         if self._retries:
-            following = min(following, self._retries[0][0])
-        self.loop.call_later(max(AHEAD_S, (following - now) / 1000), self._turn)
+            next_due_ms = min(next_due_ms, self._retries[0][0])
+        self.loop.call_later(max(MIN_SLEEP_S, (next_due_ms - now) / 1000), self._send_due)
 
     def _send(self, first: FirstTry, number: int, due: float) -> None:
         gateway = self.world.gateway_of(first, number, due)
         names = self._names
-        width = self.world.customers[first.customer].width
-        begins = self.world.customers[first.customer].first
-        if not self.targets[names[gateway]].up:  # another of its set, the next one round
-            ring = [(gateway + step) % len(names) for step in range(1, len(names))]
-            ring = [g for g in ring if (g - begins) % len(names) < width and self.targets[names[g]].up]
-            gateway = ring[0] if ring else gateway
+        subset_size = self.world.customers[first.customer].width
+        first_gateway = self.world.customers[first.customer].first
+        if not self.targets[names[gateway]].is_up:  # the next gateway of the customer's subset that is up
+            candidates = [(gateway + step) % len(names) for step in range(1, len(names))]
+            candidates = [
+                g
+                for g in candidates
+                if (g - first_gateway) % len(names) < subset_size and self.targets[names[g]].is_up
+            ]
+            gateway = candidates[0] if candidates else gateway
         pending = PendingTry(
-            first, number, request_id(first.index, number, gateway, self._salt), names[gateway], due
+            first, number, request_id(first.index, number, gateway, self._id_salt), names[gateway], due
         )
-        self.open += 1
-        self.tally.offered(due, self.now())
+        self.open_count += 1
+        self.tally.record_offered(due, self.now())
         self.targets[pending.gateway].send(pending)
 
-    def bytes_of(self, pending: PendingTry, left_ms: float) -> bytes:
-        """The request on the wire."""
+    def request_bytes(self, pending: PendingTry, left_ms: float) -> bytes:
+        """The request as it is sent."""
         first = pending.first
         customer = self.world.customers[first.customer]
-        method, cls, tail = self._heads[first.cls]
+        method, request_class, rest = self._request_heads[first.cls]
         retry = "X-Retry: 1\r\n" if pending.number else ""
-        key = f"Idempotency-Key: {first.index:016x}\r\n" if cls.effect == "keyed" else ""
+        key = f"Idempotency-Key: {first.index:016x}\r\n" if request_class.effect == "keyed" else ""
         return (
             f"{method} /api/{customer.id}?work_ms={first.work_ms} HTTP/1.1\r\nHost: origin.svc\r\n"
-            f"X-Request-Id: {pending.id}\r\nX-Class: {cls.name}\r\n"
+            f"X-Request-Id: {pending.id}\r\nX-Class: {request_class.name}\r\n"
             f"Plan: {self.world.plans[customer.plan].name}\r\nX-Deadline: {left_ms:.0f}m\r\n"
             f"Quota-Info: units={first.guess},spread={customer.width},first={customer.first}\r\n"
-            f"{key}{retry}{tail}"
+            f"{key}{retry}{rest}"
         ).encode()
 
-    def sent(self, pending: PendingTry, left_ms: float) -> None:
-        """Its last byte is written."""
+    def on_sent(self, pending: PendingTry, left_ms: float) -> None:
+        """Record a try whose last byte is written, and start its timer."""
         now = self.now()
         self._write(
             r.Asked(
@@ -336,88 +359,91 @@
                 pending.gateway,
                 round(left_ms, 3),
                 pending.due,
-                pending.fresh,
+                pending.on_new_connection,
             )
         )
         if pending.timer is not None:
             pending.timer.cancel()
-        leaves = pending.first.leaves_ms if not pending.number else 0.0
-        if leaves and leaves < left_ms:
-            pending.timer = self.loop.call_later(leaves / 1000, self._leave, pending)
+        leaves_after_ms = pending.first.leaves_ms if not pending.number else 0.0
+        if leaves_after_ms and leaves_after_ms < left_ms:
+            pending.timer = self.loop.call_later(leaves_after_ms / 1000, self._on_client_left, pending)
         else:
-            pending.timer = self.loop.call_later(left_ms / 1000, self._late, pending)
+            pending.timer = self.loop.call_later(left_ms / 1000, self._on_deadline, pending)
 
     def resend(self, pending: PendingTry) -> None:
-        """The gateway closed a kept connection as we wrote on it: once more, on a new one."""
-        if pending.over or pending.late:
-            self.ended(pending, r.CLOSED, 0, 0.0)
+        """Send a try again on a new connection: the gateway closed the kept one while the request was
+        written."""
+        if pending.is_ended or pending.is_late:
+            self.on_ended(pending, r.CLOSED, 0, 0.0)
             return
-        self.targets[pending.gateway].send_afresh(pending)
+        self.targets[pending.gateway].send_on_new_connection(pending)
 
-    def spoke_unasked(self, gateway: str) -> None:
-        """A gateway said something on a connection where nothing was open."""
+    def on_unsolicited_data(self, gateway: str) -> None:
+        """Record bytes from a gateway on a connection without an open request."""
         self._write(r.Answered(self.now(), "", gateway, r.DOUBLE))
 
     # --- Ends ---------------------------------------------------------------------------------------------
 
-    def _leave(self, pending: PendingTry) -> None:
-        pending.line.pending = None
-        pending.line.drop()
-        self.ended(pending, r.LEFT, 0, 0.0)
+    def _on_client_left(self, pending: PendingTry) -> None:
+        pending.connection.pending = None
+        pending.connection.abort()
+        self.on_ended(pending, r.LEFT, 0, 0.0)
 
-    def _late(self, pending: PendingTry) -> None:
-        """Its time is up. Whether an answer still comes is listened for a while; its client goes on."""
-        pending.late = True
+    def _on_deadline(self, pending: PendingTry) -> None:
+        """Handle a try whose deadline has passed. Its client may retry, and the connection stays open for a
+        while to see whether an answer still comes."""
+        pending.is_late = True
         self._retry(pending, 0.0)
-        pending.timer = self.loop.call_later(self._overdue_ms / 1000, self._overdue, pending)
+        pending.timer = self.loop.call_later(self._overdue_ms / 1000, self._on_overdue, pending)
 
-    def _overdue(self, pending: PendingTry) -> None:
-        pending.line.pending = None
-        pending.line.drop()
-        self.ended(pending, r.TIMED_OUT, 0, 0.0)
+    def _on_overdue(self, pending: PendingTry) -> None:
+        pending.connection.pending = None
+        pending.connection.abort()
+        self.on_ended(pending, r.TIMED_OUT, 0, 0.0)
 
-    def ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
-        """A try is over."""
-        if pending.over:
+    def on_ended(self, pending: PendingTry, how: str, status: int, retry_s: float) -> None:
+        """Record the end of a try and retry it if its client would."""
+        if pending.is_ended:
             return
-        pending.over = True
-        self.open -= 1
+        pending.is_ended = True
+        self.open_count -= 1
         if pending.timer is not None:
             pending.timer.cancel()
         now = self.now()
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
-        self.tally.ended(pending, how, status, now)
-        if not pending.late and how != r.LEFT and not (how == r.WHOLE and status == 200):
+        self.tally.record_end(pending, how, status, now)
+        if not pending.is_late and how != r.LEFT and not (how == r.WHOLE and status == 200):
             self._retry(
                 pending, retry_s * 1000, refused=status in (429, 503) or how in (r.REFUSED, r.NOT_SENT)
             )
 
     def _retry(self, pending: PendingTry, retry_ms: float, refused: bool = False) -> None:
-        """A client asks again: after what was refused always, after what failed if that does no harm."""
+        """Schedule a retry if any are left: always after a refusal, after a failure unless the class is
+        unsafe."""
         first, clients = pending.first, self.world.scenario.clients
-        cls = self.world.scenario.classes[first.cls]
-        if pending.number >= clients.retries or not (refused or cls.effect != "unsafe"):
+        request_class = self.world.scenario.classes[first.cls]
+        if pending.number >= clients.retries or not (refused or request_class.effect != "unsafe"):
             return
-        backoff = interpolate(clients.backoff_ms, first.backoff_luck[pending.number]) * 2**pending.number
-        wait = max(backoff, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
-        at = self.now() + wait
-        if at < first.due_ms + cls.deadline_ms:
-            heapq.heappush(self._retries, (at, first.index, pending.number + 1, first))
-
-    async def _watch(self, target: Target, after_s: float) -> None:
-        await asyncio.sleep(after_s)
-        target.up = await target.ready()
-        while not target.up:
+        backoff_ms = interpolate(clients.backoff_ms, first.backoff_luck[pending.number]) * 2**pending.number
+        wait_ms = max(backoff_ms, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
+        at_ms = self.now() + wait_ms
+        if at_ms < first.due_ms + request_class.deadline_ms:
+            heapq.heappush(self._retries, (at_ms, first.index, pending.number + 1, first))
+
+    async def _poll_until_ready(self, target: Target, delay_s: float) -> None:
+        await asyncio.sleep(delay_s)
+        target.is_up = await target.is_ready()
+        while not target.is_up:
             await asyncio.sleep(HEALTH_POLL_S)
-            target.up = await target.ready()
+            target.is_up = await target.is_ready()
 
-    def _head(self, cls: int) -> tuple[str, object, str]:
-        made = self.world.scenario.classes[cls]
-        if made.effect == "safe":
-            return "GET", made, "\r\n"
-        return "POST", made, "Content-Length: 2\r\n\r\n{}"
+    def _request_head(self, class_index: int) -> tuple[str, object, str]:
+        request_class = self.world.scenario.classes[class_index]
+        if request_class.effect == "safe":
+            return "GET", request_class, "\r\n"
+        return "POST", request_class, "Content-Length: 2\r\n\r\n{}"
 
 
 def interpolate(span: object, luck: float) -> float:
-    """A number of a span, by a luck drawn ahead."""
+    """The value at a fraction `luck` (0 to 1, drawn earlier) of a span."""
     return span.least + (span.most - span.least) * luck
--- a/plumwall/emulator/fleet.py
+++ b/plumwall/emulator/fleet.py
@@ -1,4 +1,5 @@
-"""The gateways of a run: real processes by the deploy file's `run`, each with its own limits."""
+"""The gateways of a run: real processes, started with the `run` command of the deploy file, each with its own
+limits."""
 
 from __future__ import annotations
 
@@ -12,23 +13,31 @@
 
 import msgspec
 
-from plumwall.emulator.process import cpu_s, end, is_ready, kill, limits, resident_mb, spawn
+from plumwall.emulator.process import cpu_s, is_ready, kill, resident_mb, socket_limiter, spawn, terminate
 from plumwall.world.generator import GatewaySpec, GeneratedWorld
 
-READY_S = 20.0
-LOOK_S = 0.02
-OPS_S = 1.0  # how long a look at the figures may take
-WATCH_S = 0.5  # spacing of the look at memory
-KILL_S = 0.7  # beyond the longest deadline, after which SIGKILL follows SIGTERM
-PASSED_ON = ("PATH", "HOME", "LANG", "LC_ALL", "PYTHONPATH", "PYTHONDONTWRITEBYTECODE", "SYSTEMROOT")
+READY_TIMEOUT_S = 20.0
+READY_POLL_S = 0.02
+METRICS_TIMEOUT_S = 1.0
+MEMORY_POLL_S = 0.5
+KILL_GRACE_S = 0.7  # from SIGTERM plus the longest deadline to SIGKILL
+INHERITED_VARIABLES = (
+    "PATH",
+    "HOME",
+    "LANG",
+    "LC_ALL",
+    "PYTHONPATH",
+    "PYTHONDONTWRITEBYTECODE",
+    "SYSTEMROOT",
+)
 
 
 class StartError(RuntimeError):
-    """The fleet cannot be started; the text says why."""
+    """A process of the run cannot be started or has ended too early; the text says why."""
 
 
 def run_command(deploy: Path) -> str:
-    """The deploy file's `run`."""
+    """The `run` command of a deploy file. Raises StartError if there is none."""
     try:
         command = tomllib.loads(deploy.read_text(encoding="utf-8")).get("run")
     except (OSError, tomllib.TOMLDecodeError) as error:
@@ -39,131 +48,141 @@
 
 
 def free_port(host: str) -> int:
-    """A port that nobody has at this address now."""
+    """A port that is free at this address now."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         return probe.getsockname()[1]
 
 
-class Gateway:
-    """One gateway, through all its lives."""
+class GatewayProcess:
+    """One gateway through all its incarnations.
+
+    `root` is the working directory of its `command`, `folder` holds its configuration and log, `host` is the
+    loopback address it listens on.
+    """
 
     def __init__(
         self,
         spec: GatewaySpec,
-        drawn: GeneratedWorld,
+        world: GeneratedWorld,
         root: Path,
         command: str,
         folder: Path,
         host: str,
-        state: Callable[[str, str, str], None],
+        on_state: Callable[[str, str, str], None],
         log_format: str,
     ) -> None:
-        self.spec, self._drawn, self._root, self._command, self._folder = spec, drawn, root, command, folder
+        self.spec, self._world, self._root, self._command, self._folder = spec, world, root, command, folder
         self._log_format = log_format
-        self._state = state  # told of (name, state, why)
+        self._on_state = on_state  # called with name, state and reason
         self.listen = f"{host}:{free_port(host)}"
         self.ops = f"{host}:{free_port(host)}"
         self.discovery = self.counter = ""
-        self.lives = 0
+        self.incarnation = 0
         self.process: asyncio.subprocess.Process | None = None
-        self._wanted: set[int] = set()  # processes whose end is wanted
-        self._watching: asyncio.Task | None = None
-        self.cpu_before_s = 0.0  # of earlier lives
-        self.most_mb = 0.0
+        self._stopped_pids: set[int] = set()  # processes that are stopped on purpose
+        self._watch_task: asyncio.Task | None = None
+        self.earlier_cpu_s = 0.0  # of earlier incarnations
+        self.peak_mb = 0.0
 
     def configure(self, addresses: Mapping[str, str]) -> None:
-        """Where its counter and its discovery are."""
+        """Set the addresses of its counter and discovery and write its configuration."""
         self.counter = addresses["counter"]
         self.discovery = addresses.get("discovery", self.discovery)
-        self._write()
+        self._write_config()
 
     async def start(self) -> None:
-        """Begin a life; returns when it is ready, or was killed before that. One that lives goes on."""
-        if self._alive():
+        """Start a process; return when it is ready, or was killed before that. Does nothing if one is
+        running.
+
+        Raises StartError if it exits or is not ready in time.
+        """
+        if self._is_running():
             return
-        self.lives += 1
-        self._write()
-        with self._log().open("ab") as log:
+        self.incarnation += 1
+        self._write_config()
+        with self._log_path().open("ab") as log:
             process = await spawn(
                 ["/bin/sh", "-c", self._command],
                 self._root,
-                self._environ(),
-                limits(self._drawn.scenario.fleet.sockets),
+                self._environment(),
+                socket_limiter(self._world.scenario.fleet.sockets),
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
         self.process = process
-        self._watching = asyncio.get_running_loop().create_task(self._watch(process))
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch(process))
         try:
-            async with asyncio.timeout(READY_S):
-                while process.returncode is None and not await self._ready():
-                    await asyncio.sleep(LOOK_S)
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while process.returncode is None and not await self._is_ready():
+                    await asyncio.sleep(READY_POLL_S)
         except TimeoutError:
             raise StartError(
-                f"{self.spec.name}: was not ready within {READY_S:g} s; see {self._log()}"
+                f"{self.spec.name}: was not ready within {READY_TIMEOUT_S:g} s; see {self._log_path()}"
             ) from None
-        if process.pid in self._wanted:
+        if process.pid in self._stopped_pids:
             return
         if process.returncode is not None:
             raise StartError(
-                f"{self.spec.name}: ended at its start, status {process.returncode}: {self.last_words()}"
+                f"{self.spec.name}: exited at start with status {process.returncode}: {self.last_log_line()}"
             )
-        self._state(self.spec.name, "ready", "")
+        self._on_state(self.spec.name, "ready", "")
 
-    def _alive(self) -> bool:
+    def _is_running(self) -> bool:
         process = self.process
-        return process is not None and process.returncode is None and process.pid not in self._wanted
+        return process is not None and process.returncode is None and process.pid not in self._stopped_pids
 
-    def _environ(self) -> dict[str, str]:
-        """What the platform gives a gateway, and what the machine needs to run a program."""
-        temporary = self._folder / f"tmp-{self.spec.name}"
-        temporary.mkdir(exist_ok=True)
-        return {name: os.environ[name] for name in PASSED_ON if name in os.environ} | {
+    def _environment(self) -> dict[str, str]:
+        """The environment: what the platform sets for a gateway, and what a program needs to run on this
+        machine."""
+        temporary_folder = self._folder / f"tmp-{self.spec.name}"
+        temporary_folder.mkdir(exist_ok=True)
+        return {name: os.environ[name] for name in INHERITED_VARIABLES if name in os.environ} | {
             "ROUTER_NAME": self.spec.name,
             "ROUTER_LISTEN": self.listen,
             "ROUTER_OPS": self.ops,
             "ROUTER_DISCOVERY": self.discovery,
-            "ROUTER_CONFIG": str(self._config()),
-            "TMPDIR": str(temporary),
+            "ROUTER_CONFIG": str(self._config_path()),
+            "TMPDIR": str(temporary_folder),
         }
 
     def kill(self) -> None:
-        """It dies where it stands."""
+        """Kill the process without a drain (SIGKILL)."""
         if self.process is not None:
-            self._wanted.add(self.process.pid)
-            self.cpu_before_s += cpu_s(self.process.pid)
+            self._stopped_pids.add(self.process.pid)
+            self.earlier_cpu_s += cpu_s(self.process.pid)
             kill(self.process)
-        self._state(self.spec.name, "killed", "")
+        self._on_state(self.spec.name, "killed", "")
 
     async def terminate(self) -> None:
-        """SIGTERM as the platform has it; SIGKILL if it is still there long past the longest deadline."""
+        """Send SIGTERM as the platform does, and SIGKILL if the process still runs well after the longest
+        deadline."""
         if self.process is None or self.process.returncode is not None:
             return
-        self._wanted.add(self.process.pid)
-        self._state(self.spec.name, "stopping", "")
-        self.cpu_before_s += cpu_s(self.process.pid)
-        longest = max(c.deadline_ms for c in self._drawn.scenario.classes) / 1000
-        by_itself = await end(self.process, max(longest, 3.0) + KILL_S)
-        self._state(self.spec.name, "ended", "" if by_itself else "by SIGKILL: it stayed after SIGTERM")
+        self._stopped_pids.add(self.process.pid)
+        self._on_state(self.spec.name, "stopping", "")
+        self.earlier_cpu_s += cpu_s(self.process.pid)
+        longest_deadline_s = max(c.deadline_ms for c in self._world.scenario.classes) / 1000
+        exited = await terminate(self.process, max(longest_deadline_s, 3.0) + KILL_GRACE_S)
+        self._on_state(self.spec.name, "ended", "" if exited else "by SIGKILL: still running after SIGTERM")
 
     async def restart(self) -> None:
-        """SIGTERM, its end, a new life."""
+        """Terminate the process, wait for its end and start a new one."""
         await self.terminate()
         await self.start()
 
     def move(self, addresses: Mapping[str, str]) -> None:
-        """A new configuration, and SIGHUP."""
+        """Write a configuration with new addresses and send SIGHUP."""
         self.configure(addresses)
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signal.SIGHUP)
 
     async def metrics(self) -> dict[str, float]:
-        """What its operators' address says; empty if it says nothing in time."""
+        """The metrics at its operators' address; empty if there is no answer in time."""
         host, _, port = self.ops.rpartition(":")
         try:
-            async with asyncio.timeout(OPS_S):
+            async with asyncio.timeout(METRICS_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(b"GET /ops/stats HTTP/1.1\r\nHost: ops\r\n\r\n")
                 text = (await reader.read()).decode()
@@ -178,40 +197,42 @@
         }
 
     def cpu_s(self) -> float:
-        """Processor time of all its lives."""
-        here = (
+        """Processor time of all its incarnations, in seconds."""
+        current_s = (
             cpu_s(self.process.pid) if self.process is not None and self.process.returncode is None else 0.0
         )
-        return self.cpu_before_s + here
+        return self.earlier_cpu_s + current_s
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log."""
-        lines = self._log().read_text(encoding="utf-8", errors="replace").splitlines()
-        return lines[-1] if lines else "it said nothing"
+        lines = self._log_path().read_text(encoding="utf-8", errors="replace").splitlines()
+        return lines[-1] if lines else "its log is empty"
 
     async def close(self) -> None:
-        """Nothing of it stays."""
+        """Kill the process if it still runs, and stop watching it."""
         if self.process is not None:
-            self._wanted.add(self.process.pid)
+            self._stopped_pids.add(self.process.pid)
             kill(self.process)
             await self.process.wait()
-        if self._watching is not None:
-            self._watching.cancel()
-            await asyncio.gather(self._watching, return_exceptions=True)
+        if self._watch_task is not None:
+            self._watch_task.cancel()
+            await asyncio.gather(self._watch_task, return_exceptions=True)
 
-    def _config(self) -> Path:
+    def _config_path(self) -> Path:
         return self._folder / f"{self.spec.name}.json"
 
-    def _log(self) -> Path:
+    def _log_path(self) -> Path:
         return self._folder / f"{self.spec.name}.log"
 
-    def _write(self) -> None:
-        """Its configuration; the list that it had last comes from the emulator's agent."""
-        fleet = self._drawn.scenario.fleet
-        known = self._folder / f"known-{self.spec.name}.json"
-        listing = msgspec.json.decode(known.read_bytes()) if known.exists() else None
-        seed = int(self._drawn.random_streams.stream("gateway", self.spec.name, self.lives).integers(2**63))
-        raw = {
+    def _write_config(self) -> None:
+        """Write its configuration. The list of servers that it had last comes from the emulator's agent."""
+        fleet = self._world.scenario.fleet
+        known_path = self._folder / f"known-{self.spec.name}.json"
+        known_list = msgspec.json.decode(known_path.read_bytes()) if known_path.exists() else None
+        seed = int(
+            self._world.random_streams.stream("gateway", self.spec.name, self.incarnation).integers(2**63)
+        )
+        config = {
             "name": self.spec.name,
             "listen": self.listen,
             "discovery": self.discovery,
@@ -220,36 +241,38 @@
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
             "log": self._log_format,
-            "known": listing,
-            "settings": self._drawn.settings(self.spec),
+            "known": known_list,
+            "settings": self._world.settings(self.spec),
         }
-        part = self._config().with_suffix(".part")
-        part.write_bytes(msgspec.json.format(msgspec.json.encode(raw), indent=1))
-        part.rename(self._config())
+        temporary_path = self._config_path().with_suffix(".part")
+        temporary_path.write_bytes(msgspec.json.format(msgspec.json.encode(config), indent=1))
+        temporary_path.rename(self._config_path())
 
-    async def _ready(self) -> bool:
+    async def _is_ready(self) -> bool:
         host, _, port = self.listen.rpartition(":")
         return await is_ready(host, int(port))
 
     async def _watch(self, process: asyncio.subprocess.Process) -> None:
-        """Memory within its limit, and an end that nobody asked for is a crash."""
-        allowed = self._drawn.scenario.fleet.memory_mb
+        """Watch a process: memory above the limit, or an exit that was not requested, counts as a crash."""
+        limit_mb = self._world.scenario.fleet.memory_mb
         while process.returncode is None:
-            here = resident_mb(process.pid)
-            self.most_mb = max(self.most_mb, here)
-            if here > allowed:
-                self._wanted.add(process.pid)
+            used_mb = resident_mb(process.pid)
+            self.peak_mb = max(self.peak_mb, used_mb)
+            if used_mb > limit_mb:
+                self._stopped_pids.add(process.pid)
                 kill(process)
-                self._state(self.spec.name, "crashed", f"took {here:.0f} MiB of memory, {allowed:g} allowed")
+                self._on_state(
+                    self.spec.name, "crashed", f"used {used_mb:.0f} MiB of memory, {limit_mb:g} MiB allowed"
+                )
                 return
             try:
-                async with asyncio.timeout(WATCH_S):
+                async with asyncio.timeout(MEMORY_POLL_S):
                     await process.wait()
             except TimeoutError:
                 pass
-        if process.pid not in self._wanted:
-            self._state(
+        if process.pid not in self._stopped_pids:
+            self._on_state(
                 self.spec.name,
                 "crashed",
-                f"ended by itself, status {process.returncode}: {self.last_words()}",
+                f"exited unexpectedly with status {process.returncode}: {self.last_log_line()}",
             )
--- a/plumwall/emulator/hosts.py
+++ b/plumwall/emulator/hosts.py
@@ -1,4 +1,5 @@
-"""The statement servers on sockets: the model decides, this carries its words."""
+"""The emulated servers on sockets. The model in plumwall.world.server decides; this part does the network
+side."""
 
 from __future__ import annotations
 
@@ -12,245 +13,278 @@
 
 from plumwall import records as r
 from plumwall.emulator.identity import gateway_of
-from plumwall.emulator.listening_socket import Incoming, ListeningSocket, Slot, respond
+from plumwall.emulator.listening_socket import Exchange, ListeningSocket, ServerConnection, respond
 from plumwall.emulator.registrar import Registrar
 from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld, ServerSpec
 from plumwall.world.server import ERROR, SERVED, DeduplicationGroup, Job, Server
 from yewstage.net.config import Address
 
-IDLE_LOOK_S = 1.0
-LEAST_DELAY_MS = 1.0  # the loop's timers know no less: a shorter way is none
+IDLE_CHECK_S = 1.0
+MIN_DELAY_MS = 1.0  # resolution of the event loop's timers; a shorter network delay counts as none
 
 
 class Host:
-    """One server: its lives, and a door for each gateway."""
+    """One server through all its incarnations, with a listening socket for each gateway or one for all."""
 
     def __init__(
         self,
         spec: ServerSpec,
-        pod: DeduplicationGroup,
-        run: HostsOf,
+        deduplication: DeduplicationGroup,
+        shard: HostShard,
         gateways: Sequence[GatewaySpec],
         rng: np.random.Generator,
     ) -> None:
-        self.spec, self._pod, self._run, self._rng = spec, pod, run, rng
+        self.spec, self._deduplication, self._shard, self._rng = spec, deduplication, shard, rng
         self.model: Server | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._open: dict[Slot, Job] = {}
-        self.doors = self._shared_door(run, gateways) if run.shared else self._own_doors(run, gateways)
-        self._ways = {g.name: run.way_ms(g, spec) for g in gateways}
-        self._cut: frozenset[str] = frozenset()
+        self._open_jobs: dict[Exchange, Job] = {}
+        self.listeners = (
+            self._shared_listener(shard, gateways)
+            if shard.has_shared_addresses
+            else self._listeners_by_gateway(shard, gateways)
+        )
+        self._round_trips_ms = {g.name: shard.round_trip_ms(g, spec) for g in gateways}
+        self._partitioned: frozenset[str] = frozenset()
 
-    def _own_doors(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, ListeningSocket]:
-        """An address for each gateway: whose call it is, is known before it says a word."""
+    def _listeners_by_gateway(
+        self, shard: HostShard, gateways: Sequence[GatewaySpec]
+    ) -> dict[str, ListeningSocket]:
+        """One address for each gateway, so that a connection's gateway is known before its first byte."""
         return {
             g.name: ListeningSocket(
-                run.loop,
-                run.address(g),
-                self._asker(g.name),
-                self._dialled_by(g.name),
-                self._gone,
-                self._nonsense_of(g.name),
+                shard.loop,
+                shard.address(g),
+                self._request_handler(g.name),
+                self._connection_handler(g.name),
+                self._on_abandoned,
+                self._invalid_data_handler(g.name),
             )
             for g in gateways
         }
 
-    def _shared_door(self, run: HostsOf, gateways: Sequence[GatewaySpec]) -> dict[str, ListeningSocket]:
-        """One address for all, as a list that all share tells it: the request's id says whose it is."""
-        door = ListeningSocket(
-            run.loop,
-            run.address(gateways[0]),
-            self._asked_by_any,
-            gone=self._gone,
-            nonsense=self._nonsense_of(""),
+    def _shared_listener(
+        self, shard: HostShard, gateways: Sequence[GatewaySpec]
+    ) -> dict[str, ListeningSocket]:
+        """One address for all gateways, since they share one list of servers. The request id tells the
+        gateway."""
+        listener = ListeningSocket(
+            shard.loop,
+            shard.address(gateways[0]),
+            self._on_shared_request,
+            on_abandoned=self._on_abandoned,
+            on_invalid_data=self._invalid_data_handler(""),
         )
-        return {g.name: door for g in gateways}
+        return {g.name: listener for g in gateways}
 
-    def _asked_by_any(self, slot: Slot) -> None:
-        number = gateway_of(slot.message.headers.get(b"x-request-id", b"").decode("latin-1"))
-        gateways = self._run.drawn.gateways
+    def _on_shared_request(self, exchange: Exchange) -> None:
+        number = gateway_of(exchange.request.headers.get(b"x-request-id", b"").decode("latin-1"))
+        gateways = self._shard.world.gateways
         gateway = gateways[number].name if number is not None and number < len(gateways) else ""
-        if slot.fresh and gateway:
-            self._run.write(r.Dialled(self._run.now(), gateway, self.spec.name))
-        self._asked(slot, gateway)
+        if exchange.is_first and gateway:
+            self._shard.write(r.Dialled(self._shard.now(), gateway, self.spec.name))
+        self._on_request(exchange, gateway)
 
-    # --- What becomes of it -------------------------------------------------------------------------------
+    # --- Lifecycle ----------------------------------------------------------------------------------------
 
     def start(self, cold: bool) -> None:
-        """A life begins."""
-        self._end()
-        rules = self._run.drawn.scenario.rules
+        """Start a new incarnation. `cold`: it starts during the run and is not warmed up."""
+        self._end_incarnation()
+        rules = self._shard.world.scenario.rules
         self.model = Server(
-            self.spec, self._pod, self._rng, self._run.now(), cold, rules.fall_multiple, rules.fall_ms
+            self.spec,
+            self._deduplication,
+            self._rng,
+            self._shard.now(),
+            cold,
+            rules.fall_multiple,
+            rules.fall_ms,
         )
-        for door in set(self.doors.values()):
-            door.refuse()
-            door.open()
-        self.cut(self._cut, True)
+        for listener in set(self.listeners.values()):
+            listener.refuse()
+            listener.open()
+        self.set_partitioned(self._partitioned, True)
         if cold:
-            self._run.write(r.ServerIs(self._run.now(), self.spec.name, "started"))
+            self._shard.write(r.ServerIs(self._shard.now(), self.spec.name, "started"))
 
     def crash(self, state: str = "crashed") -> None:
-        """The process ends: connections are reset, new ones refused."""
-        self._end()
-        for door in set(self.doors.values()):
-            door.refuse()
-        self._run.write(r.ServerIs(self._run.now(), self.spec.name, state))
-
-    def vanish(self) -> None:
-        """The machine is gone without a sign."""
-        for door in set(self.doors.values()):
-            door.keep_silent()
-        self._end("silent")
-        self._run.write(r.ServerIs(self._run.now(), self.spec.name, "silent"))
+        """End the process: connections are reset, new ones refused. `state` is recorded."""
+        self._end_incarnation()
+        for listener in set(self.listeners.values()):
+            listener.refuse()
+        self._shard.write(r.ServerIs(self._shard.now(), self.spec.name, state))
+
+    def go_silent(self) -> None:
+        """Lose the machine: it does not respond any more."""
+        for listener in set(self.listeners.values()):
+            listener.go_silent()
+        self._end_incarnation("silent")
+        self._shard.write(r.ServerIs(self._shard.now(), self.spec.name, "silent"))
 
     def address(self) -> str:
-        """Where it is reached by all, if all share one address."""
-        return next(iter(self.doors.values())).address
+        """The address at which all gateways reach it, if they share one."""
+        return next(iter(self.listeners.values())).address
 
     def drain(self) -> None:
-        """It finishes what it holds."""
+        """Start draining: requests it already holds are finished."""
         if self.model is not None:
             self.model.draining = True
-            self._run.write(r.ServerIs(self._run.now(), self.spec.name, "draining"))
+            self._shard.write(r.ServerIs(self._shard.now(), self.spec.name, "draining"))
 
-    def cut(self, gateways: frozenset[str], off: bool) -> None:
-        """Nothing passes between it and some gateways."""
-        self._cut = gateways if off else frozenset()
+    def set_partitioned(self, gateways: frozenset[str], active: bool) -> None:
+        """Start or end a network partition between this server and some gateways."""
+        self._partitioned = gateways if active else frozenset()
         if self.model is None:
             return
         for name in gateways:
-            if off:
-                self.doors[name].keep_silent()
+            if active:
+                self.listeners[name].go_silent()
             else:
-                self.doors[name].speak_again()
+                self.listeners[name].resume()
 
-    def close_idle(self, before: float) -> None:
-        """Idle connections end after a while."""
-        for door in set(self.doors.values()):
-            if not door.silent:
-                door.close_idle(before)
+    def close_idle(self, before_ms: float) -> None:
+        """Close connections that have been idle since before a time of the monotonic clock (ms)."""
+        for listener in set(self.listeners.values()):
+            if not listener.is_silent:
+                listener.close_idle(before_ms)
 
     def stop(self) -> None:
-        """The run is over."""
-        self._end()
-        for door in set(self.doors.values()):
-            door.close()
+        """End all work and close all sockets."""
+        self._end_incarnation()
+        for listener in set(self.listeners.values()):
+            listener.close()
 
-    def _end(self, result: str = "reset") -> None:
-        """What was open is over, unanswered."""
+    def _end_incarnation(self, result: str = "reset") -> None:
+        """End the incarnation. Open requests end unanswered, with this result."""
         if self._timer is not None:
             self._timer.cancel()
         self.model = None
-        open_, self._open = self._open, {}
-        for slot, job in open_.items():
-            self._over(slot, job, result, False)
+        open_jobs, self._open_jobs = self._open_jobs, {}
+        for exchange, job in open_jobs.items():
+            self._record_end(exchange, job, result, False)
 
     # --- Requests -----------------------------------------------------------------------------------------
 
-    def _asker(self, gateway: str) -> Callable[[Slot], None]:
-        return lambda slot: self._asked(slot, gateway)
+    def _request_handler(self, gateway: str) -> Callable[[Exchange], None]:
+        return lambda exchange: self._on_request(exchange, gateway)
 
-    def _dialled_by(self, gateway: str) -> Callable[[Incoming], None]:
-        return lambda line: self._run.write(r.Dialled(self._run.now(), gateway, self.spec.name))
+    def _connection_handler(self, gateway: str) -> Callable[[ServerConnection], None]:
+        return lambda connection: self._shard.write(r.Dialled(self._shard.now(), gateway, self.spec.name))
 
-    def _nonsense_of(self, gateway: str) -> Callable[[Incoming, bytes], None]:
-        return lambda line, data: self._run.write(
-            r.Unknown(self._run.now(), self.spec.name, gateway, f"sent what is no request: {data!r}")
+    def _invalid_data_handler(self, gateway: str) -> Callable[[ServerConnection, bytes], None]:
+        return lambda connection, data: self._shard.write(
+            r.Unknown(
+                self._shard.now(), self.spec.name, gateway, f"sent data that is not an HTTP request: {data!r}"
+            )
         )
 
-    def _asked(self, slot: Slot, gateway: str) -> None:
-        now, message, model = self._run.now(), slot.message, self.model
+    def _on_request(self, exchange: Exchange, gateway: str) -> None:
+        now, request, model = self._shard.now(), exchange.request, self.model
         if model is None:
-            slot.reset()
+            exchange.reset()
             return
-        rid = message.headers.get(b"x-request-id", b"").decode("latin-1")
-        path, _, query = message.url.decode("latin-1").partition("?")
+        request_id = request.headers.get(b"x-request-id", b"").decode("latin-1")
+        path, _, query = request.url.decode("latin-1").partition("?")
         if path in ("/health", "/status/load"):
-            self._run.write(r.Probed(now, gateway, self.spec.name))
-            slot.answer(respond(200, self._load_text(model, now).encode()))
+            self._shard.write(r.Probed(now, gateway, self.spec.name))
+            exchange.answer(respond(200, self._load_report(model, now).encode()))
             return
-        if not rid or not path.startswith("/api/"):
-            self._run.write(r.Unknown(now, self.spec.name, gateway, f"a message without an id: {path[:64]}"))
-            slot.answer(respond(404))
+        if not request_id or not path.startswith("/api/"):
+            self._shard.write(
+                r.Unknown(now, self.spec.name, gateway, f"a message without an id: {path[:64]}")
+            )
+            exchange.answer(respond(404))
             return
-        job = self._job(slot, rid, query, now)
-        began = message.began - self._run.t0
-        self._run.write(r.Arrived(now, rid, self.spec.name, gateway, began, round(job.work_ms, 3)))
-        if gateway_of(rid) is None:
-            self._run.write(r.Unknown(now, self.spec.name, gateway, f"an id that no client made: {rid[:64]}"))
-        self._open[slot] = job
-        job.done = (slot, gateway)
-        connections = sum(len(door.lines) for door in set(self.doors.values()))
-        was_standing = not model.has_collapsed
+        job = self._make_job(exchange, request_id, query, now)
+        began_ms = request.began_ms - self._shard.t0
+        self._shard.write(
+            r.Arrived(now, request_id, self.spec.name, gateway, began_ms, round(job.work_ms, 3))
+        )
+        if gateway_of(request_id) is None:
+            self._shard.write(
+                r.Unknown(
+                    now, self.spec.name, gateway, f"a request id that no client made: {request_id[:64]}"
+                )
+            )
+        self._open_jobs[exchange] = job
+        job.done = (exchange, gateway)
+        connections = sum(len(listener.connections) for listener in set(self.listeners.values()))
+        was_up = not model.has_collapsed
         if connections > self.spec.connections:
             result = "full"
         else:
             result = model.offer(now, job)
-        if model.has_collapsed and was_standing:
-            self._run.write(r.ServerIs(now, self.spec.name, "fallen"))
+        if model.has_collapsed and was_up:
+            self._shard.write(r.ServerIs(now, self.spec.name, "fallen"))
         if result != SERVED:
             job.result = result
             self._finish(job)
-        self._arm()
+        self._set_timer()
 
-    def _job(self, slot: Slot, rid: str, query: str, now: float) -> Job:
-        """The work of a request: what it is comes with its address, as the size of a real statement does."""
+    def _make_job(self, exchange: Exchange, request_id: str, query: str, now: float) -> Job:
+        """The job of a request. Its work is in the URL; a connection's first one adds the handshake."""
         fields = parse_qs(query)
-        work = _number(fields, "work_ms", 1.0)
-        if slot.fresh:
-            work += self.spec.handshake_ms
-        deadline = slot.message.headers.get(b"x-deadline", b"")
-        expires = math.inf
+        work_ms = _number(fields, "work_ms", 1.0)
+        if exchange.is_first:
+            work_ms += self.spec.handshake_ms
+        deadline = exchange.request.headers.get(b"x-deadline", b"")
+        expires_ms = math.inf
         if deadline[-1:] in (b"m", b"u"):
-            expires = now + float(deadline[:-1]) / (1 if deadline[-1:] == b"m" else 1000)
-        cls = slot.message.headers.get(b"x-class", b"").decode("latin-1")
-        key = slot.message.headers.get(b"idempotency-key", b"").decode("latin-1")
-        return Job(rid, work, expires, key, self._run.windows.get(cls, 4000.0) if key else 0.0)
+            expires_ms = now + float(deadline[:-1]) / (1 if deadline[-1:] == b"m" else 1000)
+        class_name = exchange.request.headers.get(b"x-class", b"").decode("latin-1")
+        key = exchange.request.headers.get(b"idempotency-key", b"").decode("latin-1")
+        return Job(
+            request_id,
+            work_ms,
+            expires_ms,
+            key,
+            self._shard.dedup_windows_ms.get(class_name, 4000.0) if key else 0.0,
+        )
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        due = self.model.due() if self.model is not None else math.inf
-        if due < math.inf:
-            self._timer = self._run.loop.call_later(max(0.0, due - self._run.now()) / 1000, self._advance)
+        due_ms = self.model.due() if self.model is not None else math.inf
+        if due_ms < math.inf:
+            self._timer = self._shard.loop.call_later(
+                max(0.0, due_ms - self._shard.now()) / 1000, self._advance
+            )
 
     def _advance(self) -> None:
         if self.model is None:
             return
-        for job in self.model.advance(self._run.now()):
+        for job in self.model.advance(self._shard.now()):
             self._finish(job)
-        self._arm()
+        self._set_timer()
 
     def _finish(self, job: Job) -> None:
-        """The model is done with it: say so after the way back."""
-        slot, gateway = job.done
-        if slot not in self._open:
-            return  # its connection has gone: nobody is told
-        delay = self._ways.get(gateway, 0.0)
-        if delay >= LEAST_DELAY_MS:
-            self._run.loop.call_later(delay / 1000, self._tell, slot, job)
+        """Send the result of a job after the round trip time of the network."""
+        exchange, gateway = job.done
+        if exchange not in self._open_jobs:
+            return  # its connection has closed
+        delay_ms = self._round_trips_ms.get(gateway, 0.0)
+        if delay_ms >= MIN_DELAY_MS:
+            self._shard.loop.call_later(delay_ms / 1000, self._send_result, exchange, job)
         else:
-            self._tell(slot, job)
+            self._send_result(exchange, job)
 
-    def _tell(self, slot: Slot, job: Job) -> None:
-        if slot not in self._open:
+    def _send_result(self, exchange: Exchange, job: Job) -> None:
+        if exchange not in self._open_jobs:
             return
-        del self._open[slot]
-        if self._run.loses_answer():
-            self._over(slot, job, "reset", False)
-            slot.reset()
+        del self._open_jobs[exchange]
+        if self._shard.loses_answer():
+            self._record_end(exchange, job, "reset", False)
+            exchange.reset()
             return
-        self._over(slot, job, job.result, True)
-        slot.answer(self._answer(job))
+        self._record_end(exchange, job, job.result, True)
+        exchange.answer(self._answer(job))
 
     def _answer(self, job: Job) -> bytes:
         load = b""
         if self.model is not None:
-            load = b"X-Load: %b\r\n" % self._load_text(self.model, self._run.now()).encode()
+            load = b"X-Load: %b\r\n" % self._load_report(self.model, self._shard.now()).encode()
         if job.result == SERVED:
-            units = self._run.units(job.id)
+            units = self._shard.units(job.id)
             body = b'{"id":"%b","server":"%b","units":%d}' % (
                 job.id.encode("latin-1"),
                 self.spec.name.encode(),
@@ -261,53 +295,55 @@
             return respond(500, b"", load)
         return respond(503, b"", load + b"X-Not-Run: 1\r\n")
 
-    def _load_text(self, model: Server, now: float) -> str:
+    def _load_report(self, model: Server, now: float) -> str:
         report = model.report(now)
         return f"inflight={report['inflight']:g},queue={report['queue']:g},util={report['util']:g}"
 
-    def _gone(self, slot: Slot) -> None:
-        """Its gateway has closed the connection: the work goes on, nobody is told."""
-        job = self._open.pop(slot, None)
+    def _on_abandoned(self, exchange: Exchange) -> None:
+        """Handle a request whose gateway has closed the connection. The work goes on, without an answer."""
+        job = self._open_jobs.pop(exchange, None)
         if job is not None:
-            self._over(slot, job, "closed", False)
+            self._record_end(exchange, job, "closed", False)
 
-    def _over(self, slot: Slot, job: Job, result: str, told: bool) -> None:
+    def _record_end(self, exchange: Exchange, job: Job, result: str, answered: bool) -> None:
         _, gateway = job.done
-        self._run.write(r.Ended(self._run.now(), job.id, self.spec.name, gateway, result, job.begun, told))
+        self._shard.write(
+            r.Ended(self._shard.now(), job.id, self.spec.name, gateway, result, job.begun, answered)
+        )
 
 
-class HostsOf:
-    """A shard's servers: those of some pods."""
+class HostShard:
+    """The servers of one shard: those whose cell number modulo `shards` is `shard`."""
 
     def __init__(
         self,
-        drawn: GeneratedWorld,
+        world: GeneratedWorld,
         loop: asyncio.AbstractEventLoop,
         write: Callable[[r.Record], None],
         shard: int,
         shards: int,
         address: Callable[[GatewaySpec], str],
     ) -> None:
-        self.drawn, self.loop, self.write, self.address = drawn, loop, write, address
-        self.shared = drawn.scenario.listing.source != "agent"
+        self.world, self.loop, self.write, self.address = world, loop, write, address
+        self.has_shared_addresses = world.scenario.listing.source != "agent"
         self._registrar: Registrar | None = None
-        self.t0 = 0.0  # when the load begins, milliseconds
-        self.windows = {c.name: c.window_ms for c in drawn.scenario.classes}
-        self._units = [first.units for first in drawn.tries]
-        self._lost, self._luck = 0.0, drawn.random_streams.stream("lost", shard)
-        network, rng = drawn.scenario.network, drawn.random_streams.stream("network")
-        self._same = float(rng.uniform(network.same_ms.least, network.same_ms.most))
-        self._cross = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
-        pods: dict[int, DeduplicationGroup] = {}
+        self.t0 = 0.0  # when the load begins: ms of the monotonic clock
+        self.dedup_windows_ms = {c.name: c.window_ms for c in world.scenario.classes}
+        self._units = [first.units for first in world.tries]
+        self._lost_share, self._loss_rng = 0.0, world.random_streams.stream("lost", shard)
+        network, rng = world.scenario.network, world.random_streams.stream("network")
+        self._same_zone_ms = float(rng.uniform(network.same_ms.least, network.same_ms.most))
+        self._cross_zone_ms = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
+        deduplication_groups: dict[int, DeduplicationGroup] = {}
         self.hosts = {
             spec.name: Host(
                 spec,
-                pods.setdefault(spec.cell, DeduplicationGroup()),
+                deduplication_groups.setdefault(spec.cell, DeduplicationGroup()),
                 self,
-                drawn.gateways,
-                drawn.random_streams.stream("server", spec.name),
+                world.gateways,
+                world.random_streams.stream("server", spec.name),
             )
-            for spec in drawn.servers
+            for spec in world.servers
             if spec.cell % shards == shard
         }
 
@@ -315,97 +351,97 @@
         """Milliseconds since the load began."""
         return time.monotonic() * 1000 - self.t0
 
-    def way_ms(self, gateway: GatewaySpec, server: ServerSpec) -> float:
-        """There and back."""
-        return 2 * (self._same if gateway.zone == server.zone else self._cross)
+    def round_trip_ms(self, gateway: GatewaySpec, server: ServerSpec) -> float:
+        """Network round trip time."""
+        return 2 * (self._same_zone_ms if gateway.zone == server.zone else self._cross_zone_ms)
 
-    def units(self, rid: str) -> int:
-        """The true units of a request; of one that no client made, one."""
-        index = int(rid[:8], 16) if gateway_of(rid) is not None else len(self._units)
+    def units(self, request_id: str) -> int:
+        """The true units of a request; 1 if no client made it."""
+        index = int(request_id[:8], 16) if gateway_of(request_id) is not None else len(self._units)
         return self._units[index] if index < len(self._units) else 1
 
     def loses_answer(self) -> bool:
-        """Whether the path breaks under this answer."""
-        return self._lost > 0 and self._luck.random() < self._lost
+        """Whether the network loses this answer (fault `answers_lost`, by a random draw)."""
+        return self._lost_share > 0 and self._loss_rng.random() < self._lost_share
 
-    def begin(self, t0: float) -> None:
-        """The load begins at a time: all that are there at the start, warm."""
+    def start(self, t0: float) -> None:
+        """Start the initial servers, already warmed up. The load begins at `t0` (monotonic, ms)."""
         self.t0 = t0
         for host in self.hosts.values():
             if host.spec.at_start:
                 host.start(cold=False)
-        self.loop.call_later(IDLE_LOOK_S, self._close_idle)
+        self.loop.call_later(IDLE_CHECK_S, self._close_idle)
 
-    async def register(self, at: list[Address]) -> int:
-        """Register all that are there at the start with the list service; how many they are."""
-        self._registrar = Registrar(at, [g.name for g in self.drawn.gateways], self.write, self.now)
-        here = [(host.spec, host.address()) for host in self.hosts.values() if host.spec.at_start]
-        await self._registrar.register_all(here)
-        return len(here)
+    async def register(self, addresses: list[Address]) -> int:
+        """Register the initial servers with the list service; return their number."""
+        self._registrar = Registrar(addresses, [g.name for g in self.world.gateways], self.write, self.now)
+        initial_servers = [(host.spec, host.address()) for host in self.hosts.values() if host.spec.at_start]
+        await self._registrar.register_all(initial_servers)
+        return len(initial_servers)
 
     def addresses(self) -> dict[str, dict[str, str]]:
-        """By gateway, where it reaches each server."""
+        """For each gateway, the addresses of the servers."""
         return {
-            g.name: {name: host.doors[g.name].address for name, host in self.hosts.items()}
-            for g in self.drawn.gateways
+            g.name: {name: host.listeners[g.name].address for name, host in self.hosts.items()}
+            for g in self.world.gateways
         }
 
-    def change(self, change: FaultEvent) -> None:
-        """Carry out what the fault plan says, where it concerns a server of ours."""
-        if change.kind == "answers_lost":
-            self._lost = change.size
-        elif change.kind in ("zone_cut", "zone_joined"):
+    def apply_fault(self, event: FaultEvent) -> None:
+        """Apply a fault event if it concerns a server of this shard."""
+        if event.kind == "answers_lost":
+            self._lost_share = event.size
+        elif event.kind in ("zone_cut", "zone_joined"):
             for host in self.hosts.values():
-                cut = frozenset(
+                gateways = frozenset(
                     g.name
-                    for g in self.drawn.gateways
-                    if (g.zone == change.target) != (host.spec.zone == change.target)
+                    for g in self.world.gateways
+                    if (g.zone == event.target) != (host.spec.zone == event.target)
                 )
-                host.cut(cut, change.kind == "zone_cut")
-        elif change.target in self.hosts:
-            self._change_host(self.hosts[change.target], change)
+                host.set_partitioned(gateways, event.kind == "zone_cut")
+        elif event.target in self.hosts:
+            self._apply_to_host(self.hosts[event.target], event)
             if self._registrar is not None:
-                self._tell_list(self.hosts[change.target], change.kind)
+                self._notify_list_service(self.hosts[event.target], event.kind)
 
     def stop(self) -> None:
-        """The run is over."""
+        """End all work and close all sockets."""
         if self._registrar is not None:
             self._registrar.close()
         for host in self.hosts.values():
             host.stop()
 
-    def _tell_list(self, host: Host, kind: str) -> None:
-        """What a server's own words, or its silence, tell the list service."""
+    def _notify_list_service(self, host: Host, kind: str) -> None:
+        """Tell the list service of a server's change. A server that died sends nothing."""
         if kind == "server_start":
-            self._registrar.started(host.spec, host.address())
+            self._registrar.server_started(host.spec, host.address())
         elif kind in ("server_crash", "server_silent"):
-            self._registrar.died(host.spec.name)
+            self._registrar.server_died(host.spec.name)
         elif kind == "server_drain":
-            self._registrar.drains(host.spec.name)
+            self._registrar.server_draining(host.spec.name)
         elif kind == "server_stop":
-            self._registrar.left(host.spec.name)
+            self._registrar.server_left(host.spec.name)
 
-    def _change_host(self, host: Host, change: FaultEvent) -> None:
-        if change.kind == "server_crash":
+    def _apply_to_host(self, host: Host, event: FaultEvent) -> None:
+        if event.kind == "server_crash":
             host.crash()
-        elif change.kind == "server_stop":
+        elif event.kind == "server_stop":
             host.crash("stopped")
-        elif change.kind == "server_start":
+        elif event.kind == "server_start":
             host.start(cold=True)
-        elif change.kind == "server_silent":
-            host.vanish()
-        elif change.kind == "server_drain":
+        elif event.kind == "server_silent":
+            host.go_silent()
+        elif event.kind == "server_drain":
             host.drain()
-        elif host.model is not None and change.kind == "server_fails":
-            host.model.fails = change.size
-        elif host.model is not None and change.kind == "server_slow":
-            host.model.slow = change.size
+        elif host.model is not None and event.kind == "server_fails":
+            host.model.fails = event.size
+        elif host.model is not None and event.kind == "server_slow":
+            host.model.slow = event.size
 
     def _close_idle(self) -> None:
-        before = time.monotonic() * 1000 - self.drawn.scenario.servers.idle_ms
+        before_ms = time.monotonic() * 1000 - self.world.scenario.servers.idle_ms
         for host in self.hosts.values():
-            host.close_idle(before)
-        self.loop.call_later(IDLE_LOOK_S, self._close_idle)
+            host.close_idle(before_ms)
+        self.loop.call_later(IDLE_CHECK_S, self._close_idle)
 
 
 def _number(fields: Mapping[str, list[str]], name: str, default: float) -> float:
--- a/plumwall/emulator/listening_socket.py
+++ b/plumwall/emulator/listening_socket.py
@@ -1,7 +1,8 @@
-"""Listening sockets that can also refuse or keep silent, and the connections behind them.
+"""Listening sockets that can refuse connections or stop responding, and the connections accepted on them.
 
-A machine that vanishes does not refuse: its connections come up no more. The kernel accepts on behalf of a
-listening socket, so a silent door fills its own queue of connections; the kernel then drops what comes.
+A machine that is lost does not refuse connections: attempts to connect to it time out. Because the kernel
+accepts connections on behalf of a listening socket, a silent socket fills its own accept queue; the kernel
+then drops further connection attempts.
 """
 
 from __future__ import annotations
@@ -16,69 +17,69 @@
 import httptools
 
 BACKLOG = 512
-FILLERS = 3  # connections of our own, more than a queue of none holds
-ACCEPTS = 64  # in a row, before others have their turn
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing sends a reset
+FILLER_CONNECTIONS = 3  # own connections; enough to fill an accept queue of length 0
+MAX_ACCEPTS_IN_A_ROW = 64  # before the event loop runs other callbacks
+LINGER_WITH_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value: closing the socket sends a reset
 
 
-class Message:
-    """One request, as it has come."""
+class Request:
+    """One request as received. `began_ms` is when its first byte came."""
 
-    __slots__ = ("method", "url", "headers", "body", "began")
+    __slots__ = ("method", "url", "headers", "body", "began_ms")
 
-    def __init__(self, began: float) -> None:
-        self.method, self.url, self.body, self.began = "", b"", b"", began
+    def __init__(self, began_ms: float) -> None:
+        self.method, self.url, self.body, self.began_ms = "", b"", b"", began_ms
         self.headers: dict[bytes, bytes] = {}
 
 
-class Slot:
-    """The place of one request's answer on its connection."""
+class Exchange:
+    """One request and its answer. `is_first` is set for the first request on its connection."""
 
-    __slots__ = ("message", "_line", "_data", "fresh")
+    __slots__ = ("request", "_connection", "_answer", "is_first")
 
-    def __init__(self, message: Message, line: Incoming, fresh: bool) -> None:
-        self.message, self._line, self.fresh = message, line, fresh
-        self._data: bytes | None = None
+    def __init__(self, request: Request, connection: ServerConnection, is_first: bool) -> None:
+        self.request, self._connection, self.is_first = request, connection, is_first
+        self._answer: bytes | None = None
 
     def answer(self, data: bytes) -> None:
-        """Write the answer, once those before it are out."""
-        self._data = data
-        self._line.flush()
+        """Write the answer once all earlier ones on the connection are written."""
+        self._answer = data
+        self._connection.flush()
 
     def reset(self) -> None:
-        """End the connection hard."""
-        self._line.reset()
+        """Close the connection with a reset."""
+        self._connection.reset()
 
-    def over(self) -> bool:
-        """Whether nobody is there to be answered."""
-        return self._line.closed
+    def is_closed(self) -> bool:
+        """Whether the connection has closed, so that no answer can be written."""
+        return self._connection.is_closed
 
 
-class Incoming(asyncio.Protocol):
-    """One accepted connection: requests in, answers in their order."""
+class ServerConnection(asyncio.Protocol):
+    """One accepted connection. Answers are written in the order of the requests."""
 
-    def __init__(self, door: ListeningSocket) -> None:
-        self._door = door
+    def __init__(self, listener: ListeningSocket) -> None:
+        self._listener = listener
         self._parser = httptools.HttpRequestParser(self)
-        self._message: Message | None = None
-        self.slots: deque[Slot] = deque()
-        self._seen = 0
-        self.closed = self.muted = False
-        self.idle_since = door.now()
+        self._request: Request | None = None
+        self.exchanges: deque[Exchange] = deque()
+        self._requests_seen = 0
+        self.is_closed = self.is_muted = False
+        self.idle_since_ms = listener.now()
 
     def flush(self) -> None:
-        """Write what is ready and in turn."""
-        if self.muted or self.closed:
+        """Write the answers that are ready, up to the first that is not."""
+        if self.is_muted or self.is_closed:
             return
-        while self.slots and self.slots[0]._data is not None:
-            self.transport.write(self.slots.popleft()._data)
-            self.idle_since = self._door.now()
+        while self.exchanges and self.exchanges[0]._answer is not None:
+            self.transport.write(self.exchanges.popleft()._answer)
+            self.idle_since_ms = self._listener.now()
 
-    def mute(self, muted: bool) -> None:
-        """Neither hear nor speak; what waits is heard and said afterwards."""
-        if self.closed or muted == self.muted:
+    def set_muted(self, muted: bool) -> None:
+        """Stop or resume reading and writing. Pending data is read and written after resuming."""
+        if self.is_closed or muted == self.is_muted:
             return
-        self.muted = muted
+        self.is_muted = muted
         if muted:
             self.transport.pause_reading()
         else:
@@ -86,156 +87,166 @@
             self.flush()
 
     def reset(self) -> None:
-        """End it with a reset."""
-        if self.closed:
+        """Close the connection with a reset."""
+        if self.is_closed:
             return
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_WITH_RESET)
         self.transport.abort()
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self._door.made(self)
+        self._listener.on_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.closed = True
-        self._door.lost(self)
+        self.is_closed = True
+        self._listener.on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._message is None:
-            self._message = Message(self._door.now())
+        if self._request is None:
+            self._request = Request(self._listener.now())
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._door.nonsense(self, data[:64])
+            self._listener.on_invalid_data(self, data[:64])
             self.transport.abort()
 
     # httptools
 
     def on_message_begin(self) -> None:
-        if self._message is None:
-            self._message = Message(self._door.now())
+        if self._request is None:
+            self._request = Request(self._listener.now())
 
     def on_url(self, url: bytes) -> None:
-        self._message.url += url
+        self._request.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._message.headers[name.lower()] = value
+        self._request.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        self._message.body += body
+        self._request.body += body
 
     def on_message_complete(self) -> None:
-        message, self._message = self._message, None
-        message.method = self._parser.get_method().decode()
-        slot = Slot(message, self, self._seen == 0)
-        self._seen += 1
-        self.slots.append(slot)
-        self._door.asked(slot)
+        request, self._request = self._request, None
+        request.method = self._parser.get_method().decode()
+        exchange = Exchange(request, self, self._requests_seen == 0)
+        self._requests_seen += 1
+        self.exchanges.append(exchange)
+        self._listener.on_request(exchange)
 
 
 class ListeningSocket:
-    """One address at which one other party may call. Closed at first: it refuses."""
+    """A listening socket with an address of its own. Until opened, it refuses connections.
+
+    The callbacks get each complete request, each new connection, each request whose connection closed before
+    its answer, and the first bytes of data that is not HTTP.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         host: str,
-        asked: Callable[[Slot], None],
-        made: Callable[[Incoming], None] = lambda line: None,
-        gone: Callable[[Slot], None] = lambda slot: None,
-        nonsense: Callable[[Incoming, bytes], None] = lambda line, data: None,
+        on_request: Callable[[Exchange], None],
+        on_connection: Callable[[ServerConnection], None] = lambda connection: None,
+        on_abandoned: Callable[[Exchange], None] = lambda exchange: None,
+        on_invalid_data: Callable[[ServerConnection, bytes], None] = lambda connection, data: None,
     ) -> None:
         self._loop, self._host, self._port = loop, host, 0
-        self.asked, self._made, self._gone, self.nonsense = asked, made, gone, nonsense
-        self.lines: dict[Incoming, None] = {}
+        self.on_request, self._on_connection, self._on_abandoned, self.on_invalid_data = (
+            on_request,
+            on_connection,
+            on_abandoned,
+            on_invalid_data,
+        )
+        self.connections: dict[ServerConnection, None] = {}
         self._fillers: list[socket.socket] = []
         self._accepting: set[asyncio.Task] = set()
-        self._listening = self.silent = False
+        self._listening = self.is_silent = False
         self._bind()
 
     def now(self) -> float:
-        """The time, in milliseconds, by the clock that all processes of the machine share."""
+        """Milliseconds of the monotonic clock, which all processes of a machine share."""
         return time.monotonic() * 1000
 
     @property
     def address(self) -> str:
-        """HOST:PORT, the same for all its life."""
+        """HOST:PORT; it does not change."""
         return f"{self._host}:{self._port}"
 
     def open(self) -> None:
-        """Accept from now on."""
-        if self._listening and not self.silent:
+        """Accept connections."""
+        if self._listening and not self.is_silent:
             return
-        if self.silent:
+        if self.is_silent:
             self._rebind()
         self._socket.listen(BACKLOG)
         self._loop.add_reader(self._socket.fileno(), self._accept)
         self._listening = True
 
     def refuse(self) -> None:
-        """Refuse from now on, and reset all connections: the process is gone."""
+        """Refuse new connections and reset the open ones, as if the process had died."""
         self._rebind()
-        for line in list(self.lines):
-            line.reset()
+        for connection in list(self.connections):
+            connection.reset()
 
-    def keep_silent(self) -> None:
-        """No connection comes up, and those there are neither hear nor speak."""
-        if self.silent:
+    def go_silent(self) -> None:
+        """Stop responding: attempts to connect time out, and open connections neither read nor write."""
+        if self.is_silent:
             return
         if self._listening:
             self._loop.remove_reader(self._socket.fileno())
         self._socket.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(FILLER_CONNECTIONS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self._host, self._port))
             self._fillers.append(filler)
-        self.silent, self._listening = True, True
-        for line in self.lines:
-            line.mute(True)
-
-    def speak_again(self) -> None:
-        """The path is back: what waits on open connections goes on, who tried to connect is reset."""
-        if not self.silent:
+        self.is_silent, self._listening = True, True
+        for connection in self.connections:
+            connection.set_muted(True)
+
+    def resume(self) -> None:
+        """Respond again: open connections resume with what is pending on them, pending attempts to connect
+        are reset."""
+        if not self.is_silent:
             return
         self.open()
-        for line in list(self.lines):
-            line.mute(False)
+        for connection in list(self.connections):
+            connection.set_muted(False)
 
-    def leave(self, after_s: float) -> None:
-        """Refuse from now on; what is open goes on for a little while."""
-        self._drop()
-        self._loop.call_later(after_s, self.close)
+    def close_after(self, delay_s: float) -> None:
+        """Refuse new connections; close the open ones after a while."""
+        self._stop_listening()
+        self._loop.call_later(delay_s, self.close)
 
     def close(self) -> None:
-        """The end of it."""
-        self._drop()
-        for line in list(self.lines):
-            line.transport.abort()
-
-    def close_idle(self, before: float) -> None:
-        """Close connections that have stood idle since a time."""
-        for line in list(self.lines):
-            if not line.slots and line.idle_since < before:
-                line.transport.close()
-
-    def made(self, line: Incoming) -> None:
-        """A connection is up."""
-        self.lines[line] = None
-        if self.silent:
-            line.mute(True)
-        self._made(line)
-
-    def lost(self, line: Incoming) -> None:
-        """A connection has ended; what was open on it will not be answered."""
-        self.lines.pop(line, None)
-        slots, line.slots = line.slots, deque()
-        for slot in slots:
-            self._gone(slot)
+        """Refuse new connections and close the open ones."""
+        self._stop_listening()
+        for connection in list(self.connections):
+            connection.transport.abort()
+
+    def close_idle(self, before_ms: float) -> None:
+        """Close connections that have been idle since before a time of `now()`."""
+        for connection in list(self.connections):
+            if not connection.exchanges and connection.idle_since_ms < before_ms:
+                connection.transport.close()
+
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Called when a connection is accepted."""
+        self.connections[connection] = None
+        if self.is_silent:
+            connection.set_muted(True)
+        self._on_connection(connection)
+
+    def on_closed(self, connection: ServerConnection) -> None:
+        """Called when a connection has closed. Its open requests cannot be answered any more."""
+        self.connections.pop(connection, None)
+        exchanges, connection.exchanges = connection.exchanges, deque()
+        for exchange in exchanges:
+            self._on_abandoned(exchange)
 
     def _bind(self) -> None:
         self._socket = socket.socket()
@@ -245,39 +256,39 @@
         self._port = self._socket.getsockname()[1]
 
     def _rebind(self) -> None:
-        self._drop()
+        self._stop_listening()
         self._bind()
 
-    def _drop(self) -> None:
-        if self._listening and not self.silent:
+    def _stop_listening(self) -> None:
+        if self._listening and not self.is_silent:
             self._loop.remove_reader(self._socket.fileno())
         self._socket.close()
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
-        self._listening = self.silent = False
+        self._listening = self.is_silent = False
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS):
+        for _ in range(MAX_ACCEPTS_IN_A_ROW):
             try:
-                accepted, _ = self._socket.accept()
-            except OSError:  # none left, or it has gone again
+                client, _ = self._socket.accept()
+            except OSError:  # none is pending, or the peer has closed it already
                 return
-            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             task = self._loop.create_task(
-                self._loop.connect_accepted_socket(lambda: Incoming(self), accepted)
+                self._loop.connect_accepted_socket(lambda: ServerConnection(self), client)
             )
             self._accepting.add(task)
-            task.add_done_callback(self._accepted)
+            task.add_done_callback(self._on_accepted)
 
-    def _accepted(self, task: asyncio.Task) -> None:
+    def _on_accepted(self, task: asyncio.Task) -> None:
         self._accepting.discard(task)
         if not task.cancelled():
-            task.exception()  # a peer that has left meanwhile is nobody's fault
+            task.exception()  # retrieved only: the peer may have closed the connection meanwhile
 
 
 def respond(status: int, body: bytes = b"", headers: bytes = b"", close: bool = False) -> bytes:
-    """The bytes of an answer; `headers` are whole lines."""
+    """The bytes of an answer. `headers` are complete lines."""
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         headers,
--- a/plumwall/emulator/listservice.py
+++ b/plumwall/emulator/listservice.py
@@ -1,4 +1,4 @@
-"""The project's own list service and its checkers, as processes of a run; or three replicas of it."""
+"""The project's list service and its checkers as processes of a run: a single service, or three replicas."""
 
 from __future__ import annotations
 
@@ -8,35 +8,36 @@
 import msgspec
 
 from plumwall.emulator.fleet import StartError, free_port
-from plumwall.emulator.process import end, kill, spawn_module
+from plumwall.emulator.process import kill, spawn_module, terminate
 from plumwall.faults.machines import HOST, Machines
 from plumwall.world.generator import HOLDING_MACHINES
 
-CHECKERS = 2  # one holds the duty, one waits for it
-START_S, END_S, LOOK_S = 10.0, 5.0, 0.02
-RATE_PER_S = 10.0  # probes, over all servers
+CHECKERS = 2  # one holds the lease for checking, the other waits for it
+START_TIMEOUT_S, STOP_TIMEOUT_S, POLL_S = 10.0, 5.0, 0.02
+PROBES_PER_S = 10.0  # over all servers
 
 
 class ListService:
-    """One service, and who checks its servers."""
+    """One list service and the checkers of its servers. `host` is the loopback address they listen on."""
 
     def __init__(self, folder: Path, host: str, log_format: str) -> None:
         self._folder, self._host, self._log_format = folder, host, log_format
         self.address, self.ops = f"{host}:{free_port(host)}", f"{host}:{free_port(host)}"
-        self._children: list[asyncio.subprocess.Process] = []
+        self._processes: list[asyncio.subprocess.Process] = []
 
     async def start(self) -> list[str]:
-        """Listen; returns its addresses once it is there."""
-        raw = {
+        """Start the service; return its addresses once it accepts connections. Raises StartError if it does
+        not."""
+        config = {
             "listen": self.address,
             "ops": self.ops,
             "folder": str((self._folder / "list").resolve()),
             "settle_ms": 0,
             "log": self._log_format,
         }
-        process = await self._start("yewstage.registry", "registry", raw)
+        process = await self._start("yewstage.registry", "registry", config)
         host, _, port = self.address.rpartition(":")
-        for _ in range(int(START_S / LOOK_S)):
+        for _ in range(int(START_TIMEOUT_S / POLL_S)):
             if process.returncode is not None:
                 break
             try:
@@ -44,34 +45,34 @@
                 writer.close()
                 return [self.address]
             except OSError:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
         raise StartError(f"the list service did not start; see {self._folder / 'registry.log'}")
 
     async def start_checkers(self) -> None:
-        """From now on unwell servers are taken out."""
+        """Start the checkers: from now on unhealthy servers are taken out of the list."""
         for i in range(CHECKERS):
-            raw = {
+            config = {
                 "name": f"checker-{i}",
                 "registry": self._addresses(),
                 "ops": f"{self._host}:{free_port(self._host)}",
                 "probing": True,
-                "rate_per_s": RATE_PER_S,
+                "rate_per_s": PROBES_PER_S,
                 "log": self._log_format,
             }
-            await self._start("yewstage.checker", f"checker-{i}", raw)
+            await self._start("yewstage.checker", f"checker-{i}", config)
 
     def _addresses(self) -> list[str]:
         return [self.address]
 
     async def close(self) -> None:
-        """Checkers leave their duty, then the service ends."""
-        for process in reversed(self._children):
-            await end(process, END_S)
+        """Stop the checkers, which release their lease, then the service."""
+        for process in reversed(self._processes):
+            await terminate(process, STOP_TIMEOUT_S)
             kill(process)
 
-    async def _start(self, module: str, name: str, raw: dict[str, object]) -> asyncio.subprocess.Process:
+    async def _start(self, module: str, name: str, config: dict[str, object]) -> asyncio.subprocess.Process:
         path = self._folder / f"{name}.json"
-        path.write_bytes(msgspec.json.encode(raw))
+        path.write_bytes(msgspec.json.encode(config))
         with (self._folder / f"{name}.log").open("ab") as log:
             process = await spawn_module(
                 module,
@@ -81,33 +82,34 @@
                 stdout=log,
                 stderr=log,
             )
-        self._children.append(process)
+        self._processes.append(process)
         return process
 
 
-class HeldList(ListService):
-    """Three replicas, on machines of the rig of faults."""
+class ReplicatedListService(ListService):
+    """Three replicas, on the machines that the fault tests use as well."""
 
     def __init__(self, folder: Path, host: str, log_format: str) -> None:
         super().__init__(folder, host, log_format)
         self._machines = Machines(folder / "holding", HOLDING_MACHINES, log=log_format, gone_ms=3000.0)
 
     async def start(self) -> list[str]:
-        """Begin a group on all; returns their addresses once all have all."""
+        """Start a replica group; return its addresses once all machines have all data. Raises StartError on
+        failure."""
         try:
             await self._machines.open()
             await self._machines.init(self._machines.all)
-            async with asyncio.timeout(START_S):
+            async with asyncio.timeout(START_TIMEOUT_S):
                 await self._machines.wait_until_replicated()
         except (RuntimeError, TimeoutError) as error:
-            raise StartError(f"the holding did not start: {error}") from None
+            raise StartError(f"the replicated list service did not start: {error}") from None
         return self._addresses()
 
     def _addresses(self) -> list[str]:
         return [f"{HOST}:{machine.listen}" for machine in self._machines.all]
 
-    async def change(self, kind: str, name: str) -> None:
-        """A machine is lost with its disk; it comes back with an empty one."""
+    async def apply_fault(self, kind: str, name: str) -> None:
+        """Apply a fault: a machine is lost together with its disk, or starts again with an empty one."""
         machine = self._machines.by_name(name)
         if kind == "holding_lost":
             await machine.kill(disk_too=True)
@@ -115,6 +117,6 @@
             await self._machines.start(machine)
 
     async def close(self) -> None:
-        """Checkers leave their duty, then the replicas end."""
+        """Stop the checkers, which release their lease, then the replicas."""
         await super().close()
         await self._machines.close()
--- a/plumwall/emulator/metrics.py
+++ b/plumwall/emulator/metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a run in the form that Prometheus reads, at an address while the run goes on."""
+"""Metrics of a run in the Prometheus format, served over HTTP while the run is in progress."""
 
 from __future__ import annotations
 
@@ -10,51 +10,57 @@
 
 
 class Exporter:
-    """Keeps what a run tells second by second, and answers who asks."""
+    """Keeps the metrics of a run and serves them."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self._tries = Counter(
-            "emulator_tries", "of clients that have ended", ["gateway", "result"], registry=self.registry
+            "emulator_tries",
+            "tries of clients that have ended",
+            ["gateway", "result"],
+            registry=self.registry,
         )
         self._latency = Gauge(
             "emulator_latency_seconds",
-            "of what was served in the last second, since due",
+            "latency of the tries served in the last second, from when they were due",
             ["gateway", "quantile"],
             registry=self.registry,
         )
         self._states = Gauge(
             "emulator_gateway_state",
-            "1 for the state that a gateway is in",
+            "1 for the current state of a gateway, else 0",
             ["gateway", "state"],
             registry=self.registry,
         )
-        self._faults = Counter("emulator_faults", "carried out", ["kind"], registry=self.registry)
+        self._faults = Counter(
+            "emulator_faults", "fault events that were applied", ["kind"], registry=self.registry
+        )
         self._server = None
 
     def serve(self, address: tuple[str, int]) -> int:
-        """Answer at an address; the port, where 0 was asked for."""
+        """Serve the metrics at an address; return the port, which the system chooses if it is 0 in the
+        address."""
         self._server, self._thread = start_http_server(address[1], address[0], self.registry)
         return self._server.server_port
 
-    def second(self, second: Second) -> None:
-        """What one gateway did in a second."""
+    def record_second(self, second: Second) -> None:
+        """Add what one gateway did in a second."""
         for result in ("served", "refused", "failed"):
             self._tries.labels(second.gateway, result).inc(getattr(second, result))
         self._latency.labels(second.gateway, "0.5").set(second.p50_ms / 1000)
         self._latency.labels(second.gateway, "0.99").set(second.p99_ms / 1000)
 
-    def state(self, gateway: str, state: str) -> None:
-        """A gateway has become something."""
-        for one in STATES:
-            self._states.labels(gateway, one).set(one == state)
+    def record_state(self, gateway: str, state: str) -> None:
+        """Set the state of a gateway."""
+        for known_state in STATES:
+            self._states.labels(gateway, known_state).set(known_state == state)
 
-    def fault(self, kind: str) -> None:
-        """A change of the fault plan was carried out."""
+    def record_fault(self, kind: str) -> None:
+        """Count a fault event that was applied."""
         self._faults.labels(kind).inc()
 
     def close(self) -> None:
-        """Answer nobody any more."""
+        """Stop serving."""
         if self._server is not None:
             self._server.shutdown()
             self._server.server_close()
--- a/plumwall/emulator/process.py
+++ b/plumwall/emulator/process.py
@@ -1,4 +1,4 @@
-"""Child processes that never outlive their parent: gateways and workers."""
+"""Child processes (gateways and workers) that are killed when their parent ends."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def _die_with_parent() -> None:
-    """In the child, before it becomes its program: the kernel ends it with its parent."""
+    """Run in the child before exec: the kernel kills the child when its parent ends."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-def limits(sockets: int) -> Callable[[], None]:
-    """In the child: what a gateway's machine allows."""
+def socket_limiter(sockets: int) -> Callable[[], None]:
+    """A function to run in the child before exec, which limits the number of its file descriptors."""
 
     def apply() -> None:
         _die_with_parent()
@@ -34,33 +34,36 @@
 
 
 def raise_descriptors() -> None:
-    """As many descriptors for this process and its workers as the system lets us have."""
+    """Raise the limit on file descriptors of this process and its children to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
 async def spawn(
-    words: Sequence[str],
+    args: Sequence[str],
     cwd: Path,
     environ: Mapping[str, str],
     prepare: Callable[[], None] = _die_with_parent,
     **streams: object,
 ) -> asyncio.subprocess.Process:
-    """Start a program in a session of its own: the terminal's signals are ours to pass on."""
+    """Start a program in its own session, so that signals of the terminal do not reach it directly.
+
+    `prepare` runs in the child before exec.
+    """
     return await asyncio.create_subprocess_exec(
-        *words, cwd=cwd, env=dict(environ), start_new_session=True, preexec_fn=prepare, **streams
+        *args, cwd=cwd, env=dict(environ), start_new_session=True, preexec_fn=prepare, **streams
     )
 
 
-async def spawn_module(module: str, *words: str, **streams: object) -> asyncio.subprocess.Process:
-    """Start a module of the project with this interpreter."""
+async def spawn_module(module: str, *args: str, **streams: object) -> asyncio.subprocess.Process:
+    """Run a module of the project with this interpreter."""
     environ = {**os.environ, "PYTHONPATH": str(ROOT)}
-    return await spawn([sys.executable, "-m", module, *words], ROOT, environ, **streams)
+    return await spawn([sys.executable, "-m", module, *args], ROOT, environ, **streams)
 
 
 async def is_ready(host: str, port: int) -> bool:
-    """Whether a gateway says that it can serve; who asks says how long that may take."""
+    """Whether a gateway reports itself ready. There is no time-out here; the caller sets one."""
     try:
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(b"GET /ready HTTP/1.1\r\nHost: front\r\nConnection: close\r\n\r\n")
@@ -71,13 +74,18 @@
     return line.split()[1:2] == [b"200"]
 
 
-async def end(process: asyncio.subprocess.Process, within_s: float, number: int = signal.SIGTERM) -> bool:
-    """A signal, then SIGKILL to all of its session if it stays; whether it ended by itself."""
+async def terminate(
+    process: asyncio.subprocess.Process, timeout_s: float, signal_number: int = signal.SIGTERM
+) -> bool:
+    """Send a signal, and SIGKILL to the whole session if the process still runs after the time-out.
+
+    Returns whether the process ended without SIGKILL.
+    """
     if process.returncode is not None:
         return True
     try:
-        process.send_signal(number)
-        async with asyncio.timeout(within_s):
+        process.send_signal(signal_number)
+        async with asyncio.timeout(timeout_s):
             await process.wait()
         return True
     except ProcessLookupError:
@@ -89,7 +97,7 @@
 
 
 def kill(process: asyncio.subprocess.Process) -> None:
-    """SIGKILL to the process and all that it started."""
+    """Send SIGKILL to the process and all processes of its session."""
     if process.returncode is None:
         try:
             os.killpg(process.pid, signal.SIGKILL)
@@ -98,7 +106,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Memory of a process, MiB; 0 if it is gone."""
+    """Resident memory of a process in MiB; 0 if it has ended."""
     try:
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     except (OSError, IndexError, ValueError):
@@ -107,7 +115,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far, seconds; 0 if it is gone."""
+    """Processor time of a process so far, in seconds; 0 if it has ended."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     except OSError:
@@ -116,29 +124,32 @@
 
 
 class JsonLinesWorker:
-    """A worker that takes and gives JSON lines."""
+    """A worker process that receives and sends JSON lines on standard input and output.
+
+    `on_message` gets each line, `on_exit` the status of a process that exits before `stop` is called.
+    """
 
     def __init__(
         self,
         process: asyncio.subprocess.Process,
-        heard: Callable[[dict[str, object]], None],
-        lost: Callable[[int], None],
+        on_message: Callable[[dict[str, object]], None],
+        on_exit: Callable[[int], None],
     ) -> None:
-        self.process, self._heard, self._lost = process, heard, lost
-        self.ending = False
+        self.process, self._on_message, self._on_exit = process, on_message, on_exit
+        self.is_stopping = False
         self._task = asyncio.get_running_loop().create_task(self._read())
 
-    def tell(self, words: object) -> None:
-        """One line to it."""
+    def send(self, message: object) -> None:
+        """Send a message as one line, unless the worker's input is closed."""
         if self.process.stdin is not None and not self.process.stdin.is_closing():
-            self.process.stdin.write(msgspec.json.encode(words) + b"\n")
+            self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
-    async def stop(self, within_s: float = 5.0) -> None:
-        """Close its input; it writes what it has and ends."""
-        self.ending = True
+    async def stop(self, timeout_s: float = 5.0) -> None:
+        """Close the worker's input, so that it flushes its records and exits; kill it after the time-out."""
+        self.is_stopping = True
         self.process.stdin.close()
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 await self.process.wait()
         except TimeoutError:
             kill(self.process)
@@ -147,7 +158,7 @@
 
     async def _read(self) -> None:
         while line := await self.process.stdout.readline():
-            self._heard(msgspec.json.decode(line))
-        code = await self.process.wait()
-        if not self.ending:
-            self._lost(code)
+            self._on_message(msgspec.json.decode(line))
+        status = await self.process.wait()
+        if not self.is_stopping:
+            self._on_exit(status)
--- a/plumwall/emulator/registrar.py
+++ b/plumwall/emulator/registrar.py
@@ -1,4 +1,4 @@
-"""Servers that register themselves with the project's own list service, renew, drain and leave."""
+"""Registration of the emulated servers with the project's list service: register, renew, drain and leave."""
 
 from __future__ import annotations
 
@@ -13,77 +13,82 @@
 from yewstage.registry.client import NoAnswerError, ServiceClient
 
 TTL_MS = 3000.0
-RENEW_S = TTL_MS / 3000
-TOLD_MS = 6000.0  # after which what the service holds counts as told, fetched or not
+RENEW_INTERVAL_S = TTL_MS / 3000  # a third of the TTL
+# After this time what the service holds is recorded as told to the gateways, fetched or not.
+TOLD_AFTER_MS = 6000.0
 
 
 class Registrar:
-    """What one process's servers say to the list service, one call at a time."""
+    """The calls of one process's servers to the list service, one at a time."""
 
     def __init__(
         self,
-        at: list[Address],
+        addresses: list[Address],
         gateways: list[str],
         write: Callable[[r.Record], None],
         now: Callable[[], float],
     ) -> None:
-        self._client, self._gateways, self._write, self._now = ServiceClient(at), gateways, write, now
-        self._here: dict[str, tuple[ServerSpec, str, float]] = {}  # spec, address, start
-        self._news: dict[str, int] = {}  # by server, how much has become of it
+        self._client, self._gateways, self._write, self._now = ServiceClient(addresses), gateways, write, now
+        # by server: spec, address, start time
+        self._registered: dict[str, tuple[ServerSpec, str, float]] = {}
+        self._change_counts: dict[str, int] = {}  # by server
         self._tasks: set[asyncio.Task] = set()
-        self._renewing: asyncio.Task | None = None
-        self.failures = 0  # calls that nobody answered
+        self._renew_task: asyncio.Task | None = None
+        self.unanswered_calls = 0
 
     async def register_all(self, servers: list[tuple[ServerSpec, str]]) -> None:
-        """Those that are there at the start; from here on all are kept alive."""
+        """Register the initial servers, and renew all registrations from now on."""
         for spec, address in servers:
-            self._here[spec.name] = spec, address, 0.0
+            self._registered[spec.name] = spec, address, 0.0
             await self._register(spec.name)
-        self._renewing = asyncio.get_running_loop().create_task(self._renew())
+        self._renew_task = asyncio.get_running_loop().create_task(self._renew())
 
-    def started(self, spec: ServerSpec, address: str) -> None:
-        """A life begins."""
-        self._here[spec.name] = spec, address, round(time.time() * 1000, 3)
-        self._later(self._register(spec.name))
+    def server_started(self, spec: ServerSpec, address: str) -> None:
+        """Register a new incarnation of a server."""
+        self._registered[spec.name] = spec, address, round(time.time() * 1000, 3)
+        self._spawn(self._register(spec.name))
 
-    def died(self, name: str) -> None:
-        """It renews no more, and says nothing: the service finds out."""
-        if self._here.pop(name, None) is not None:
-            self._tell(name, GONE, TTL_MS + TOLD_MS)
+    def server_died(self, name: str) -> None:
+        """Stop renewing a server that died. The service is not told: the registration expires."""
+        if self._registered.pop(name, None) is not None:
+            self._schedule_told(name, GONE, TTL_MS + TOLD_AFTER_MS)
 
-    def drains(self, name: str) -> None:
-        """It wants nothing new."""
-        self._later(self._call("POST", f"/v1/endpoints/{name}/drain", {"draining": True}))
-        self._tell(name, DRAINING, TOLD_MS)
+    def server_draining(self, name: str) -> None:
+        """Tell the service that a server drains."""
+        self._spawn(self._call("POST", f"/v1/endpoints/{name}/drain", {"draining": True}))
+        self._schedule_told(name, DRAINING, TOLD_AFTER_MS)
 
-    def left(self, name: str) -> None:
-        """It ends in words."""
-        if self._here.pop(name, None) is not None:
-            self._later(self._call("DELETE", f"/v1/endpoints/{name}", {}))
-            self._tell(name, GONE, TOLD_MS)
+    def server_left(self, name: str) -> None:
+        """Remove the registration of a server that stops in order."""
+        if self._registered.pop(name, None) is not None:
+            self._spawn(self._call("DELETE", f"/v1/endpoints/{name}", {}))
+            self._schedule_told(name, GONE, TOLD_AFTER_MS)
 
     def close(self) -> None:
-        """Say nothing more."""
-        for task in [*self._tasks, *([self._renewing] if self._renewing is not None else [])]:
+        """Cancel all calls."""
+        for task in [*self._tasks, *([self._renew_task] if self._renew_task is not None else [])]:
             task.cancel()
         self._client.close()
 
-    def _tell(self, name: str, lifecycle: str, after_ms: float, started: float = 0.0) -> None:
-        """Which gateway was told when is the service's to know: all count as told after the longest time, if
-        nothing newer has become of the server by then."""
-        self._news[name] = news = self._news.get(name, 0) + 1
+    def _schedule_told(self, name: str, lifecycle: str, after_ms: float, started_at_ms: float = 0.0) -> None:
+        """Record a change as told to all gateways after a time, unless a newer change of the server comes
+        first.
+
+        When each gateway hears of it is known to the service alone, so the longest time is assumed.
+        """
+        self._change_counts[name] = change_count = self._change_counts.get(name, 0) + 1
         asyncio.get_running_loop().call_later(
-            after_ms / 1000, self._count_as_told, name, lifecycle, started, news
+            after_ms / 1000, self._record_if_current, name, lifecycle, started_at_ms, change_count
         )
 
-    def _count_as_told(self, name: str, lifecycle: str, started: float, news: int) -> None:
-        if self._news[name] == news:
+    def _record_if_current(self, name: str, lifecycle: str, started_at_ms: float, change_count: int) -> None:
+        if self._change_counts[name] == change_count:
             for gateway in self._gateways:
-                self._write(r.Told(self._now(), gateway, name, lifecycle, started))
+                self._write(r.Told(self._now(), gateway, name, lifecycle, started_at_ms))
 
     async def _register(self, name: str) -> None:
-        spec, address, started = self._here[name]
-        done = await self._call(
+        spec, address, started_at_ms = self._registered[name]
+        succeeded = await self._call(
             "PUT",
             f"/v1/endpoints/{name}",
             {
@@ -93,32 +98,35 @@
                 "machineType": "std",
                 "cell": spec.cell,
                 "weight": 1.0,
-                "startedAtMs": started,
+                "startedAtMs": started_at_ms,
             },
         )
-        if done and started:
-            self._tell(name, READY, TOLD_MS, started)
+        if succeeded and started_at_ms:
+            self._schedule_told(name, READY, TOLD_AFTER_MS, started_at_ms)
 
     async def _renew(self) -> None:
-        """Every server, over and over; one that the service does not know registers anew."""
+        """Renew all registrations periodically. A server whose renewal fails registers again."""
         while True:
-            begun = time.monotonic()
-            for name in list(self._here):
-                if name in self._here and not await self._call("POST", f"/v1/endpoints/{name}/renew", {}):
-                    if name in self._here:
+            began_s = time.monotonic()
+            for name in list(self._registered):
+                if name in self._registered and not await self._call(
+                    "POST", f"/v1/endpoints/{name}/renew", {}
+                ):
+                    if name in self._registered:
                         await self._register(name)
-            await asyncio.sleep(max(0.05, RENEW_S - (time.monotonic() - begun)))
+            await asyncio.sleep(max(0.05, RENEW_INTERVAL_S - (time.monotonic() - began_s)))
 
     async def _call(self, method: str, path: str, body: dict[str, object]) -> bool:
-        """One call; whether it was done. A service that is silent is asked again at the next renewal."""
+        """Make a call; return whether it succeeded. After a call without an answer the next renewal tries
+        again."""
         try:
-            told = await self._client.call(method, path, body)
+            answer = await self._client.call(method, path, body)
         except NoAnswerError:
-            self.failures += 1
+            self.unanswered_calls += 1
             return False
-        return told.status == 200
+        return answer.status == 200
 
-    def _later(self, work: object) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: object) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/plumwall/emulator/run.py
+++ b/plumwall/emulator/run.py
@@ -1,4 +1,8 @@
-"""A whole run: workers and gateways started, load and faults played, everything ended and judged."""
+"""A complete emulator run: start workers and gateways, apply load and faults, stop everything, judge the
+records.
+
+This parent process exchanges JSON lines with its workers (see worker.py).
+"""
 
 from __future__ import annotations
 
@@ -13,26 +17,27 @@
 
 from plumwall import records as r
 from plumwall import scenario as scenarios
-from plumwall.emulator.fleet import Gateway, StartError, run_command
+from plumwall.emulator.fleet import GatewayProcess, StartError, run_command
 from plumwall.emulator.identity import host_of
-from plumwall.emulator.listservice import HeldList, ListService
+from plumwall.emulator.listservice import ListService, ReplicatedListService
 from plumwall.emulator.metrics import Exporter
 from plumwall.emulator.process import ROOT, JsonLinesWorker, raise_descriptors, spawn_module
 from plumwall.emulator.tally import Row, Second, Tally
-from plumwall.emulator.timing import not_before
+from plumwall.emulator.timing import call_not_before
 from plumwall.judge import Judge, Verdict
 from plumwall.world.generator import FaultEvent, GeneratedWorld
 
 DEPLOY = ROOT / "deploy" / "balancer.toml"
-LEAD_S = 0.5  # from the last word to all workers to the beginning of the load
-WORKER_S = 30.0  # for a worker to draw its day and listen
-LAST_S = 15.0  # beyond the load and the longest deadline, after which clients that are not done are given up
-REFUSALS = 'gateway_refusals_total{reason="'
-LINE = 64 * 1024 * 1024
+START_DELAY_S = 0.5  # from the start message to the start of the load, so that every worker has it in time
+WORKER_REPLY_TIMEOUT_S = 30.0  # time for a worker to generate its world and listen
+# After the load and the longest deadline. Clients that have not finished by then fail the run.
+CLIENT_GRACE_S = 15.0
+REFUSALS_METRIC_PREFIX = 'gateway_refusals_total{reason="'
+MAX_LINE_BYTES = 64 * 1024 * 1024
 
 
 class Options(Struct, kw_only=True):
-    """How a scenario is to be played."""
+    """How to run a scenario."""
 
     scenario: scenarios.Scenario
     seed: int = 1
@@ -41,11 +46,11 @@
     log_format: str = "text"  # of the gateways
     client_workers: int = 1
     host_workers: int = 1
-    gateways: list[str] = []  # addresses of gateways that are up already: only the load is played
+    gateways: list[str] = []  # addresses of running gateways; if set, only the load is run
 
 
 class RunStatus(Struct):
-    """The state of a run, for who watches it."""
+    """The state of a run while it is in progress, for display. `at_s` is the time since the load began."""
 
     at_s: float
     gateways: dict[str, Second]
@@ -55,36 +60,37 @@
 
 
 class RunOutcome(Struct):
-    """What a run came to."""
+    """The result of a run. Written to outcome.json."""
 
-    verdict: Verdict | None  # none where only the load was ours
+    verdict: Verdict | None  # None if only the load was run
     rows: list[Row]
-    void: str  # why it says nothing of the gateways; empty: it does
-    late_ms: float  # the 99th percentile of how late tries were sent
+    void: str  # why the result is not valid for the gateways; empty if it is
+    late_ms: float  # 99th percentile of the delay between due and sent
     tries: int
     offered_per_s: float
     most_offered_in_1s: int
     most_served_in_1s: int
-    refusals: dict[str, int]  # by the gateways' own reasons
+    refusals: dict[str, int]  # by reason, as the gateways count them
     cpu_s: dict[str, float]
     memory_mb: dict[str, float]
     folder: str
 
 
 class Run:
-    """One play of a scenario."""
+    """One run of a scenario. Its methods raise StartError if a process of the run does not start or
+    answer."""
 
     def __init__(
         self,
         options: Options,
-        say: Callable[[str], None] = lambda text: None,
-        look: Callable[[RunStatus], None] = lambda seen: None,
+        report_progress: Callable[[str], None] = lambda text: None,
+        report_status: Callable[[RunStatus], None] = lambda status: None,
         exporter: Exporter | None = None,
     ) -> None:
-        self.options, self._say, self._look = options, say, look
+        self.options, self._report_progress, self._report_status = options, report_progress, report_status
         self._exporter = exporter or Exporter()
         self.scenario = options.scenario
-        self.drawn = GeneratedWorld(self.scenario, options.seed)
+        self.world = GeneratedWorld(self.scenario, options.seed)
         self.folder = options.folder
         self.t0 = 0.0
         self._network = (
@@ -92,83 +98,85 @@
         )
         self.tally = Tally(
             [c.name for c in self.scenario.classes],
-            [self.drawn.plans[c.plan].name for c in self.drawn.customers],
+            [self.world.plans[c.plan].name for c in self.world.customers],
         )
         self._workers: dict[str, JsonLinesWorker] = {}
-        self._answers: dict[str, asyncio.Future] = {}
-        self.gateways: dict[str, Gateway] = {}
-        self.registry: ListService | HeldList | None = None
+        self._replies: dict[str, asyncio.Future] = {}
+        self.gateways: dict[str, GatewayProcess] = {}
+        self.list_service: ListService | ReplicatedListService | None = None
         self._states: dict[str, str] = {}
         self._tasks: set[asyncio.Task] = set()
         self._last_fault = ""
         self._seconds: dict[str, Second] = {}
-        self._refusals: dict[tuple[str, int], dict[str, float]] = {}  # by gateway and life, by reason
-        self._over = 0
-        self._done = asyncio.Event()
+        # by gateway and incarnation, then by reason
+        self._refusals: dict[tuple[str, int], dict[str, float]] = {}
+        self._finished_clients = 0
+        self._load_done = asyncio.Event()
         self._failure = ""
 
     async def play(self) -> RunOutcome:
-        """All of it. Whatever happens, nothing that was started stays."""
+        """Run the scenario and judge it. Every process that was started is stopped, also after an error."""
         try:
             await self.set_up()
-            self._say("the load begins")
-            await self._load()
+            self._report_progress("the load begins")
+            await self._run_load()
         finally:
             await self.close()
         if not self.options.gateways:
-            self._say("judging the run")
+            self._report_progress("judging the run")
         return self.judge()
 
     async def serve_until_cancelled(self) -> None:
-        """The world and its gateways without a load, until cancelled."""
+        """Run the world and its gateways without a load until cancelled."""
         try:
             await self.set_up()
-            self._go()
+            self._announce_start()
             await asyncio.Event().wait()
         finally:
             await self.close()
 
     async def set_up(self) -> None:
-        """Workers listen, gateways are ready."""
+        """Start workers and gateways; return when the workers listen and the gateways are ready."""
         raise_descriptors()
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "scenario.json").write_text(scenarios.encode(self.scenario), encoding="utf-8")
-        self._file = (self.folder / "run.jsonl").open("wb")
-        self._writer = r.Writer(self._file)
+        self._records_file = (self.folder / "run.jsonl").open("wb")
+        self._writer = r.Writer(self._records_file)
         for shard in range(self.options.client_workers):
             await self._start_worker("clients", shard, self.options.client_workers)
         if not self.options.gateways:
             await self._start_fleet()
         for shard in range(self.options.client_workers):
-            await self._answer(f"clients-{shard}:clients")
+            await self._reply(f"clients-{shard}:clients")
 
     async def _start_fleet(self) -> None:
         command = run_command(self.options.deploy)
-        self._say(
-            f"{len(self.drawn.servers)} servers, {len(self.drawn.gateways)} gateways, "
-            f"{len(self.drawn.tries)} requests by seed {self.options.seed}"
+        self._report_progress(
+            f"{len(self.world.servers)} servers, {len(self.world.gateways)} gateways, "
+            f"{len(self.world.tries)} requests, seed {self.options.seed}"
         )
         backing = await self._start_world()
         if self.scenario.listing.source != "agent":
-            await self._start_registry(backing)
+            await self._start_list_service(backing)
         root = self.options.deploy.resolve().parent.parent
-        for spec in self.drawn.gateways:
-            gateway = Gateway(
+        for spec in self.world.gateways:
+            gateway = GatewayProcess(
                 spec,
-                self.drawn,
+                self.world,
                 root,
                 command,
                 self.folder,
-                self._host(spec.number),
-                self._became,
+                self._address_of(spec.number),
+                self._on_gateway_state,
                 self.options.log_format,
             )
             gateway.configure(backing[spec.name])
             self.gateways[spec.name] = gateway
-        await self._together([gateway.start() for gateway in self.gateways.values()])
+        await self._gather_all([gateway.start() for gateway in self.gateways.values()])
 
     async def close(self) -> None:
-        """End all children: gateways as the platform does, then the world."""
+        """Stop all child processes: gateways with SIGTERM as the platform does, then list service and
+        workers."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -177,31 +185,31 @@
         finally:
             for gateway in self.gateways.values():
                 await gateway.close()
-            if self.registry is not None:
-                await self.registry.close()
+            if self.list_service is not None:
+                await self.list_service.close()
             await asyncio.gather(*(worker.stop() for worker in self._workers.values()))
-            if hasattr(self, "_file"):
+            if hasattr(self, "_records_file"):
                 self._writer.flush()
-                self._file.close()
+                self._records_file.close()
 
     def judge(self) -> RunOutcome:
-        """The verdict, from the records of all processes; also kept in the run's folder."""
+        """Judge the records of all processes; also write the outcome to outcome.json in the run's folder."""
         verdict = None
         if not self.options.gateways:
             files = [*sorted(self.folder.glob("*-[0-9]*.jsonl")), self.folder / "run.jsonl"]
-            verdict = Judge(self.drawn, r.read_records(files)).verdict()
+            verdict = Judge(self.world, r.read_records(files)).verdict()
         seconds = max(self.tally.last_offered_ms / 1000, 1e-3)
         outcome = RunOutcome(
             verdict,
             self.tally.rows(),
-            self.tally.void(),
-            self.tally.late_ms(),
+            self.tally.void_reason(),
+            self.tally.lateness_ms(),
             self.tally.offered_count,
             self.tally.offered_count / seconds,
-            *self.tally.most_in_a_second(),
-            self._reasons(),
+            *self.tally.peaks_per_second(),
+            self._refusals_by_reason(),
             {name: gateway.cpu_s() for name, gateway in self.gateways.items()},
-            {name: gateway.most_mb for name, gateway in self.gateways.items()},
+            {name: gateway.peak_mb for name, gateway in self.gateways.items()},
             str(self.folder),
         )
         (self.folder / "outcome.json").write_bytes(
@@ -211,7 +219,7 @@
 
     # --- The world ----------------------------------------------------------------------------------------
 
-    def _host(self, number: int) -> str:
+    def _address_of(self, number: int) -> str:
         return host_of(self._network, number)
 
     async def _start_world(self) -> dict[str, dict[str, str]]:
@@ -219,40 +227,44 @@
         for shard in range(options.host_workers):
             await self._start_worker("hosts", shard, options.host_workers)
         await self._start_worker("backing", 0, 1)
-        servers: dict[str, dict[str, str]] = {g.name: {} for g in self.drawn.gateways}
+        servers: dict[str, dict[str, str]] = {g.name: {} for g in self.world.gateways}
         for shard in range(options.host_workers):
-            for gateway, addresses in (await self._answer(f"hosts-{shard}:servers")).items():
+            for gateway, addresses in (await self._reply(f"hosts-{shard}:servers")).items():
                 servers[gateway] |= addresses
-        self._workers["backing-0"].tell({"servers": servers})
-        return await self._answer("backing-0:backing")
-
-    async def _start_registry(self, backing: dict[str, dict[str, str]]) -> None:
-        """The project's own list service in place of the agents; servers register before gateways start."""
-        kind = ListService if self.scenario.listing.source == "registry" else HeldList
-        self.registry = kind(self.folder, self._host(0), self.options.log_format)
-        at = await self.registry.start()
-        self._say(f"the list service is at {','.join(at)}: plumwall servers --at {','.join(at)}")
+        self._workers["backing-0"].send({"servers": servers})
+        return await self._reply("backing-0:backing")
+
+    async def _start_list_service(self, backing: dict[str, dict[str, str]]) -> None:
+        """Start the project's list service in place of the agents; servers register before gateways start."""
+        service_class = ListService if self.scenario.listing.source == "registry" else ReplicatedListService
+        self.list_service = service_class(self.folder, self._address_of(0), self.options.log_format)
+        addresses = await self.list_service.start()
+        self._report_progress(
+            f"the list service is at {','.join(addresses)}: plumwall servers --at {','.join(addresses)}"
+        )
         hosts = [name for name in self._workers if name.startswith("hosts")]
         for name in hosts:
-            self._workers[name].tell({"registry": at})
+            self._workers[name].send({"registry": addresses})
         for name in hosts:
-            await self._answer(f"{name}:registered")
-        for number, addresses in enumerate(backing.values()):
-            addresses["discovery"] = at[number % len(at)]
+            await self._reply(f"{name}:registered")
+        for number, gateway_addresses in enumerate(backing.values()):
+            gateway_addresses["discovery"] = addresses[number % len(addresses)]
 
     async def _start_worker(self, role: str, shard: int, shards: int) -> None:
         process = await spawn_module(
             "plumwall.emulator.worker",
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            limit=LINE,
+            limit=MAX_LINE_BYTES,
         )
         name = f"{role}-{shard}"
         worker = JsonLinesWorker(
-            process, lambda line: self._heard(name, line), lambda code: self._lost(name, code)
+            process,
+            lambda message: self._on_worker_message(name, message),
+            lambda code: self._on_worker_exit(name, code),
         )
         self._workers[name] = worker
-        worker.tell(
+        worker.send(
             {
                 "role": role,
                 "scenario": scenarios.encode(self.scenario),
@@ -265,164 +277,170 @@
             }
         )
 
-    def _waiting(self, key: str) -> asyncio.Future:
-        if key not in self._answers:
-            self._answers[key] = asyncio.get_running_loop().create_future()
-        return self._answers[key]
+    def _reply_future(self, key: str) -> asyncio.Future:
+        if key not in self._replies:
+            self._replies[key] = asyncio.get_running_loop().create_future()
+        return self._replies[key]
 
-    async def _answer(self, key: str) -> object:
-        """What a worker says to a word of ours."""
+    async def _reply(self, key: str) -> object:
+        """Wait for the value that a worker sends under a key. Raises StartError after the time-out."""
         try:
-            async with asyncio.timeout(WORKER_S):
-                return await self._waiting(key)
+            async with asyncio.timeout(WORKER_REPLY_TIMEOUT_S):
+                return await self._reply_future(key)
         except TimeoutError:
-            raise StartError(f"{key}: the emulator's process did not answer within {WORKER_S:g} s") from None
+            raise StartError(
+                f"{key}: the emulator worker did not answer within {WORKER_REPLY_TIMEOUT_S:g} s"
+            ) from None
 
-    def _heard(self, name: str, line: dict[str, object]) -> None:
-        for second in msgspec.convert(line.pop("tick", []), list[Second]):
+    def _on_worker_message(self, name: str, message: dict[str, object]) -> None:
+        for second in msgspec.convert(message.pop("tick", []), list[Second]):
             self._seconds[second.gateway] = second
-            self._exporter.second(second)
-        if "over" in line:
-            self.tally.add(line.pop("over"))
-            self._over += 1
-            if self._over == self.options.client_workers:
-                self._done.set()
-        for word, value in line.items():
-            waiting = self._waiting(f"{name}:{word}")
-            if not waiting.done():
-                waiting.set_result(value)
-
-    def _lost(self, name: str, code: int) -> None:
-        self._failure = f"{name}: the emulator's process ended with status {code}"
-        for waiting in self._answers.values():
-            if not waiting.done():
-                waiting.set_exception(StartError(self._failure))
-        self._done.set()
-
-    # --- The play -----------------------------------------------------------------------------------------
-
-    def _go(self) -> None:
-        """Say to all when the load begins."""
-        self.t0 = (time.monotonic() + LEAD_S) * 1000
+            self._exporter.record_second(second)
+        if "over" in message:
+            self.tally.merge(message.pop("over"))
+            self._finished_clients += 1
+            if self._finished_clients == self.options.client_workers:
+                self._load_done.set()
+        for key, value in message.items():
+            future = self._reply_future(f"{name}:{key}")
+            if not future.done():
+                future.set_result(value)
+
+    def _on_worker_exit(self, name: str, code: int) -> None:
+        self._failure = f"{name}: the emulator worker exited with status {code}"
+        for future in self._replies.values():
+            if not future.done():
+                future.set_exception(StartError(self._failure))
+        self._load_done.set()
+
+    # --- The run ------------------------------------------------------------------------------------------
+
+    def _announce_start(self) -> None:
+        """Send the start time of the load to all workers and schedule the faults."""
+        self.t0 = (time.monotonic() + START_DELAY_S) * 1000
         addresses = {name: gateway.listen for name, gateway in self.gateways.items()} or {
             spec.name: address
-            for spec, address in zip(self.drawn.gateways, self.options.gateways, strict=True)
+            for spec, address in zip(self.world.gateways, self.options.gateways, strict=True)
         }
         for name, worker in self._workers.items():
             if name.startswith("clients"):
-                worker.tell({"gateways": addresses})
-            worker.tell({"go": self.t0})
+                worker.send({"gateways": addresses})
+            worker.send({"go": self.t0})
         loop = asyncio.get_running_loop()
-        for change in self.drawn.changes:
-            not_before(loop, self.t0 + change.at_ms, self._change, change)
-        self._spawn(self._watch())
-        if self.registry is not None:
-            self._spawn(self.registry.start_checkers())
-
-    async def _load(self) -> None:
-        """The load, until its last client is done."""
-        self._go()
+        for event in self.world.changes:
+            call_not_before(loop, self.t0 + event.at_ms, self._apply_fault, event)
+        self._spawn(self._poll_status())
+        if self.list_service is not None:
+            self._spawn(self.list_service.start_checkers())
+
+    async def _run_load(self) -> None:
+        """Start the load and wait until the last client has finished."""
+        self._announce_start()
         longest = max(c.deadline_ms for c in self.scenario.classes) / 1000
         try:
-            async with asyncio.timeout(self.scenario.length_s + longest + LAST_S):
-                await self._done.wait()
+            async with asyncio.timeout(self.scenario.length_s + longest + CLIENT_GRACE_S):
+                await self._load_done.wait()
         except TimeoutError:
-            self._failure = "the clients were not done in time"
+            self._failure = "the clients did not finish in time"
         if self._failure:
             raise StartError(self._failure)
-        await self._figures()
+        await self._poll_metrics()
 
-    def _now(self) -> float:
+    def _now_ms(self) -> float:
         return time.monotonic() * 1000 - self.t0
 
-    def _change(self, change: FaultEvent) -> None:
-        """Carry out what the fault plan says of gateways, and note all that it says."""
-        self._writer.write(r.Fault(self._now(), change.kind, change.target, change.size))
-        self._exporter.fault(change.kind)
-        self._last_fault = f"{change.at_ms / 1000:.1f} s {change.kind} {change.target}"
-        if change.kind in ("holding_lost", "holding_start"):
-            self._spawn(self.registry.change(change.kind, change.target))
-        gateway = self.gateways.get(change.target)
+    def _apply_fault(self, event: FaultEvent) -> None:
+        """Record a fault event, and apply it if it concerns a gateway or a replica of the list service."""
+        self._writer.write(r.Fault(self._now_ms(), event.kind, event.target, event.size))
+        self._exporter.record_fault(event.kind)
+        self._last_fault = f"{event.at_ms / 1000:.1f} s {event.kind} {event.target}"
+        if event.kind in ("holding_lost", "holding_start"):
+            self._spawn(self.list_service.apply_fault(event.kind, event.target))
+        gateway = self.gateways.get(event.target)
         if gateway is None:
             return
-        if change.kind == "gateway_kill":
+        if event.kind == "gateway_kill":
             gateway.kill()
-        elif change.kind == "gateway_start":
+        elif event.kind == "gateway_start":
             self._spawn(gateway.start())
-        elif change.kind == "gateway_restart":
+        elif event.kind == "gateway_restart":
             self._spawn(gateway.restart())
-        elif change.kind == "gateway_move":
+        elif event.kind == "gateway_move":
             self._spawn(self._move(gateway))
 
-    async def _move(self, gateway: Gateway) -> None:
-        """Other addresses for its counter and discovery, told by SIGHUP."""
+    async def _move(self, gateway: GatewayProcess) -> None:
+        """Give the gateway new addresses of its counter and discovery in a configuration reload (SIGHUP)."""
         name = gateway.spec.name
-        self._answers.pop(f"backing-0:moved {name}", None)
-        self._workers["backing-0"].tell({"move": name})
-        gateway.move(await self._answer(f"backing-0:moved {name}"))
-
-    async def _together(self, parts: list) -> None:
-        """All of them, or the first that fails ends the start."""
-        done = await asyncio.gather(*parts, return_exceptions=True)
-        for result in done:
+        self._replies.pop(f"backing-0:moved {name}", None)
+        self._workers["backing-0"].send({"move": name})
+        gateway.move(await self._reply(f"backing-0:moved {name}"))
+
+    async def _gather_all(self, awaitables: list) -> None:
+        """Wait until all of them have ended; raise the first error."""
+        results = await asyncio.gather(*awaitables, return_exceptions=True)
+        for result in results:
             if isinstance(result, BaseException):
                 raise result
 
-    def _became(self, name: str, state: str, why: str) -> None:
+    def _on_gateway_state(self, name: str, state: str, why: str) -> None:
         self._states[name] = state
-        self._exporter.state(name, state)
-        self._writer.write(r.GatewayIs(self._now() if self.t0 else 0.0, name, state, why))
+        self._exporter.record_state(name, state)
+        self._writer.write(r.GatewayIs(self._now_ms() if self.t0 else 0.0, name, state, why))
 
-    async def _watch(self) -> None:
-        """Figures for who looks on, once a second."""
+    async def _poll_status(self) -> None:
+        """Report the status of the run once a second."""
         while True:
             await asyncio.sleep(1.0)
-            figures = await self._figures()
-            self._look(
+            metrics = await self._poll_metrics()
+            self._report_status(
                 RunStatus(
-                    self._now() / 1000,
+                    self._now_ms() / 1000,
                     dict(self._seconds),
                     dict(self._states),
-                    figures,
+                    metrics,
                     self._last_fault,
                 )
             )
 
-    async def _figures(self) -> dict[str, dict[str, float]]:
-        """What each gateway's operators' address says; refusals are kept, since they end with its life."""
-        told = await asyncio.gather(*(gateway.metrics() for gateway in self.gateways.values()))
-        for gateway, figures in zip(self.gateways.values(), told, strict=True):
+    async def _poll_metrics(self) -> dict[str, dict[str, float]]:
+        """Read the metrics of every gateway. Refusal counts are kept, since they are lost when a process
+        ends."""
+        results = await asyncio.gather(*(gateway.metrics() for gateway in self.gateways.values()))
+        for gateway, metrics in zip(self.gateways.values(), results, strict=True):
             refusals = {
-                name.split('"')[1]: value for name, value in figures.items() if name.startswith(REFUSALS)
+                name.split('"')[1]: value
+                for name, value in metrics.items()
+                if name.startswith(REFUSALS_METRIC_PREFIX)
             }
             if refusals:
-                self._refusals[gateway.spec.name, gateway.lives] = refusals
+                self._refusals[gateway.spec.name, gateway.incarnation] = refusals
                 self._writer.write(
                     r.Figures(
-                        self._now(),
+                        self._now_ms(),
                         gateway.spec.name,
                         refusals,
-                        figures.get("gateway_pressure", 0.0),
-                        figures.get("gateway_admitted_share", 1.0),
+                        metrics.get("gateway_pressure", 0.0),
+                        metrics.get("gateway_admitted_share", 1.0),
                     )
                 )
-        return dict(zip(self.gateways, told, strict=True))
+        return dict(zip(self.gateways, results, strict=True))
 
-    def _reasons(self) -> dict[str, int]:
-        """Refusals by reason, over all lives; of a gateway that was killed, up to a second before."""
+    def _refusals_by_reason(self) -> dict[str, int]:
+        """Refusals by reason over all incarnations. Up to a second before a SIGKILL may be missing, because
+        metrics are read once a second."""
         sums: dict[str, int] = {}
         for refusals in self._refusals.values():
             for reason, count in refusals.items():
                 sums[reason] = sums.get(reason, 0) + int(count)
         return dict(sorted(sums.items(), key=lambda item: -item[1]))
 
-    def _spawn(self, work: object) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: object) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task) -> None:
+    def _on_task_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             self._failure = str(task.exception())
-            self._done.set()
+            self._load_done.set()
--- a/plumwall/emulator/tally.py
+++ b/plumwall/emulator/tally.py
@@ -1,7 +1,7 @@
-"""What the load tool saw: counts and latencies, by gateway, class, plan and status.
+"""The results of the load tool: counts and latencies by gateway, class, plan and status.
 
-Latency counts from when a try was due, in HdrHistograms of microseconds: a slow generator makes them longer,
-it hides nothing.
+Latency is counted from the time a try was due, so a slow generator makes latencies longer instead of hiding
+delay. Histograms are HdrHistograms of microseconds.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from plumwall import records as r
 
-LEAST_US, MOST_US, DIGITS = 1, 60_000_000, 2
-LATE_MS = 20.0  # of the 99th percentile of lateness, past which a run is void
+MIN_US, MAX_US, SIGNIFICANT_DIGITS = 1, 60_000_000, 2
+MAX_LATENESS_MS = 20.0  # limit on the 99th percentile of lateness; a later run is void
 OFFERED, SERVED, REFUSED, FAILED = "offered", "served", "refused", "failed"
 RESULTS = (SERVED, REFUSED, FAILED)
 
 
 def histogram() -> HdrHistogram:
-    """An empty one: 1 us to 60 s, two digits."""
-    return HdrHistogram(LEAST_US, MOST_US, DIGITS)
+    """An empty histogram: 1 us to 60 s, two significant digits."""
+    return HdrHistogram(MIN_US, MAX_US, SIGNIFICANT_DIGITS)
 
 
 def result_of(how: str, status: int) -> str:
-    """What a try came to, for people."""
+    """The result of a try as it is reported."""
     if how == r.WHOLE and status == 200:
         return SERVED
     return REFUSED if how == r.WHOLE and status in (429, 503) else FAILED
@@ -48,7 +48,7 @@
 
 
 class Second(Struct, frozen=True):
-    """What one gateway did since the last look."""
+    """What one gateway did since the last report, usually one second ago. Latencies are in milliseconds."""
 
     gateway: str
     tries: int
@@ -60,10 +60,10 @@
 
 
 class Tally:
-    """Counts as tries are sent and end."""
+    """Counts tries as they are sent and as they end. Times are milliseconds since the load began."""
 
     def __init__(self, classes: Sequence[str] = (), plans: Sequence[str] = ()) -> None:
-        """`classes` are names by number, `plans` the plans of customers by number."""
+        """`classes` has the names of classes by index, `plans` the plan names of customers by index."""
         self._classes, self._plans = classes, plans
         self.lateness = histogram()
         self.offered_count = 0
@@ -71,19 +71,20 @@
         self._by_second: dict[str, dict[int, int]] = {OFFERED: defaultdict(int), SERVED: defaultdict(int)}
         self._latency: dict[tuple[str, str], HdrHistogram] = defaultdict(histogram)
         self._counts: dict[tuple[str, str], dict[str, int]] = defaultdict(lambda: dict.fromkeys(RESULTS, 0))
-        self._now: dict[str, tuple[HdrHistogram, dict[str, int]]] = {}
+        self._since_last_report: dict[str, tuple[HdrHistogram, dict[str, int]]] = {}
 
-    def offered(self, due: float, now: float) -> None:
-        """A try was due, and is on its way to a gateway's door now: what is later is the gateway's doing."""
+    def record_offered(self, due: float, now: float) -> None:
+        """Count a try that is handed to a connection now. Later delay is the gateway's, not the
+        generator's."""
         self.offered_count += 1
         self.last_offered_ms = now
         self._by_second[OFFERED][int(now // 1000)] += 1
-        self.lateness.record_value(_us(now - due))
+        self.lateness.record_value(_to_us(now - due))
 
-    def ended(self, pending: object, how: str, status: int, now: float) -> None:
-        """A try is over."""
+    def record_end(self, pending: object, how: str, status: int, now: float) -> None:
+        """Count the end of a try. `pending` has its `first` try, `gateway` and `due` time."""
         result, first = result_of(how, status), pending.first
-        took = _us(now - pending.due)
+        latency_us = _to_us(now - pending.due)
         if result == SERVED:
             self._by_second[SERVED][int(now // 1000)] += 1
         for group in (
@@ -94,22 +95,30 @@
         ):
             self._counts[group][result] += 1
             if result == SERVED or group[0] == "status":
-                self._latency[group].record_value(took)
-        latency, counts = self._now.setdefault(pending.gateway, (histogram(), dict.fromkeys(RESULTS, 0)))
+                self._latency[group].record_value(latency_us)
+        latency, counts = self._since_last_report.setdefault(
+            pending.gateway, (histogram(), dict.fromkeys(RESULTS, 0))
+        )
         counts[result] += 1
         if result == SERVED:
-            latency.record_value(took)
+            latency.record_value(latency_us)
 
-    def second(self) -> list[Second]:
-        """By gateway, what has ended since the last call."""
-        now, self._now = self._now, {}
+    def take_seconds(self) -> list[Second]:
+        """What has ended since the last call, one entry for each gateway."""
+        report, self._since_last_report = self._since_last_report, {}
         return [
-            Second(name, sum(counts.values()), *counts.values(), _ms(latency, 50), _ms(latency, 99))
-            for name, (latency, counts) in sorted(now.items())
+            Second(
+                name,
+                sum(counts.values()),
+                *counts.values(),
+                _percentile_ms(latency, 50),
+                _percentile_ms(latency, 99),
+            )
+            for name, (latency, counts) in sorted(report.items())
         ]
 
-    def state(self) -> dict[str, object]:
-        """All of it, so that several processes' can be put together: histograms in their own encoding."""
+    def encoded_state(self) -> dict[str, object]:
+        """The complete state for JSON, so that the tallies of several processes can be merged."""
         return {
             "lateness": self.lateness.encode().decode(),
             "offered": self.offered_count,
@@ -122,8 +131,8 @@
             ],
         }
 
-    def add(self, state: Mapping[str, object]) -> None:
-        """Put another one's in."""
+    def merge(self, state: Mapping[str, object]) -> None:
+        """Add the encoded state of another tally."""
         self.lateness.decode_and_add(state["lateness"])
         self.offered_count += state["offered"]
         self.last_offered_ms = max(self.last_offered_ms, state["last_ms"])
@@ -135,24 +144,25 @@
             for result, count in counts.items():
                 self._counts[group, name][result] += count
 
-    def late_ms(self, percentile: float = 99.0) -> float:
-        """How late tries were sent."""
-        return _ms(self.lateness, percentile)
+    def lateness_ms(self, percentile: float = 99.0) -> float:
+        """A percentile of how late tries were sent."""
+        return _percentile_ms(self.lateness, percentile)
 
-    def most_in_a_second(self) -> tuple[int, int]:
-        """The most tries offered, and the most served, in any one second."""
+    def peaks_per_second(self) -> tuple[int, int]:
+        """The largest numbers of tries offered and of tries served in any one second."""
         return tuple(max(self._by_second[kind].values(), default=0) for kind in (OFFERED, SERVED))
 
-    def void(self) -> str:
-        """Why the run says nothing of the gateways; empty: it does."""
-        if self.late_ms() > LATE_MS:
+    def void_reason(self) -> str:
+        """Why the run is not valid for the gateways; empty if it is."""
+        if self.lateness_ms() > MAX_LATENESS_MS:
             return (
-                f"the load tool was late: 99 in 100 tries within {self.late_ms():.1f} ms, {LATE_MS:g} wanted"
+                f"the load tool was late: 99% of tries sent within {self.lateness_ms():.1f} ms, "
+                f"the limit is {MAX_LATENESS_MS:g} ms"
             )
         return ""
 
     def rows(self) -> list[Row]:
-        """One for each gateway, class, plan and status."""
+        """One row for each gateway, class, plan and status."""
         order = {"gateway": 0, "class": 1, "plan": 2, "status": 3}
         return [
             self._row(group, name)
@@ -161,22 +171,22 @@
 
     def _row(self, group: str, name: str) -> Row:
         counts, latency = self._counts[group, name], self._latency[group, name]
-        most = latency.get_max_value() / 1000 if latency.get_total_count() else 0.0
+        longest_ms = latency.get_max_value() / 1000 if latency.get_total_count() else 0.0
         return Row(
             group,
             name,
             sum(counts.values()),
             *counts.values(),
-            _ms(latency, 50),
-            _ms(latency, 90),
-            _ms(latency, 99),
-            most,
+            _percentile_ms(latency, 50),
+            _percentile_ms(latency, 90),
+            _percentile_ms(latency, 99),
+            longest_ms,
         )
 
 
-def _us(ms: float) -> int:
-    return min(max(int(ms * 1000), LEAST_US), MOST_US)
+def _to_us(ms: float) -> int:
+    return min(max(int(ms * 1000), MIN_US), MAX_US)
 
 
-def _ms(latency: HdrHistogram, percentile: float) -> float:
+def _percentile_ms(latency: HdrHistogram, percentile: float) -> float:
     return latency.get_value_at_percentile(percentile) / 1000 if latency.get_total_count() else 0.0
--- a/plumwall/emulator/timing.py
+++ b/plumwall/emulator/timing.py
@@ -1,4 +1,4 @@
-"""Timers that keep the shared clock's time."""
+"""Timers on the monotonic clock that all processes of a machine share."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 from collections.abc import Callable
 
 
-def not_before(
-    loop: asyncio.AbstractEventLoop, at_ms: float, call: Callable[..., None], *args: object
+def call_not_before(
+    loop: asyncio.AbstractEventLoop, at_ms: float, callback: Callable[..., None], *args: object
 ) -> None:
-    """Call at a time of the shared clock (monotonic, ms) or just behind it, never ahead of it.
+    """Call at a time of the monotonic clock (ms) or shortly after it, never before.
 
-    A loop counts whole milliseconds from when its turn began: a timer of its own may fire up to one early.
+    An event loop counts whole milliseconds from the start of its iteration, so its timers may fire up to 1 ms
+    early.
     """
     left_ms = at_ms - time.monotonic() * 1000
     if left_ms <= 0:
-        loop.call_soon(call, *args)
+        loop.call_soon(callback, *args)
     else:
-        loop.call_later(left_ms / 1000, _look, loop, at_ms, call, args)
+        loop.call_later(left_ms / 1000, _check_time, loop, at_ms, callback, args)
 
 
-def _look(loop: asyncio.AbstractEventLoop, at_ms: float, call: Callable[..., None], args: tuple) -> None:
+def _check_time(
+    loop: asyncio.AbstractEventLoop, at_ms: float, callback: Callable[..., None], args: tuple
+) -> None:
     if time.monotonic() * 1000 < at_ms:
-        not_before(loop, at_ms, call, *args)
+        call_not_before(loop, at_ms, callback, *args)
     else:
-        call(*args)
+        callback(*args)
--- a/plumwall/emulator/worker.py
+++ b/plumwall/emulator/worker.py
@@ -1,7 +1,8 @@
-"""A process of the emulator: hosts, backing or clients, told what to do by JSON lines on standard input.
+"""A worker process of the emulator (role hosts, backing or clients), controlled by JSON lines on standard
+input.
 
-The day is drawn from scenario and seed by each process for itself, so that little needs to be said: where
-things listen, when the load begins, and when it is over. A process whose standard input ends, ends.
+Each worker generates the same world from scenario and seed, so only a few messages are exchanged: listening
+addresses, the start of the load and its end. A worker exits when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 from plumwall import scenario as scenarios
 from plumwall.emulator.backing import Backing
 from plumwall.emulator.clients import LoadGenerator
-from plumwall.emulator.hosts import HostsOf
+from plumwall.emulator.hosts import HostShard
 from plumwall.emulator.identity import host_of
-from plumwall.emulator.timing import not_before
+from plumwall.emulator.timing import call_not_before
 from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld
 from yewstage.net.config import Address, address
 
@@ -31,7 +32,7 @@
 
 
 class Orders(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The first line: what this process is."""
+    """The first line on standard input: the worker's role and its part of the run."""
 
     role: str  # hosts, backing, clients
     scenario: str  # as JSON
@@ -40,51 +41,55 @@
     network: str  # the first three parts of the addresses to listen on, such as 127.20.0
     shard: int = 0
     shards: int = 1
-    bare: bool = False  # aimed at gateways that somebody else runs
+    bare: bool = False  # only the load is run, on gateways that this run did not start
 
 
 class Worker:
-    """What all roles share: lines in, lines out, the timeline, the records."""
+    """What all roles share: messages, scheduled faults and the file of records."""
 
     def __init__(self, orders: Orders, loop: asyncio.AbstractEventLoop) -> None:
         self.orders, self.loop = orders, loop
-        self.drawn = GeneratedWorld(scenarios.decode_json(orders.scenario), orders.seed)
+        self.world = GeneratedWorld(scenarios.decode_json(orders.scenario), orders.seed)
         self.folder = Path(orders.folder)
         self._file = (self.folder / f"{orders.role}-{orders.shard}.jsonl").open("wb")
         self.writer = r.Writer(self._file)
-        self.part = {"hosts": self._hosts, "backing": self._backing, "clients": self._clients}[orders.role]()
+        self.role = {"hosts": self._make_hosts, "backing": self._make_backing, "clients": self._make_clients}[
+            orders.role
+        ]()
 
     def _address(self, gateway: GatewaySpec) -> str:
         return host_of(self.orders.network, gateway.number)
 
-    def _hosts(self) -> Hosts:
-        return Hosts(
+    def _make_hosts(self) -> HostsRole:
+        return HostsRole(
             self,
-            HostsOf(
-                self.drawn, self.loop, self.writer.write, self.orders.shard, self.orders.shards, self._address
+            HostShard(
+                self.world, self.loop, self.writer.write, self.orders.shard, self.orders.shards, self._address
             ),
         )
 
-    def _backing(self) -> Desks:
-        return Desks(self, Backing(self.drawn, self.loop, self.writer.write, self._address, self.folder))
+    def _make_backing(self) -> BackingRole:
+        return BackingRole(
+            self, Backing(self.world, self.loop, self.writer.write, self._address, self.folder)
+        )
 
-    def _clients(self) -> Clients:
-        return Clients(self)
+    def _make_clients(self) -> ClientsRole:
+        return ClientsRole(self)
 
-    def go(self, t0: float) -> None:
-        """The load begins at a time of the shared clock."""
-        for change in self.drawn.changes:
-            not_before(self.loop, t0 + change.at_ms, self.part.change, change)
+    def start_load(self, t0: float) -> None:
+        """Schedule the faults. The load begins at `t0`, in milliseconds of the monotonic clock."""
+        for event in self.world.changes:
+            call_not_before(self.loop, t0 + event.at_ms, self.role.apply_fault, event)
         self.loop.call_later(FLUSH_S, self._flush)
 
-    def say(self, **words: object) -> None:
-        """A line to who runs us."""
-        sys.stdout.buffer.write(msgspec.json.encode(words) + b"\n")
+    def send(self, **message: object) -> None:
+        """Send one message to the parent process. The keywords are the keys of the message."""
+        sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
         sys.stdout.buffer.flush()
 
     def close(self) -> None:
-        """Leave nothing unwritten."""
-        self.part.close()
+        """Stop the role and write all records."""
+        self.role.close()
         self.writer.flush()
         self._file.close()
 
@@ -93,112 +98,114 @@
         self.loop.call_later(FLUSH_S, self._flush)
 
 
-class Hosts:
-    """The servers' process."""
+class HostsRole:
+    """The role that runs the servers."""
 
-    def __init__(self, worker: Worker, hosts: HostsOf) -> None:
+    def __init__(self, worker: Worker, hosts: HostShard) -> None:
         self._worker, self._hosts = worker, hosts
-        worker.say(servers=hosts.addresses())
+        worker.send(servers=hosts.addresses())
 
-    def told(self, line: dict[str, object]) -> None:
-        """Where the list service is; when the load begins."""
-        if "registry" in line:
-            at = [address({"registry": one}, "registry") for one in line["registry"]]
-            self._registering = self._worker.loop.create_task(self._register(at))
-        elif "go" in line:
-            self._hosts.begin(line["go"])
+    def on_message(self, message: dict[str, object]) -> None:
+        """Handle a message: the addresses of the list service, or the start of the load."""
+        if "registry" in message:
+            addresses = [address({"registry": text}, "registry") for text in message["registry"]]
+            self._register_task = self._worker.loop.create_task(self._register(addresses))
+        elif "go" in message:
+            self._hosts.start(message["go"])
 
-    async def _register(self, at: list[Address]) -> None:
-        self._worker.say(registered=await self._hosts.register(at))
+    async def _register(self, addresses: list[Address]) -> None:
+        self._worker.send(registered=await self._hosts.register(addresses))
 
-    def change(self, change: FaultEvent) -> None:
-        """The fault plan."""
-        self._hosts.change(change)
+    def apply_fault(self, event: FaultEvent) -> None:
+        """Apply a fault event."""
+        self._hosts.apply_fault(event)
 
     def close(self) -> None:
-        """The end."""
+        """Stop all work."""
         self._hosts.stop()
 
 
-class Desks:
-    """The counter's and the agents' process."""
+class BackingRole:
+    """The role that runs the counter and the agents."""
 
     def __init__(self, worker: Worker, backing: Backing) -> None:
         self._worker, self._backing = worker, backing
 
-    def told(self, line: dict[str, object]) -> None:
-        """Where servers are; when the load begins; which gateway moves."""
-        if "servers" in line:
-            self._worker.say(backing=self._backing.begin(line["servers"]))
-        elif "go" in line:
-            self._backing.go(line["go"])
-        elif "move" in line:
-            name = line["move"]
-            self._worker.say(**{f"moved {name}": self._backing.move(name)})
+    def on_message(self, message: dict[str, object]) -> None:
+        """Handle a message: the addresses of the servers, the start of the load, or a gateway to move."""
+        if "servers" in message:
+            self._worker.send(backing=self._backing.start(message["servers"]))
+        elif "go" in message:
+            self._backing.start_load(message["go"])
+        elif "move" in message:
+            name = message["move"]
+            self._worker.send(**{f"moved {name}": self._backing.move(name)})
 
-    def change(self, change: FaultEvent) -> None:
-        """The fault plan."""
-        self._backing.change(change)
+    def apply_fault(self, event: FaultEvent) -> None:
+        """Apply a fault event."""
+        self._backing.apply_fault(event)
 
     def close(self) -> None:
-        """The end."""
+        """Stop all work."""
         self._backing.close()
 
 
-class Clients:
-    """A part of the clients."""
+class ClientsRole:
+    """The role that runs one shard of the clients."""
 
     def __init__(self, worker: Worker) -> None:
         self._worker = worker
-        self._front: LoadGenerator | None = None
-        worker.say(clients=True)
-
-    def told(self, line: dict[str, object]) -> None:
-        """Where gateways are; when the load begins."""
-        worker, rules = self._worker, self._worker.drawn.scenario.rules
-        if "gateways" in line:
-            self._front = LoadGenerator(
-                worker.drawn,
+        self._generator: LoadGenerator | None = None
+        worker.send(clients=True)
+
+    def on_message(self, message: dict[str, object]) -> None:
+        """Handle a message: the addresses of the gateways, or the start of the load."""
+        worker, rules = self._worker, self._worker.world.scenario.rules
+        if "gateways" in message:
+            self._generator = LoadGenerator(
+                worker.world,
                 worker.loop,
                 worker.writer.write,
-                line["gateways"],
+                message["gateways"],
                 worker.orders.shard,
                 worker.orders.shards,
                 rules.overdue_ms + rules.socket_ms,
-                known_servers=not worker.orders.bare,
+                verifies_answers=not worker.orders.bare,
             )
-        elif "go" in line:
-            self._front.t0 = line["go"]
+        elif "go" in message:
+            self._generator.t0 = message["go"]
             gc.freeze()
-            worker.loop.call_later(max(0.0, line["go"] - time.monotonic() * 1000) / 1000, self._begin)
+            worker.loop.call_later(max(0.0, message["go"] - time.monotonic() * 1000) / 1000, self._start)
 
-    def change(self, change: FaultEvent) -> None:
-        """The fault plan."""
+    def apply_fault(self, event: FaultEvent) -> None:
+        """Apply a fault event."""
         if not self._worker.orders.bare:
-            self._front.change(change)
+            self._generator.apply_fault(event)
 
     def close(self) -> None:
-        """The end."""
-        if self._front is not None:
-            self._front.close()
+        """Stop all work."""
+        if self._generator is not None:
+            self._generator.close()
 
-    def _begin(self) -> None:
-        self._front.begin()
-        self._worker.loop.call_later(TICK_S, self._tick)
-        self._worker.loop.create_task(self._wait())
+    def _start(self) -> None:
+        self._generator.start()
+        self._worker.loop.call_later(TICK_S, self._report_tick)
+        self._worker.loop.create_task(self._report_end())
 
-    def _tick(self) -> None:
-        self._worker.say(tick=self._front.tally.second())
-        self._worker.loop.call_later(TICK_S, self._tick)
+    def _report_tick(self) -> None:
+        self._worker.send(tick=self._generator.tally.take_seconds())
+        self._worker.loop.call_later(TICK_S, self._report_tick)
 
-    async def _wait(self) -> None:
-        await self._front.over.wait()
+    async def _report_end(self) -> None:
+        await self._generator.finished.wait()
         self._worker.writer.flush()
-        self._worker.say(tick=self._front.tally.second(), over=self._front.tally.state())
+        self._worker.send(
+            tick=self._generator.tally.take_seconds(), over=self._generator.tally.encoded_state()
+        )
 
 
 async def serve() -> None:
-    """Until standard input ends."""
+    """Run the worker until its standard input is closed."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=64 * 1024 * 1024)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -208,18 +215,19 @@
     worker = Worker(msgspec.json.decode(line, type=Orders), loop)
     try:
         while line := await reader.readline():
-            told = msgspec.json.decode(line)
-            worker.part.told(told)
-            if "go" in told:
-                worker.go(told["go"])
+            message = msgspec.json.decode(line)
+            worker.role.on_message(message)
+            if "go" in message:
+                worker.start_load(message["go"])
     finally:
         worker.close()
 
 
 def main() -> None:
-    """Signals of the terminal are for who runs us: the end of standard input ends this process."""
-    for number in (signal.SIGINT, signal.SIGTERM):
-        signal.signal(number, signal.SIG_IGN)
+    """Run the worker. Signals of the terminal are ignored: the parent handles them and closes standard
+    input."""
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        signal.signal(signal_number, signal.SIG_IGN)
     gc.set_threshold(50_000)
     uvloop.run(serve())
 
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -95,7 +95,7 @@
         rid = request_id(first.index, number, gateway, self.drawn.seed)
         pending = Pending(self, first, number, rid, names[gateway], due)
         now = self._clock.now
-        self.tally.offered(due, now)
+        self.tally.record_offered(due, now)
         target = self._gateways[pending.gateway]
         if not target.accepting:
             self._clock.after(HOP_MS, self.ended, pending, r.REFUSED, 0, 0.0)
@@ -147,7 +147,7 @@
             pending.timer.cancel()
         now = self._clock.now
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
-        self.tally.ended(pending, how, status, now)
+        self.tally.record_end(pending, how, status, now)
         good = how == r.WHOLE and status == 200
         if not pending.late and how != r.LEFT and not good:
             self._retry(pending, retry_ms, refused=status in (429, 503) or how == r.REFUSED)
--- a/plumwall/simulate/run.py
+++ b/plumwall/simulate/run.py
@@ -124,7 +124,7 @@
             0.0,
             tally.offered_count,
             tally.offered_count / seconds,
-            *tally.most_in_a_second(),
+            *tally.peaks_per_second(),
             dict(reasons.most_common()),
             {name: round(gateway.busy_ms / 1000, 6) for name, gateway in self.gateways.items()},
             {},
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator round the real program: short runs by the command that users type."""
+"""Tests of the emulator with real gateway processes: short runs of the command that users type."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from plumwall.emulator.listening_socket import ListeningSocket, respond
 from plumwall.emulator.tally import Tally
-from plumwall.emulator.timing import not_before
+from plumwall.emulator.timing import call_not_before
 
 ROOT = Path(__file__).parent.parent
 SMALL = """
@@ -41,51 +41,51 @@
 """
 
 
-def command(*words: str) -> list[str]:
-    return [sys.executable, "-m", "plumwall", *words]
+def plumwall_command(*args: str) -> list[str]:
+    return [sys.executable, "-m", "plumwall", *args]
 
 
-def play(folder: Path, text: str, *words: str) -> tuple[subprocess.CompletedProcess[str], dict]:
-    """`plumwall up` on a scenario; how it ended, and its outcome."""
+def run_scenario(folder: Path, text: str, *args: str) -> tuple[subprocess.CompletedProcess[str], dict]:
+    """Run `plumwall up` on a scenario; return the finished process and its outcome."""
     (folder / "small.toml").write_text(text)
-    done = subprocess.run(
-        command("up", str(folder / "small.toml"), "--out", str(folder / "run"), "--json", *words),
+    process = subprocess.run(
+        plumwall_command("up", str(folder / "small.toml"), "--out", str(folder / "run"), "--json", *args),
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
         timeout=100,
     )
-    return done, json.loads(done.stdout) if done.stdout else {}
+    return process, json.loads(process.stdout) if process.stdout else {}
 
 
-def left_behind(folder: Path) -> list[str]:
-    """Processes that name a folder in their environment or words: none may outlive a run."""
+def remaining_processes(folder: Path) -> list[str]:
+    """Processes with a folder in their environment or command line. None may outlive a run."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
             try:
-                told = (entry / "environ").read_bytes() + (entry / "cmdline").read_bytes()
+                text = (entry / "environ").read_bytes() + (entry / "cmdline").read_bytes()
             except OSError:
                 continue
-            if str(folder).encode() in told:
+            if str(folder).encode() in text:
                 found.append(entry.name)
     return found
 
 
-def test_a_run_of_real_gateways_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
-    done, outcome = play(tmp_path, SMALL)
+def test_run_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
+    process, outcome = run_scenario(tmp_path, SMALL)
     verdict = outcome["verdict"]
-    assert verdict["kept"] and not verdict["findings"], done.stderr
+    assert verdict["kept"] and not verdict["findings"], process.stderr
     assert verdict["counts"]["served"] > 20 and verdict["counts"]["unended"] == 0
     assert {row["name"] for row in outcome["rows"] if row["group"] == "gateway"} == {"n0", "n1"}
-    assert left_behind(tmp_path) == []
+    assert remaining_processes(tmp_path) == []
 
 
 RELEASE = '\n[[faults]]\nkind = "release"\nat_s = 0.3\nfor_s = 0.3\npart = 0.5\n'
 AT_ONCE = "\n[listing]\nnotice_s = 0\nadd_s = 0\nspread_ms = 0\n"
 BUSY = SMALL.replace("work_ms = 20", "work_ms = 30").replace("rate_per_s = 30", "rate_per_s = 150")
-CEILED = """
+WITH_CEILING = """
 [[plans]]
 name = "standard"
 share = 1
@@ -96,29 +96,31 @@
 BREACHES = {
     "effects": SMALL,
     "requests": SMALL,
-    # Lists hear of all at once, so that a server's own word is not what stops it.
+    # Lists learn of drains at once, so that an answer of the server is not what stops the requests.
     "drains": SMALL.replace("length_s = 2", "length_s = 4") + AT_ONCE + "[rules]\ndrain_ms = 0\n" + RELEASE,
     "cold": BUSY.replace("count = 4", "count = 4\ncold_from = 0.05\ncold_s = 17") + AT_ONCE + RELEASE,
     "ceilings": SMALL.replace(
         "rate_per_s = 30", "rate_per_s = 60\nheavy = 1\nheavy_times = 8\nmost_excess = 9"
     ).replace("length_s = 2", "length_s = 5")
-    + CEILED,
+    + WITH_CEILING,
 }
 
 
 @pytest.mark.parametrize("rule", BREACHES)
-def test_a_gateway_that_breaks_a_rule_ends_the_run_with_status_1(tmp_path: Path, rule: str) -> None:
+def test_broken_rule_ends_the_run_with_status_1(tmp_path: Path, rule: str) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text(
         f'run = "cd {ROOT} && PYTHONPATH=. exec {sys.executable} tests/rogue.py {rule}"\n'
     )
-    done, outcome = play(tmp_path, BREACHES[rule], "--deploy", str(tmp_path / "deploy" / "balancer.toml"))
-    assert done.returncode == 1 and f"rules broken: {rule}" in done.stderr, done.stderr
+    process, outcome = run_scenario(
+        tmp_path, BREACHES[rule], "--deploy", str(tmp_path / "deploy" / "balancer.toml")
+    )
+    assert process.returncode == 1 and f"rules broken: {rule}" in process.stderr, process.stderr
     found = next(f for f in outcome["verdict"]["findings"] if f["rule"] == rule)
     assert found["at_ms"] > 0 and found["gateway"] and (found["request"] or found["server"])
 
 
-def test_gateways_and_servers_are_killed_over_and_over_and_nothing_stays(tmp_path: Path) -> None:
+def test_repeated_kills_of_gateways_and_servers_leave_no_process(tmp_path: Path) -> None:
     faults = "".join(
         f"""
 [[faults]]
@@ -129,17 +131,21 @@
 """
         for i, kind in enumerate(("gateway_killed", "crash") * 8)
     )
-    done, outcome = play(tmp_path, SMALL.replace("length_s = 2", "length_s = 6") + faults)
-    kinds = [json.loads(line) for line in (tmp_path / "run" / "run.jsonl").read_text().splitlines()]
-    killed = [k for k in kinds if k["t"] == "fault" and k["kind"] in ("gateway_kill", "server_crash")]
-    assert len(killed) >= 20 and outcome["verdict"]["kept"], done.stderr
-    assert left_behind(tmp_path) == []
-
-
-def test_an_interrupted_run_ends_all_that_it_started(tmp_path: Path) -> None:
+    process, outcome = run_scenario(tmp_path, SMALL.replace("length_s = 2", "length_s = 6") + faults)
+    records = [json.loads(line) for line in (tmp_path / "run" / "run.jsonl").read_text().splitlines()]
+    kills = [
+        record
+        for record in records
+        if record["t"] == "fault" and record["kind"] in ("gateway_kill", "server_crash")
+    ]
+    assert len(kills) >= 20 and outcome["verdict"]["kept"], process.stderr
+    assert remaining_processes(tmp_path) == []
+
+
+def test_interrupted_run_stops_all_its_processes(tmp_path: Path) -> None:
     (tmp_path / "small.toml").write_text(SMALL.replace("length_s = 2", "length_s = 60"))
     with subprocess.Popen(
-        command("up", str(tmp_path / "small.toml"), "--out", str(tmp_path / "run")),
+        plumwall_command("up", str(tmp_path / "small.toml"), "--out", str(tmp_path / "run")),
         cwd=ROOT,
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
@@ -147,24 +153,24 @@
     ) as process:
         while "the load begins" not in process.stderr.readline():
             assert process.poll() is None
-        assert len(left_behind(tmp_path)) >= 2
+        assert len(remaining_processes(tmp_path)) >= 2
         process.send_signal(signal.SIGINT)
         process.stderr.read()
         assert process.wait(timeout=30) == 1
-    assert left_behind(tmp_path) == []
-    assert "ended: " in (tmp_path / "run" / "n0.log").read_text()  # by SIGTERM, in order
+    assert remaining_processes(tmp_path) == []
+    assert "ended: " in (tmp_path / "run" / "n0.log").read_text()  # it ended in order, by SIGTERM
 
 
-def test_a_gateway_that_cannot_start_is_told_with_its_last_words(tmp_path: Path) -> None:
+def test_failed_start_of_a_gateway_is_reported_with_its_last_log_line(tmp_path: Path) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text('run = "echo no luck >&2; exit 3"\n')
-    done, _ = play(tmp_path, SMALL, "--deploy", str(tmp_path / "deploy" / "balancer.toml"))
-    assert done.returncode == 1 and "status 3: no luck" in done.stderr
-    assert left_behind(tmp_path) == []
+    process, _ = run_scenario(tmp_path, SMALL, "--deploy", str(tmp_path / "deploy" / "balancer.toml"))
+    assert process.returncode == 1 and "status 3: no luck" in process.stderr
+    assert remaining_processes(tmp_path) == []
 
 
 @pytest.mark.parametrize(
-    ("words", "part"),
+    ("args", "expected_error"),
     [
         (("up", "nothing-like-it"), "no built-in scenario"),
         (("up", "quiet", "--rate", "0"), "--rate"),
@@ -172,59 +178,59 @@
         (("up", "quiet", "--burst", "90", "3", "0"), "load.burst_for_s"),
     ],
 )
-def test_bad_use_starts_nothing(tmp_path: Path, words: tuple[str, ...], part: str) -> None:
-    done = subprocess.run(
-        command(*words),
+def test_invalid_arguments_start_nothing(tmp_path: Path, args: tuple[str, ...], expected_error: str) -> None:
+    process = subprocess.run(
+        plumwall_command(*args),
         cwd=tmp_path,
         capture_output=True,
         text=True,
         check=False,
         env={**os.environ, "PYTHONPATH": str(ROOT)},
     )
-    assert done.returncode == 2 and part in done.stderr and not list(tmp_path.iterdir())
+    assert process.returncode == 2 and expected_error in process.stderr and not list(tmp_path.iterdir())
 
 
-def test_a_door_serves_refuses_keeps_silent_and_speaks_again() -> None:
+def test_listening_socket_serves_refuses_goes_silent_and_resumes() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        door = ListeningSocket(loop, LOOP, lambda slot: slot.answer(respond(200, b"ok")))
-        host, port = door.address.split(":")
+        listener = ListeningSocket(loop, LOOP, lambda exchange: exchange.answer(respond(200, b"ok")))
+        host, port = listener.address.split(":")
 
-        async def dial(within_s: float = 5.0) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-            async with asyncio.timeout(within_s):
+        async def connect(timeout_s: float = 5.0) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+            async with asyncio.timeout(timeout_s):
                 return await asyncio.open_connection(host, int(port))
 
         with pytest.raises(ConnectionRefusedError):
-            await dial()
-        door.open()
-        reader, writer = await dial()
-        ask = b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
-        writer.write(ask)
+            await connect()
+        listener.open()
+        reader, writer = await connect()
+        request = b"GET /x HTTP/1.1\r\nHost: x\r\n\r\n"
+        writer.write(request)
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
         await reader.readuntil(b"ok")
-        door.keep_silent()
+        listener.go_silent()
         with pytest.raises(TimeoutError):
-            await dial(0.2)  # not refused: it never comes up
-        writer.write(ask)
+            await connect(0.2)  # not refused: the attempt to connect times out
+        writer.write(request)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await reader.readline()
-        door.speak_again()
-        assert (await reader.readline()).startswith(b"HTTP/1.1 200")  # what waited is answered
+        listener.resume()
+        assert (await reader.readline()).startswith(b"HTTP/1.1 200")  # the pending request is answered
         await reader.readuntil(b"ok")
-        door.refuse()
+        listener.refuse()
         with pytest.raises(ConnectionError):
             await reader.readexactly(1)
         with pytest.raises(ConnectionRefusedError):
-            await dial()
-        door.open()
-        (await dial())[1].close()
-        door.close()
+            await connect()
+        listener.open()
+        (await connect())[1].close()
+        listener.close()
 
     on_loop(scenario)
 
 
-def test_a_late_load_tool_says_so_and_hides_nothing() -> None:
+def test_late_load_tool_voids_the_run_and_counts_latency_from_due_time() -> None:
     class Pending:
         def __init__(self, due: float) -> None:
             self.due, self.gateway = due, "n0"
@@ -233,83 +239,89 @@
     tally = Tally(["view"], ["basic"])
     for i in range(100):
         pending = Pending(due=i)
-        tally.offered(i, i + 50.0)  # each 50 ms late
-        tally.ended(pending, "whole", 200, i + 60.0)
-    assert "late" in tally.void()
+        tally.record_offered(i, i + 50.0)  # each 50 ms late
+        tally.record_end(pending, "whole", 200, i + 60.0)
+    assert "late" in tally.void_reason()
     row = next(row for row in tally.rows() if row.group == "gateway")
-    assert row.served == 100 and 59 < row.p50_ms < 61  # from when it was due, not from when it was sent
+    # Latency is counted from when a try was due, not from when it was sent.
+    assert row.served == 100 and 59 < row.p50_ms < 61
     other = Tally(["view"], ["basic"])
-    other.add(tally.state())
+    other.merge(tally.encoded_state())
     assert other.rows() == tally.rows() and other.offered_count == 100
 
 
-def test_a_timer_that_fires_early_is_set_again() -> None:
-    class Hasty:
-        """A loop whose timers fire at once, as one that counts in whole milliseconds may by a part of one."""
+def test_timer_that_fires_early_is_set_again() -> None:
+    class EarlyTimerLoop:
+        """A loop whose timers fire too early. A real one counts whole milliseconds and may be 1 ms early."""
 
         def __init__(self) -> None:
-            self.set: list[tuple] = []
+            self.timers: list[tuple] = []
 
         def call_later(self, delay_s: float, call, *args: object) -> None:
-            self.set.append((call, args))
+            self.timers.append((call, args))
 
         call_soon = None
 
-    loop, called = Hasty(), []
+    loop, calls = EarlyTimerLoop(), []
     at_ms = time.monotonic() * 1000 + 1e7
-    not_before(loop, at_ms, called.append, "early")
+    call_not_before(loop, at_ms, calls.append, "early")
     for _ in range(3):
-        call, args = loop.set.pop()
+        call, args = loop.timers.pop()
         call(*args)
-        assert not called and len(loop.set) == 1
-    on_loop(lambda: _due_now(called))
-    assert called == ["due"]
+        assert not calls and len(loop.timers) == 1
+    on_loop(lambda: _call_due_now(calls))
+    assert calls == ["due"]
 
 
-async def _due_now(called: list[str]) -> None:
-    not_before(asyncio.get_running_loop(), time.monotonic() * 1000, called.append, "due")
+async def _call_due_now(calls: list[str]) -> None:
+    call_not_before(asyncio.get_running_loop(), time.monotonic() * 1000, calls.append, "due")
     await asyncio.sleep(0)
     await asyncio.sleep(0)
 
 
-def test_a_list_that_is_silent_tells_what_it_missed_afterwards(tmp_path: Path) -> None:
+def test_list_changes_during_an_outage_are_told_afterwards(tmp_path: Path) -> None:
     faults = AT_ONCE + '[[faults]]\nkind = "list_down"\nat_s = 0.2\nfor_s = 1.5\n' + RELEASE
-    done, outcome = play(tmp_path, SMALL.replace("length_s = 2", "length_s = 4") + faults)
+    process, outcome = run_scenario(tmp_path, SMALL.replace("length_s = 2", "length_s = 4") + faults)
     records = [json.loads(line) for line in (tmp_path / "run" / "backing-0.jsonl").read_text().splitlines()]
-    told = [record["at"] for record in records if record["t"] == "told" and record["lifecycle"] == "draining"]
-    assert len(told) == 4 and min(told) >= 1700  # two servers, two gateways; drained from 300 on
-    assert outcome["verdict"]["kept"], done.stderr
+    told_at_ms = [
+        record["at"] for record in records if record["t"] == "told" and record["lifecycle"] == "draining"
+    ]
+    # Two servers and two gateways. The drains begin at 300 ms, the outage ends at 1700 ms.
+    assert len(told_at_ms) == 4 and min(told_at_ms) >= 1700
+    assert outcome["verdict"]["kept"], process.stderr
 
 
-def test_the_projects_own_list_service_stands_in_for_the_agents(tmp_path: Path) -> None:
+def test_run_with_the_list_service_instead_of_agents(tmp_path: Path) -> None:
     faults = (
         '\n[listing]\nsource = "registry"\n[[faults]]\nkind = "release"\nat_s = 0.5\nfor_s = 1\npart = 0.5\n'
     )
-    done, outcome = play(
+    process, outcome = run_scenario(
         tmp_path, SMALL.replace("length_s = 2", "length_s = 7") + faults, "--log-format", "json"
     )
-    assert outcome["verdict"]["kept"] and outcome["verdict"]["counts"]["served"] > 100, done.stderr
+    assert outcome["verdict"]["kept"] and outcome["verdict"]["counts"]["served"] > 100, process.stderr
     lines = [json.loads(line) for line in (tmp_path / "run" / "n0.log").read_text().splitlines()]
-    lists = [line["states"] for line in lines if line["event"] == "list"]
-    assert any("draining" in states for states in lists) and any("removed" in states for states in lists)
-    held = [path for path in (tmp_path / "run").glob("checker-*.log") if '"duty_held"' in path.read_text()]
-    assert len(held) == 1 and left_behind(tmp_path) == []
+    listed = [line["states"] for line in lines if line["event"] == "list"]
+    assert any("draining" in states for states in listed) and any("removed" in states for states in listed)
+    lease_logs = [
+        path for path in (tmp_path / "run").glob("checker-*.log") if '"duty_held"' in path.read_text()
+    ]
+    assert len(lease_logs) == 1 and remaining_processes(tmp_path) == []
 
 
-def test_a_load_on_gateways_that_are_up_and_figures_for_prometheus(tmp_path: Path) -> None:
+def test_load_on_running_gateways_and_prometheus_metrics(tmp_path: Path) -> None:
     (tmp_path / "small.toml").write_text(SMALL)
-    here = ("up", str(tmp_path / "small.toml"), "--no-load", "--out", str(tmp_path / "run"))
+    up_args = ("up", str(tmp_path / "small.toml"), "--no-load", "--out", str(tmp_path / "run"))
     with subprocess.Popen(
-        command(*here), cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
+        plumwall_command(*up_args), cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
     ) as process:
         while "plumwall load --at " not in (line := process.stderr.readline()):
             assert process.poll() is None
-        at = line.split("--at ")[1].split()[0]
+        addresses = line.split("--at ")[1].split()[0]
         with subprocess.Popen(
-            command(
+            plumwall_command(
                 "load",
                 "--at",
-                at,
+                addresses,
                 "--scenario",
                 str(tmp_path / "small.toml"),
                 "--length",
@@ -326,16 +338,16 @@
             text=True,
         ) as load:
             url = load.stderr.readline().split()[-1]
-            while 'emulator_tries_total{gateway="n0",result="served"}' not in (figures := fetch(url)):
+            while 'emulator_tries_total{gateway="n0",result="served"}' not in (metrics := fetch(url)):
                 assert load.poll() is None
                 time.sleep(0.1)
             outcome = json.loads(load.stdout.read())
-        assert 'emulator_latency_seconds{gateway="n0",quantile="0.99"}' in figures
+        assert 'emulator_latency_seconds{gateway="n0",quantile="0.99"}' in metrics
         assert outcome["verdict"] is None and sum(row["served"] for row in outcome["rows"]) > 100
         process.send_signal(signal.SIGTERM)
         process.stderr.read()
         assert process.wait(timeout=30) == 0
-    assert left_behind(tmp_path) == []
+    assert remaining_processes(tmp_path) == []
 
 
 def fetch(url: str) -> str:
