--- a/plumwall/emulator/backing.py
+++ b/plumwall/emulator/backing.py
@@ -39,7 +39,7 @@
     ) -> None:
         settings, rng = world.scenario.counter, world.random_streams.stream("counter")
         self._world, self._loop, self._write, self._now, self._address = world, loop, write, now, address
-        self._zone = world.scenario.fleet.zones[0]  # the zone of the counter
+        self._zone = world.scenario.fleet.zones[0]  # the counter stands in the first zone
         self.model = Counter(
             draw_between(rng, settings.calls_per_s),
             settings.parts,
@@ -334,8 +334,8 @@
             agent_service.close()
 
     def _announce(self, event: FaultEvent, kind: str, lifecycle: str) -> None:
-        """Schedule a server's change for every agent. The start time in it tells which incarnation it is
-        about."""
+        """Schedule a server's change for every agent. The start time in it identifies the
+        incarnation."""
         if lifecycle == READY:
             self._started_at_ms[event.target] = round(time.time() * 1000, 3)
         entry = Entry(self._specs[event.target], lifecycle, self._started_at_ms.get(event.target, 0.0))
--- a/plumwall/emulator/clients.py
+++ b/plumwall/emulator/clients.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 1.0
 MIN_SLEEP_S = 0.002  # timers of the event loop are not more precise
 MAX_SLEEP_MS = 50.0  # a retry may become due during the sleep
-MAX_BODY_BYTES = 4096  # of an answer that are kept for the check
+MAX_BODY_BYTES = 4096  # of an answer's body that are kept for `is_server_answer`
 
 
 class PendingTry:
--- a/plumwall/emulator/fleet.py
+++ b/plumwall/emulator/fleet.py
@@ -20,7 +20,7 @@
 READY_POLL_S = 0.02
 METRICS_TIMEOUT_S = 1.0
 MEMORY_POLL_S = 0.5
-KILL_GRACE_S = 0.7  # from SIGTERM plus the longest deadline to SIGKILL
+KILL_GRACE_S = 0.7  # SIGKILL comes this long after SIGTERM plus the longest deadline
 INHERITED_VARIABLES = (
     "PATH",
     "HOME",
--- a/plumwall/emulator/hosts.py
+++ b/plumwall/emulator/hosts.py
@@ -1,5 +1,5 @@
-"""The emulated servers on sockets. The model in plumwall.world.server decides; this part does the network
-side."""
+"""The emulated servers on sockets. The model in plumwall.world.server decides; this module
+does the network side."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
     def _shared_listener(
         self, shard: HostShard, gateways: Sequence[GatewaySpec]
     ) -> dict[str, ListeningSocket]:
-        """One address for all gateways, since they share one list of servers. The request id tells the
-        gateway."""
+        """One address for all gateways, since they share one list of servers. The request id says
+        which gateway sent a request."""
         listener = ListeningSocket(
             shard.loop,
             shard.address(gateways[0]),
@@ -221,7 +221,10 @@
         self._set_timer()
 
     def _make_job(self, exchange: Exchange, request_id: str, query: str, now: float) -> Job:
-        """The job of a request. Its work is in the URL; a connection's first one adds the handshake."""
+        """The job of a request. Its URL carries the work, as the URL of a real statement determines its size.
+
+        The first request on a connection also costs the handshake.
+        """
         fields = parse_qs(query)
         work_ms = _number(fields, "work_ms", 1.0)
         if exchange.is_first:
@@ -261,7 +264,7 @@
         """Send the result of a job after the round trip time of the network."""
         exchange, gateway = job.done
         if exchange not in self._open_jobs:
-            return  # its connection has closed
+            return  # its connection has closed: there is nobody to answer
         delay_ms = self._round_trips_ms.get(gateway, 0.0)
         if delay_ms >= MIN_DELAY_MS:
             self._shard.loop.call_later(delay_ms / 1000, self._send_result, exchange, job)
