--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Quotas spent out of shares: the module's part, its configuration, real gateways with faults round them."""
+"""Shares of quotas: the policy module, the configuration, and real gateways under injected faults."""
 
 from __future__ import annotations
 
@@ -24,109 +24,111 @@
 BOUNDED = api.Plan("gold", rate=10, burst=20, uses_quota_shares=True, floor=2, floor_ms=1500)
 
 
-def asked(out: list[api.Action]) -> api.Count:
+def count_call(out: list[api.Action]) -> api.Count:
     (count,) = of(out, api.Count)
     return count
 
 
-def granted(driver: Driver, count: api.Count, units: float, after: float = 5.0) -> list[api.Action]:
+def grant(driver: Driver, count: api.Count, units: float, after: float = 5.0) -> list[api.Action]:
     return driver.give(api.CountReply(count.name, api.OK, units), after)
 
 
-def silent(driver: Driver, count: api.Count, after: float = 5.0) -> list[api.Action]:
+def time_out(driver: Driver, count: api.Count, after: float = 5.0) -> list[api.Action]:
     return driver.give(api.CountReply(count.name, api.TIMED_OUT, 0.0), after)
 
 
-def spends(driver: Driver, times: int, after: float = 10.0) -> int:
-    """How many of so many requests are sent on at once."""
+def sent_at_once(driver: Driver, requests: int, after: float = 10.0) -> int:
+    """How many of the requests are sent on without waiting for a share."""
     sent = 0
-    for _ in range(times):
-        _, out = driver.ask(plan="gold", left=200, after=after)  # with so little time nothing is waited for
+    for _ in range(requests):
+        _, out = driver.ask(plan="gold", left=200, after=after)  # too little time to wait for a share
         sent += bool(of(out, api.Send))
     return sent
 
 
-def test_a_request_waits_for_a_share_and_what_was_granted_is_spent_and_no_more() -> None:
+def test_a_request_waits_for_a_share_and_only_granted_units_are_spent() -> None:
     driver = Driver(plans=(STRICT,), counter_enabled=False)
     _, out = driver.ask(plan="gold")
-    count = asked(out)
+    count = count_call(out)
     assert not of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
     assert count.name == quota_account_name("gold", "c") and "c" != count.name
-    assert len(of(granted(driver, count, 5.0), api.Send)) == 1
-    assert spends(driver, 8) == 4
+    assert len(of(grant(driver, count, 5.0), api.Send)) == 1
+    assert sent_at_once(driver, 8) == 4
     _, out = driver.ask(plan="gold", after=10)
-    more = asked(out)
-    assert more.amount > 5.0  # it was spent in a moment: as much as goes in a second, the burst at the most
+    more = count_call(out)
+    assert more.amount > 5.0  # the use of one second at the rate seen, at most the burst
     assert more.amount <= STRICT.burst
 
 
-def test_a_share_is_over_when_its_time_is_counted_from_the_question_however_late_it_came() -> None:
+def test_the_validity_of_a_share_starts_with_the_call_not_with_the_reply() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    granted(driver, asked(out), 10.0, after=900.0)
-    assert spends(driver, 1, after=2000.0) == 1
-    assert spends(driver, 3, after=101.0) == 0  # 3 s since it was asked for: others may have it now
+    grant(driver, count_call(out), 10.0, after=900.0)
+    assert sent_at_once(driver, 1, after=2000.0) == 1
+    # 3 s after the call the units may be granted to others.
+    assert sent_at_once(driver, 3, after=101.0) == 0
 
 
-def test_without_word_a_strict_plan_spends_nothing_and_a_bounded_one_its_floor_once() -> None:
+def test_without_replies_a_strict_plan_spends_nothing_and_a_bounded_plan_its_floor_once() -> None:
     for plan, floor in ((STRICT, 0), (BOUNDED, 2)):
         driver = Driver(plans=(plan,))
         _, out = driver.ask(plan="gold")
-        sent = len(of(silent(driver, asked(out)), api.Send))
-        assert sent + spends(driver, 6) == floor
-        for _ in range(5):  # it asks again, hears nothing, and may spend nothing more
+        sent = len(of(time_out(driver, count_call(out)), api.Send))
+        assert sent + sent_at_once(driver, 6) == floor
+        for _ in range(5):  # later calls time out too: nothing more may be spent
             _, out = driver.ask(plan="gold", after=500)
-            assert not of(silent(driver, asked(out)), api.Send)
+            assert not of(time_out(driver, count_call(out)), api.Send)
         _, out = driver.ask(plan="gold", after=500)
-        assert of(granted(driver, asked(out), 3.0), api.Send) and spends(driver, 5) == 2
+        assert of(grant(driver, count_call(out), 3.0), api.Send) and sent_at_once(driver, 5) == 2
         _, out = driver.ask(plan="gold", after=3500)
-        assert len(of(silent(driver, asked(out)), api.Send)) + spends(driver, 6) == floor  # another outage
+        # A new outage: the floor applies again.
+        assert len(of(time_out(driver, count_call(out)), api.Send)) + sent_at_once(driver, 6) == floor
 
 
-def test_a_floor_is_over_after_its_time() -> None:
+def test_a_floor_expires_after_floor_ms() -> None:
     driver = Driver(plans=(BOUNDED,))
     _, out = driver.ask(plan="gold")
-    assert len(of(silent(driver, asked(out)), api.Send)) == 1
-    assert spends(driver, 3, after=1501.0) == 0
+    assert len(of(time_out(driver, count_call(out)), api.Send)) == 1
+    assert sent_at_once(driver, 3, after=1501.0) == 0
 
 
-def test_an_empty_account_is_not_asked_again_before_a_unit_has_filled() -> None:
+def test_after_a_grant_of_nothing_the_next_call_waits_until_a_unit_is_refilled() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    refused = of(granted(driver, asked(out), 0.0), api.Refuse)
+    refused = of(grant(driver, count_call(out), 0.0), api.Refuse)
     assert refused[0].reason == "quota" and refused[0].retry_after_ms > 0
     assert not of(driver.ask(plan="gold", after=50)[1], api.Count)
     assert of(driver.ask(plan="gold", after=60)[1], api.Count)
 
 
-def test_what_a_request_cost_beyond_its_guess_comes_off_the_next_share() -> None:
+def test_cost_above_the_estimate_is_deducted_from_the_next_share() -> None:
     driver = Driver(plans=(STRICT,))
     rid, out = driver.ask(plan="gold")
-    granted(driver, asked(out), 1.0)
+    grant(driver, count_call(out), 1.0)
     driver.end(rid, true_units=4.0)
     _, out = driver.ask(plan="gold", after=200)
-    granted(driver, asked(out), 5.0)  # three of these are spent
-    assert spends(driver, 4) == 1
+    grant(driver, count_call(out), 5.0)  # three of these pay for the extra cost
+    assert sent_at_once(driver, 4) == 1
 
 
-def test_a_process_that_handed_over_spends_nothing_of_its_share() -> None:
+def test_after_hand_over_a_process_spends_nothing_of_its_share() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    granted(driver, asked(out), 10.0)
+    grant(driver, count_call(out), 10.0)
     driver.gateway.hand_over()
-    assert spends(driver, 3) == 0
+    assert sent_at_once(driver, 3) == 0
 
 
-def test_a_share_that_comes_late_is_taken_and_one_that_nobody_asked_for_is_not() -> None:
+def test_a_late_grant_is_used_and_an_unrequested_one_is_ignored() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    count = asked(out)
-    driver.sweep(6)  # who waited is refused; the question is still open
+    count = count_call(out)
+    driver.sweep(6)  # the waiting request is refused; the call is still open
     assert not of(driver.ask(plan="gold")[1], api.Count)
-    assert len(of(granted(driver, count, 4.0), api.Send)) == 1  # the one that came meanwhile
-    assert spends(driver, 6) == 3
-    granted(driver, count, 50.0)
-    assert spends(driver, 3) == 0
+    assert len(of(grant(driver, count, 4.0), api.Send)) == 1  # the request that came meanwhile
+    assert sent_at_once(driver, 6) == 3
+    grant(driver, count, 50.0)
+    assert sent_at_once(driver, 3) == 0
 
 
 @pytest.mark.parametrize(
@@ -140,7 +142,7 @@
         ({"gold": {"mode": "strict", "floor": 2}}, "shares.gold.floor: is no field"),
     ],
 )
-def test_a_bad_configuration_names_its_field(shares: object, field: str) -> None:
+def test_an_invalid_configuration_names_the_field(shares: object, field: str) -> None:
     raw: dict[str, object] = {
         "listen": "h:1",
         "discovery": "h:2",
@@ -158,10 +160,8 @@
         parse({key: value for key, value in raw.items() if key != "holding"} | {"shares": {}})
 
 
-def test_shares_that_come_by_sighup_where_there_is_no_holding_refuse_and_do_not_wait_for_ever(
-    tmp_path: Path,
-) -> None:
-    """`holding` wants a restart: until then nobody can be asked, which is told at once."""
+def test_shares_set_by_sighup_without_a_holding_refuse_requests_at_once(tmp_path: Path) -> None:
+    """`holding` applies only after a restart. Until then no shares can be had, and requests must not wait."""
     raw: dict[str, object] = {
         "discovery": f"{HOST}:1",
         "seed": "1",
@@ -190,43 +190,44 @@
     on_loop(scenario, 30)
 
 
-def tortured(folder: Path, seed: int, faults: list[str], **changes: object) -> SharesOutcome:
+def run_faults(folder: Path, seed: int, faults: list[str], **changes: object) -> SharesOutcome:
     plan = structs.replace(read_plan("shares"), gateways=3, **changes)
     outcome = SharesOutcome()
 
-    async def played() -> None:
+    async def scenario() -> None:
         nonlocal outcome
-        for number, fault in enumerate(faults):  # each once, in this order
-            once = structs.replace(plan, faults={fault: 1.0})
-            made = SharesTorture(once, folder / str(number), seed, lambda text: None)
-            outcome = await made.play(1)
+        for number, fault in enumerate(faults):  # one round of each, in this order
+            one_fault = structs.replace(plan, faults={fault: 1.0})
+            torture = SharesTorture(one_fault, folder / str(number), seed, lambda text: None)
+            outcome = await torture.play(1)
             assert not outcome.breach, (fault, outcome)
 
-    on_loop(played, 200)
+    on_loop(scenario, 200)
     return outcome
 
 
-def test_strict_nothing_is_over_as_holders_are_lost_and_gateways_are_stopped_and_cut_off(
+def test_strict_shares_never_exceed_the_quota_under_faults_of_leaders_and_gateways(
     tmp_path: Path,
 ) -> None:
-    outcome = tortured(tmp_path, 1, ["leader_cut", "gateway_stopped", "leader_lost"])
+    outcome = run_faults(tmp_path, 1, ["leader_cut", "gateway_stopped", "leader_lost"])
     assert outcome.beyond == 0.0 and outcome.floors == 0.0 and outcome.served > 60
 
 
-def test_bounded_gateways_that_are_cut_off_serve_their_floor_and_stay_within_the_formula(
+def test_bounded_shares_stay_within_the_bound_while_the_holding_is_down(
     tmp_path: Path,
 ) -> None:
-    outcome = tortured(tmp_path, 2, ["holding_down"], mode="bounded", floor=5.0, floor_ms=5000.0)
+    outcome = run_faults(tmp_path, 2, ["holding_down"], mode="bounded", floor=5.0, floor_ms=5000.0)
     assert outcome.over <= 0.0 and outcome.floors == 15.0
 
 
 def test_the_same_without_shares_is_found_to_be_over(tmp_path: Path) -> None:
-    """Each gateway goes by its own estimate: there is no counter here that could tell it of the others."""
+    """Without shares and without a counter each gateway estimates the use of the others, and together they
+    exceed the quota. Shows that the check finds this."""
     with pytest.raises(AssertionError, match="units over the bound"):
-        tortured(tmp_path, 3, ["quiet"], mode="none", rate=5.0, burst=10.0)
+        run_faults(tmp_path, 3, ["quiet"], mode="none", rate=5.0, burst=10.0)
 
 
-def test_an_account_is_shown_with_who_was_granted_what_and_the_bound(tmp_path: Path) -> None:
+def test_the_limits_command_shows_the_grants_of_an_account_and_the_bound(tmp_path: Path) -> None:
     async def scenario() -> None:
         async with Machines(tmp_path, 3, gone_ms=1500.0) as machines:
             await machines.init(machines.all, 2)
@@ -244,9 +245,11 @@
             assert (await until_answered(client, f"/v1/shares/{name}/take", body)).body == {"units": 8.0}
             assert (await until_answered(client, f"/v1/shares/{name}/take", body)).body == {"units": 8.0}
             at = ",".join(f"{HOST}:{machine.listen}" for machine in machines.all)
-            words = ("plumwall", "limits", CUSTOMER, "--plan", PLAN, "--at", at)
-            done = await asyncio.to_thread(run, *words, "--gateways", "12", "--floor", "5")
-            assert done.returncode == 0 and "g1.77: 8 units" in done.stdout and "60" in done.stdout, done
+            command = ("plumwall", "limits", CUSTOMER, "--plan", PLAN, "--at", at)
+            result = await asyncio.to_thread(run, *command, "--gateways", "12", "--floor", "5")
+            assert result.returncode == 0 and "g1.77: 8 units" in result.stdout and "60" in result.stdout, (
+                result
+            )
             wrong = await client.call("POST", f"/v1/shares/{name}/take", body | {"lifeMs": 1e9})
             assert wrong.status == 400 and wrong.body["field"] == "lifeMs"
             client.close()
@@ -254,13 +257,13 @@
     on_loop(scenario, 60)
 
 
-def test_a_plan_of_shares_names_the_field_that_is_wrong(tmp_path: Path) -> None:
+def test_an_invalid_shares_plan_names_the_field(tmp_path: Path) -> None:
     path, text = tmp_path / "bad.toml", (PLANS / "shares.toml").read_text()
-    for old, new, says in (
+    for old, new, expected_error in (
         ("quiet = 1.0", "loud = 1.0", "faults.loud"),
         ('mode = "strict"', 'mode = "loose"', "mode"),
         ('mode = "strict"', 'mode = "bounded"', "floor"),
     ):
         path.write_text(text.replace(old, new))
-        with pytest.raises(ValueError, match=says):
+        with pytest.raises(ValueError, match=expected_error):
             read_plan(str(path))
