--- a/plumwall/faults/keyed.py
+++ b/plumwall/faults/keyed.py
@@ -36,7 +36,7 @@
     clients: Count
     repeats: Count  # most retries of one request
     keyed: Count  # groups of keys
-    gone_ms: float  # configuration of the holding
+    gone_ms: float  # of the holding: silence after which a member of a group is replaced
     spacing_ms: float  # longest random pause between two requests of a client
     record: bool = True  # false: gateways without the holding, to show that requests then run twice
     # Shares of the requests with a fault of the server; see ServerFaults.
--- a/plumwall/faults/torture.py
+++ b/plumwall/faults/torture.py
@@ -50,7 +50,7 @@
     copies: Annotated[int, msgspec.Meta(ge=1, le=7)]  # of each group
     writers: Count
     keys: Annotated[int, msgspec.Meta(ge=1, le=1000)]  # per writer
-    gone_ms: float  # configuration of the holding
+    gone_ms: float  # of the holding: silence after which a member of a group is replaced
     zone_every: Count  # every so many rounds a whole zone is lost; 0: never
     keyed: Annotated[int, msgspec.Meta(ge=0, le=32)]  # groups of keys
     faults: dict[str, float]  # weight of each fault
