--- a/plumwall/world/directory.py
+++ b/plumwall/world/directory.py
@@ -1,6 +1,7 @@
-"""The list of servers as each gateway's agent holds it: late, in no common order, old after a restart.
+"""Model of the list of servers as the discovery agent of each gateway holds it.
 
-Pure: news is told with the time at which each agent learns of it.
+Agents learn of a change late and in different orders, and may hold an old list after a restart. The model has
+no clock: it returns the time at which each agent learns of a change.
 """
 
 from __future__ import annotations
@@ -14,59 +15,60 @@
 from plumwall.world.generator import ServerSpec, draw_between
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
-ORDER = {READY: 0, DRAINING: 1, GONE: 2}  # of one life
-HISTORY = 4096  # changes that an agent keeps
+# The order of the states within one incarnation of a server.
+LIFECYCLE_ORDER = {READY: 0, DRAINING: 1, GONE: 2}
+MAX_CHANGES = 4096  # bounds the memory of an agent; a client further behind gets the full list
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """What is told of one server."""
+    """State of one server in the list."""
 
     server: ServerSpec
     lifecycle: str
-    started_at_ms: float  # Unix time; 0: long ago
+    started_at_ms: float  # Unix time; 0 for a server that was running before the load began
 
-    def age(self) -> tuple[float, int]:
-        """What is later in a server's lives is greater."""
-        return self.started_at_ms, ORDER[self.lifecycle]
+    def version(self) -> tuple[float, int]:
+        """Return a key that is greater for a later state of the server."""
+        return self.started_at_ms, LIFECYCLE_ORDER[self.lifecycle]
 
 
 @dataclass(slots=True)
 class Agent:
-    """What one gateway's agent knows."""
+    """The list that the agent of one gateway holds, with its recent changes."""
 
     gateway: str
-    addresses: Mapping[str, str]  # of servers, as this gateway reaches them
+    addresses: Mapping[str, str]  # by server name, as this gateway reaches them
     generation: int = 1
     entries: dict[str, Entry] = field(default_factory=dict)
     changes: list[tuple[int, Entry]] = field(default_factory=list)
 
     def learn(self, entry: Entry) -> bool:
-        """Take news in; False if it is older than what is known, as late news may be."""
+        """Apply a change; False if a later state of the server is known already."""
         known = self.entries.get(entry.server.name)
-        if known is not None and entry.age() <= known.age():
+        if known is not None and entry.version() <= known.version():
             return False
         self.generation += 1
         self.entries[entry.server.name] = entry
-        self.changes = [*self.changes[-HISTORY:], (self.generation, entry)]
+        self.changes = [*self.changes[-MAX_CHANGES:], (self.generation, entry)]
         return True
 
     def changes_since(self, after: int | None) -> list[Entry] | None:
-        """What has come since a generation; None: nobody can tell, the whole list is wanted."""
+        """Return the changes after a generation; None if the full list is needed instead."""
         if after is None or after > self.generation or after < self.generation - len(self.changes):
             return None
         return [entry for generation, entry in self.changes if generation > after]
 
     def listing(self, after: int | None = None) -> dict[str, object]:
-        """The list or its changes, as the protocol has it."""
-        news = self.changes_since(after)
-        told = list(self.entries.values()) if news is None else news
-        if news is None:
-            told = [entry for entry in told if entry.lifecycle != GONE]
+        """Return the body of an answer: the changes after a generation if known, else the full list."""
+        changes = self.changes_since(after)
+        entries = list(self.entries.values()) if changes is None else changes
+        if changes is None:
+            entries = [entry for entry in entries if entry.lifecycle != GONE]
         return {
             "generation": self.generation,
-            "reset": news is None,
-            "instances": [self._row(e) for e in told],
+            "reset": changes is None,
+            "instances": [self._row(entry) for entry in entries],
         }
 
     def _row(self, entry: Entry) -> dict[str, object]:
@@ -84,21 +86,21 @@
 
 
 class Directory:
-    """When each agent learns of what happens to a server."""
+    """Draws the time at which each agent learns of a change of a server."""
 
     def __init__(self, listing: Listing, rng: np.random.Generator) -> None:
         self._rng = rng
-        self._notice = {
+        self._detection_delay_s = {
             "drain": draw_between(rng, listing.notice_s),
             "gone": draw_between(rng, listing.notice_s),
             "silent": draw_between(rng, listing.silent_notice_s),
             "start": draw_between(rng, listing.add_s),
         }
-        self._spread: Span = listing.spread_ms
-        self.late = 1.0  # times as late as usual
+        self._spread_ms: Span = listing.spread_ms
+        self.late = 1.0  # factor on the detection delay, set by the fault late_list
 
-    def arrivals(self, now: float, news: str, agents: int) -> Iterator[float]:
-        """For each agent the time at which it learns; `news` is one of drain, gone, silent, start."""
-        base = self._notice[news] * 1000 * self.late
+    def arrivals(self, now: float, change_kind: str, agents: int) -> Iterator[float]:
+        """Yield the time at which each agent learns; `change_kind` is drain, gone, silent or start."""
+        delay_ms = self._detection_delay_s[change_kind] * 1000 * self.late
         for _ in range(agents):
-            yield now + base + float(self._rng.random()) * draw_between(self._rng, self._spread)
+            yield now + delay_ms + float(self._rng.random()) * draw_between(self._rng, self._spread_ms)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -165,7 +165,7 @@
 
 
 def test_the_counter_serves_in_turn_turns_away_and_forgets() -> None:
-    counter = Counter(calls_per_s=100, parts=1, call_ms=1, queue_ms=50)
+    counter = Counter(calls_per_s=100, partitions=1, call_ms=1, queue_ms=50)
     told = [counter.add(0, "n", 1, 1000) for _ in range(8)]
     assert [t.total for t in told[:6]] == [1, 2, 3, 4, 5, 6] and told[6].total is told[7].total is None
     assert [t.at_ms for t in told[:3]] == [11, 21, 31]
