--- a/plumwall/simulate/__init__.py
+++ b/plumwall/simulate/__init__.py
@@ -1,1 +1,1 @@
-"""The world and the real module under a virtual clock: one process, no sockets, the same play for a seed."""
+"""Simulation of a scenario in virtual time with the real decision module: deterministic, without sockets."""
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -1,4 +1,4 @@
-"""The front and its clients in virtual time, by the same rules as the emulator's."""
+"""Clients in virtual time, with the rules of the emulator's clients for sending and retries."""
 
 from __future__ import annotations
 
@@ -14,107 +14,110 @@
 from plumwall.world.generator import FaultEvent, FirstTry, GeneratedWorld, draw_between
 
 
-class Pending:
-    """A try on its way."""
+class PendingTry:
+    """A try that has been sent and has no result yet."""
 
-    __slots__ = ("front", "first", "number", "id", "gateway", "due", "timer", "over", "late")
+    __slots__ = ("clients", "first", "number", "id", "gateway", "due", "timer", "is_over", "is_late")
 
     def __init__(
-        self, front: Front, first: FirstTry, number: int, rid: str, gateway: str, due: float
+        self, clients: SimClients, first: FirstTry, number: int, rid: str, gateway: str, due: float
     ) -> None:
-        self.front, self.first, self.number, self.id = front, first, number, rid
+        self.clients, self.first, self.number, self.id = clients, first, number, rid
         self.gateway, self.due = gateway, due
-        self.over = self.late = False
+        self.is_over = self.is_late = False
         self.timer: Timer | None = None
 
-    def answered(self, status: int, retry_ms: float) -> None:
-        """The final answer."""
-        self.front.ended(self, r.WHOLE, status, retry_ms)
+    def on_answer(self, status: int, retry_ms: float) -> None:
+        """Receive the final answer; `retry_ms` is the Retry-After time, 0 for none."""
+        self.clients.ended(self, r.WHOLE, status, retry_ms)
 
-    def dropped(self) -> None:
-        """The connection ended with no answer: once more on a new one, which nobody takes."""
-        self.front.ended(self, r.CLOSED if self.late else r.REFUSED, 0, 0.0)
+    def on_connection_lost(self) -> None:
+        """Handle a connection that ended without an answer; a new one to the gateway is refused."""
+        self.clients.ended(self, r.CLOSED if self.is_late else r.REFUSED, 0, 0.0)
 
 
-class Front:
-    """Sends each try when it is due to one of its customer's gateways, and retries as clients do."""
+class SimClients:
+    """Sends each first try when it is due to one of the gateways of its customer, and the retries."""
 
     def __init__(
         self,
-        drawn: GeneratedWorld,
+        world: GeneratedWorld,
         clock: Clock,
         write: Callable[[r.Record], None],
         gateways: Mapping[str, SimGateway],
         overdue_ms: float,
     ) -> None:
-        self.drawn, self._clock, self._write = drawn, clock, write
+        self.world, self._clock, self._write = world, clock, write
         self._gateways, self._overdue_ms = gateways, overdue_ms
-        self._names = [g.name for g in drawn.gateways]
-        self._up = dict.fromkeys(self._names, True)
+        self._names = [gateway.name for gateway in world.gateways]
+        self._is_up = dict.fromkeys(self._names, True)
         self.tally = Tally(
-            [c.name for c in drawn.scenario.classes], [drawn.plans[c.plan].name for c in drawn.customers]
+            [c.name for c in world.scenario.classes], [world.plans[c.plan].name for c in world.customers]
         )
-        self._notice_ms = (
-            draw_between(drawn.random_streams.stream("notice"), drawn.scenario.clients.notice_s) * 1000
+        self._detection_delay_ms = (
+            draw_between(world.random_streams.stream("notice"), world.scenario.clients.notice_s) * 1000
         )
-        self.left = len(drawn.tries)  # tries that are on their way or to come
+        self.remaining = len(world.tries)  # tries that are pending or not yet sent
 
-    def begin(self) -> None:
-        """Ask from now on."""
-        self._next(iter(self.drawn.tries))
+    def start(self) -> None:
+        """Start sending the tries in the order of their times."""
+        self._send_and_schedule(iter(self.world.tries))
 
-    def _next(self, tries: object, first: FirstTry | None = None) -> None:
-        """One timer for what is due next: there may be millions."""
+    def _send_and_schedule(self, tries: object, first: FirstTry | None = None) -> None:
+        """Send a try and schedule the next one; a single timer, as there may be millions of tries."""
         if first is not None:
             self._send(first, 0, first.due_ms)
-        following = next(tries, None)
-        if following is not None:
-            self._clock.at(following.due_ms, self._next, tries, following)
+        next_try = next(tries, None)
+        if next_try is not None:
+            self._clock.at(next_try.due_ms, self._send_and_schedule, tries, next_try)
 
-    def change(self, change: FaultEvent) -> None:
-        """The front finds out late that a gateway is gone, and by its word that it is back."""
-        if change.kind in ("gateway_kill", "gateway_restart"):
-            self._clock.after(self._notice_ms, self._look, change.target)
+    def apply(self, event: FaultEvent) -> None:
+        """Apply a fault event: a gateway's end is detected after a delay, its return by health checks."""
+        if event.kind in ("gateway_kill", "gateway_restart"):
+            self._clock.after(self._detection_delay_ms, self._check_health, event.target)
 
-    def _look(self, name: str) -> None:
-        self._up[name] = self._gateways[name].up
-        if not self._up[name]:
-            self._clock.after(HEALTH_POLL_S * 1000, self._look, name)
+    def _check_health(self, name: str) -> None:
+        self._is_up[name] = self._gateways[name].is_up
+        if not self._is_up[name]:
+            self._clock.after(HEALTH_POLL_S * 1000, self._check_health, name)
 
     # --- Sending ------------------------------------------------------------------------------------------
 
-    def _send(self, first: FirstTry, number: int, due: float) -> None:
-        gateway = self.drawn.gateway_of(first, number, due)
-        customer, names = self.drawn.customers[first.customer], self._names
-        if not self._up[names[gateway]]:  # another of its set, the next one round
-            ring = [(gateway + step) % len(names) for step in range(1, len(names))]
-            ring = [
-                g for g in ring if (g - customer.first) % len(names) < customer.width and self._up[names[g]]
+    def _send(self, first: FirstTry, number: int, due_ms: float) -> None:
+        gateway = self.world.gateway_of(first, number, due_ms)
+        customer, names = self.world.customers[first.customer], self._names
+        if not self._is_up[names[gateway]]:  # the next gateway of the customer that is up
+            candidates = [(gateway + step) % len(names) for step in range(1, len(names))]
+            candidates = [
+                candidate
+                for candidate in candidates
+                if (candidate - customer.first) % len(names) < customer.width
+                and self._is_up[names[candidate]]
             ]
-            gateway = ring[0] if ring else gateway
-        rid = request_id(first.index, number, gateway, self.drawn.seed)
-        pending = Pending(self, first, number, rid, names[gateway], due)
+            gateway = candidates[0] if candidates else gateway
+        rid = request_id(first.index, number, gateway, self.world.seed)
+        pending = PendingTry(self, first, number, rid, names[gateway], due_ms)
         now = self._clock.now
-        self.tally.offered(due, now)
+        self.tally.offered(due_ms, now)
         target = self._gateways[pending.gateway]
-        if not target.accepting:
+        if not target.is_accepting:
             self._clock.after(HOP_MS, self.ended, pending, r.REFUSED, 0, 0.0)
             return
-        left = due + first.try_ms - now
-        self._write(r.Asked(now, rid, first.index, number, pending.gateway, round(left, 3), due))
-        leaves = first.leaves_ms if not number else 0.0
-        if leaves and leaves < left:
-            pending.timer = self._clock.after(leaves, self._leave, pending)
+        left_ms = due_ms + first.try_ms - now
+        self._write(r.Asked(now, rid, first.index, number, pending.gateway, round(left_ms, 3), due_ms))
+        leaves_ms = first.leaves_ms if not number else 0.0
+        if leaves_ms and leaves_ms < left_ms:
+            pending.timer = self._clock.after(leaves_ms, self._disconnect, pending)
         else:
-            pending.timer = self._clock.after(left, self._late, pending)
-        cls = self.drawn.scenario.classes[first.cls]
-        target.request(
+            pending.timer = self._clock.after(left_ms, self._on_timeout, pending)
+        cls = self.world.scenario.classes[first.cls]
+        target.receive(
             pending,
             {
                 "rid": rid,
-                "left_ms": float(f"{left:.0f}"),
+                "left_ms": float(f"{left_ms:.0f}"),
                 "cls": cls.name,
-                "plan": self.drawn.plans[customer.plan].name,
+                "plan": self.world.plans[customer.plan].name,
                 "customer": customer.id,
                 "units": float(first.guess),
                 "width": customer.width,
@@ -125,43 +128,43 @@
 
     # --- Ends ---------------------------------------------------------------------------------------------
 
-    def _leave(self, pending: Pending) -> None:
-        self._gateways[pending.gateway].left(pending.id)
+    def _disconnect(self, pending: PendingTry) -> None:
+        self._gateways[pending.gateway].on_client_left(pending.id)
         self.ended(pending, r.LEFT, 0, 0.0)
 
-    def _late(self, pending: Pending) -> None:
-        pending.late = True
+    def _on_timeout(self, pending: PendingTry) -> None:
+        pending.is_late = True
         self._retry(pending, 0.0)
-        pending.timer = self._clock.after(self._overdue_ms, self._overdue, pending)
+        pending.timer = self._clock.after(self._overdue_ms, self._give_up, pending)
 
-    def _overdue(self, pending: Pending) -> None:
-        self._gateways[pending.gateway].left(pending.id)
+    def _give_up(self, pending: PendingTry) -> None:
+        self._gateways[pending.gateway].on_client_left(pending.id)
         self.ended(pending, r.TIMED_OUT, 0, 0.0)
 
-    def ended(self, pending: Pending, how: str, status: int, retry_ms: float) -> None:
-        """A try is over."""
-        if pending.over:
+    def ended(self, pending: PendingTry, how: str, status: int, retry_ms: float) -> None:
+        """Record the only result of a try, and retry if the rules of the clients allow it."""
+        if pending.is_over:
             return
-        pending.over = True
+        pending.is_over = True
         if pending.timer is not None:
             pending.timer.cancel()
         now = self._clock.now
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
         self.tally.ended(pending, how, status, now)
-        good = how == r.WHOLE and status == 200
-        if not pending.late and how != r.LEFT and not good:
+        was_served = how == r.WHOLE and status == 200
+        if not pending.is_late and how != r.LEFT and not was_served:
             self._retry(pending, retry_ms, refused=status in (429, 503) or how == r.REFUSED)
-        self.left -= 1
+        self.remaining -= 1
 
-    def _retry(self, pending: Pending, retry_ms: float, refused: bool = False) -> None:
-        first, clients = pending.first, self.drawn.scenario.clients
-        cls = self.drawn.scenario.classes[first.cls]
+    def _retry(self, pending: PendingTry, retry_ms: float, refused: bool = False) -> None:
+        first, clients = pending.first, self.world.scenario.clients
+        cls = self.world.scenario.classes[first.cls]
         if pending.number >= clients.retries or not (refused or cls.effect != "unsafe"):
             return
-        luck = first.backoff_luck[pending.number]
-        backoff = interpolate(clients.backoff_ms, luck) * 2**pending.number
-        wait = max(backoff, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
-        at = self._clock.now + wait
-        if at < first.due_ms + cls.deadline_ms:
-            self.left += 1
-            self._clock.at(at, self._send, first, pending.number + 1, at)
+        draw = first.backoff_luck[pending.number]
+        backoff_ms = interpolate(clients.backoff_ms, draw) * 2**pending.number
+        wait_ms = max(backoff_ms, min(retry_ms, clients.max_retry_after_ms) if first.honours else 0.0)
+        at_ms = self._clock.now + wait_ms
+        if at_ms < first.due_ms + cls.deadline_ms:
+            self.remaining += 1
+            self._clock.at(at_ms, self._send, first, pending.number + 1, at_ms)
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -1,7 +1,8 @@
-"""One gateway in virtual time: the module in service, round it a model of what `yewstage/net` does.
+"""One gateway in virtual time: the real decision module within a model of `yewstage/net`.
 
-A processor is a line: each event takes its measured cost, and waits for those before it. Links go by the
-pool's rules: the freshest idle one first, as many as the module allows, dials that belong to nobody.
+The processor is a FIFO queue: each event takes its measured cost after those before it. Connections follow
+the rules of the gateway's pool: the most recently used idle one first, at most as many as the module allows,
+and a dialled connection goes to the attempt that has waited longest, not to the one that caused the dial.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 from typing import Protocol
 
 from plumwall import records as r
-from plumwall.simulate.clock import UNIX_MS, Clock, Timer
-from plumwall.simulate.hosts import HOP_MS, AgentHost, CounterHost, Host, Hosts
+from plumwall.simulate.clock import LOAD_START_UNIX_MS, Clock, Timer
+from plumwall.simulate.hosts import HOP_MS, SimAgent, SimCounter, SimServer, SimServers
 from plumwall.world.generator import GatewaySpec, GeneratedWorld
 from yewstage import interface as api
 from yewstage.net.config import Config, parse
@@ -22,499 +23,530 @@
 from yewstage.net.pool import IDLE_SHARES, SWEEP_S
 from yewstage.policy import Gateway
 
-# Processor time of a gateway, ms, by what it handles: together what a served request costs it on this
-# project's machine (0.25 ms at a full core, `plumwall up capacity`), split as a profile of links has it.
-COST_REQUEST, COST_SEND, COST_END, COST_COUNT, COST_LIST, COST_SWEEP = 0.09, 0.05, 0.11, 0.03, 0.4, 0.08
-START_MS = 250.0  # from the start of a process until it serves
-ACCEPT_MS = 500.0  # after SIGTERM, for which new requests are taken
-LATE_MS = 5.0  # beyond a time-out, before it is believed
+# Processor time of a gateway by kind of event, in ms. Request, send and end add up to what a served
+# request costs on this project's machine (0.25 ms at a full core, `plumwall up capacity`), split as in a
+# profile of connections.
+REQUEST_COST_MS, SEND_COST_MS, END_COST_MS, COUNT_COST_MS, LIST_COST_MS, TIMER_COST_MS = (
+    0.09,
+    0.05,
+    0.11,
+    0.03,
+    0.4,
+    0.08,
+)
+START_MS = 250.0  # from the start of a process until it is ready
+SHUTDOWN_ACCEPT_MS = 500.0  # new requests are accepted for this long after SIGTERM
+TIMEOUT_GRACE_MS = 5.0  # margin after a timeout before it takes effect
 
 
 class Client(Protocol):
-    """Who is owed an answer."""
+    """The client of a request."""
 
-    def answered(self, status: int, retry_ms: float) -> None:
-        """The final answer."""
+    def on_answer(self, status: int, retry_ms: float) -> None:
+        """Receive the final answer; `retry_ms` is the Retry-After time, 0 for none."""
 
-    def dropped(self) -> None:
-        """The connection ended with no answer."""
+    def on_connection_lost(self) -> None:
+        """Handle a connection that ended without an answer."""
 
 
-class Open:
-    """A request that a gateway has taken."""
+class OpenRequest:
+    """A request that a gateway has accepted; it stays open until its last attempt has ended."""
 
-    __slots__ = ("rid", "client", "cls", "end_at", "guard", "attempts")
+    __slots__ = ("rid", "client", "cls", "deadline_at_ms", "deadline_timer", "attempts")
 
-    def __init__(self, rid: str, client: Client, cls: api.RequestClass, end_at: float) -> None:
-        self.rid, self.cls, self.end_at = rid, cls, end_at
+    def __init__(self, rid: str, client: Client, cls: api.RequestClass, deadline_at_ms: float) -> None:
+        self.rid, self.cls, self.deadline_at_ms = rid, cls, deadline_at_ms
         self.client: Client | None = client
-        self.guard: Timer | None = None
+        self.deadline_timer: Timer | None = None
         self.attempts: list[Attempt | None] = []
 
 
 class Attempt:
-    """One attempt at a server."""
+    """One attempt at a server, from its creation to its only outcome."""
 
     __slots__ = (
         "request",
         "number",
-        "lane",
+        "pool",
         "gateway",
         "rid",
-        "fresh",
+        "is_new_connection",
         "expires_ms",
-        "sent_at",
-        "linked",
-        "done",
-        "timer",
-        "waits",
+        "sent_at_ms",
+        "is_connected",
+        "is_done",
+        "timeout_timer",
+        "wait_timer",
         "owner",
-        "start_by",
+        "start_by_ms",
     )
 
     def __init__(
-        self, owner: SimGateway, request: Open, number: int, lane: Lane, wait_ms: float, start_ms: float
+        self,
+        owner: SimGateway,
+        request: OpenRequest,
+        number: int,
+        pool: ServerPool,
+        wait_ms: float,
+        start_ms: float,
     ) -> None:
         now = owner.clock.now
-        self.owner, self.request, self.number, self.lane = owner, request, number, lane
+        self.owner, self.request, self.number, self.pool = owner, request, number, pool
         self.gateway, self.rid = owner.spec.name, request.rid
-        self.expires_ms, self.sent_at = now + max(wait_ms, 1.0), now
-        self.start_by = now + start_ms  # not begun by then, it does not begin
-        self.linked = self.fresh = self.done = False
-        self.timer = owner.clock.after(wait_ms + LATE_MS, self._overdue)
-        self.waits: Timer | None = None
-
-    # From its server
-
-    def replied(self, result: str, units: float, report: dict[str, float]) -> None:
-        """Its answer has come: the link is free."""
-        if not self.done:
-            self.lane.free()
+        self.expires_ms, self.sent_at_ms = now + max(wait_ms, 1.0), now
+        self.start_by_ms = now + start_ms  # after this it may no longer start
+        self.is_connected = self.is_new_connection = self.is_done = False
+        self.timeout_timer = owner.clock.after(wait_ms + TIMEOUT_GRACE_MS, self._on_timeout)
+        self.wait_timer: Timer | None = None
+
+    # Called by the server
+
+    def on_reply(self, result: str, units: float, report: dict[str, float]) -> None:
+        """Receive the answer, and release the connection."""
+        if not self.is_done:
+            self.pool.release()
             results = {"served": api.OK, "error": api.ERROR}
             self._end(results.get(result, api.FULL), units, report)
 
-    def broke(self) -> None:
-        """Its link is gone."""
-        if not self.done:
-            self.lane.gone()
+    def on_connection_lost(self) -> None:
+        """Handle the loss of the connection."""
+        if not self.is_done:
+            self.pool.discard()
             self._end(api.RESET)
 
-    # From its lane
+    # Called by the pool
 
-    def write(self, fresh: bool) -> None:
-        """It has a link."""
-        self._stop_waiting()
-        self.linked, self.fresh = True, fresh
-        self.owner.clock.after(HOP_MS, self.lane.host.arrive, self)
+    def send(self, is_new_connection: bool) -> None:
+        """Send the request on a connection."""
+        self._cancel_wait_timer()
+        self.is_connected, self.is_new_connection = True, is_new_connection
+        self.owner.clock.after(HOP_MS, self.pool.server.receive, self)
 
-    def unlinked(self, result: str) -> None:
-        """It gets none."""
-        self._stop_waiting()
+    def on_no_connection(self, result: str) -> None:
+        """End the attempt, as no connection was available; `result` says why."""
+        self._cancel_wait_timer()
         self._end(result)
 
-    def wait(self, for_ms: float) -> None:
-        """As long as a link is worth waiting for."""
-        for_ms = min(for_ms, max(self.start_by - self.owner.clock.now, 0.0))
-        self.waits = self.owner.clock.after(for_ms, self._waited_enough)
+    def wait_for_connection(self, for_ms: float) -> None:
+        """Wait for a connection, at most until the latest start of the attempt."""
+        for_ms = min(for_ms, max(self.start_by_ms - self.owner.clock.now, 0.0))
+        self.wait_timer = self.owner.clock.after(for_ms, self._on_wait_expired)
 
     def cancel(self) -> None:
-        """It is given up."""
-        if not self.done:
-            self._abandon()
+        """Cancel the attempt on behalf of the module."""
+        if not self.is_done:
+            self._leave_pool()
             self._end(api.CANCELLED)
 
-    def _waited_enough(self) -> None:
-        self.lane.waiting.remove(self)
-        self.unlinked(api.START_EXPIRED)
+    def _on_wait_expired(self) -> None:
+        self.pool.waiting.remove(self)
+        self.on_no_connection(api.START_EXPIRED)
 
-    def _overdue(self) -> None:
-        if self.done:
+    def _on_timeout(self) -> None:
+        if self.is_done:
             return
-        waits = not self.linked
-        result = api.TIMED_OUT if self.linked else api.CONNECT_FAILED
-        if waits and not self.lane.dialling:
+        is_waiting = not self.is_connected
+        result = api.TIMED_OUT if self.is_connected else api.CONNECT_FAILED
+        if is_waiting and not self.pool.dial_count:
             result = api.START_EXPIRED
-        self._abandon()
+        self._leave_pool()
         self._end(result)
 
-    def _abandon(self) -> None:
-        if self.linked:
-            self.lane.gone()
-            self.lane.host.closed(self)
-        elif self in self.lane.waiting:
-            self.lane.waiting.remove(self)
-        self._stop_waiting()
+    def _leave_pool(self) -> None:
+        if self.is_connected:
+            self.pool.discard()
+            self.pool.server.on_closed(self)
+        elif self in self.pool.waiting:
+            self.pool.waiting.remove(self)
+        self._cancel_wait_timer()
 
-    def _stop_waiting(self) -> None:
-        if self.waits is not None:
-            self.waits.cancel()
+    def _cancel_wait_timer(self) -> None:
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
 
     def _end(self, result: str, units: float = 0.0, report: dict[str, float] | None = None) -> None:
-        self.done = True
-        self.timer.cancel()
-        self.owner.ended(self, result, units, report or {})
+        self.is_done = True
+        self.timeout_timer.cancel()
+        self.owner.on_attempt_ended(self, result, units, report or {})
 
 
-class Lane:
-    """A gateway's links to one server."""
+class ServerPool:
+    """Connection pool of a gateway for one server."""
 
-    __slots__ = ("host", "owner", "idle", "open", "dialling", "waiting", "leaving")
+    __slots__ = ("server", "owner", "idle_until_ms", "open_count", "dial_count", "waiting", "is_draining")
 
-    def __init__(self, host: Host, owner: SimGateway) -> None:
-        self.host, self.owner = host, owner
-        self.idle: deque[float] = deque()  # until when each idle link is kept, the freshest last
-        self.open = self.dialling = 0
+    def __init__(self, server: SimServer, owner: SimGateway) -> None:
+        self.server, self.owner = server, owner
+        self.idle_until_ms: deque[float] = (
+            deque()
+        )  # expiry time of each idle connection, the most recently used last
+        self.open_count = self.dial_count = 0
         self.waiting: deque[Attempt] = deque()
-        self.leaving = False
+        self.is_draining = False
 
-    def want(self, attempt: Attempt) -> None:
-        """A link, at once or when one is up or free."""
-        while self.idle:
-            if self.idle.pop() > self.owner.clock.now:
-                attempt.write(fresh=False)
+    def acquire(self, attempt: Attempt) -> None:
+        """Give the attempt an idle connection at once, or the next one that is dialled or released."""
+        while self.idle_until_ms:
+            if self.idle_until_ms.pop() > self.owner.clock.now:
+                attempt.send(is_new_connection=False)
                 return
-            self._closed()
+            self._count_closed()
         self.waiting.append(attempt)
-        attempt.wait(self.owner.dial_ms + 2 * LATE_MS)
-        self.grow()
+        attempt.wait_for_connection(self.owner.dial_ms + 2 * TIMEOUT_GRACE_MS)
+        self.dial_for_waiting()
 
-    def grow(self) -> None:
-        """Dial for whoever waits, as far as there is room."""
+    def dial_for_waiting(self) -> None:
+        """Dial for the waiting attempts, as far as the limits of connections allow."""
         while (
-            len(self.waiting) > self.dialling
-            and self.open + self.dialling < self.owner.bound(self.host.spec.name)
-            and self.owner.room()
+            len(self.waiting) > self.dial_count
+            and self.open_count + self.dial_count < self.owner.max_connections(self.server.spec.name)
+            and self.owner.make_room()
         ):
-            self.dialling += 1
-            self.owner.links += 1
+            self.dial_count += 1
+            self.owner.connections += 1
             name = self.owner.spec.name
-            up = self.host.reachable(name)
-            took_ms = self.owner.dial_ms if up is None else self.owner.hosts.way_ms(name, self.host.spec)
-            self.owner.clock.after(took_ms, self.dialled, up, self.owner.life)
+            is_reachable = self.server.reachable(name)
+            took_ms = (
+                self.owner.dial_ms
+                if is_reachable is None
+                else self.owner.servers.round_trip_ms(name, self.server.spec)
+            )
+            self.owner.clock.after(took_ms, self.on_dialled, is_reachable, self.owner.incarnation)
 
-    def dialled(self, up: bool | None, life: int) -> None:
-        """What a dial came to: up, refused, or nothing was heard."""
-        if life != self.owner.life:
+    def on_dialled(self, is_reachable: bool | None, incarnation: int) -> None:
+        """Handle the end of a dial: connected (True), refused (False) or no answer (None)."""
+        if incarnation != self.owner.incarnation:
             return
-        self.dialling -= 1
-        if up and self.host.model is not None:
-            self.open += 1
-            self.host.connections += 1
-            self.owner.dialled(self.host.spec.name)
-            self._offer(fresh=True)
+        self.dial_count -= 1
+        if is_reachable and self.server.model is not None:
+            self.open_count += 1
+            self.server.connections += 1
+            self.owner.on_dialled(self.server.spec.name)
+            self._assign(is_new_connection=True)
             return
-        self.owner.links -= 1
-        if up is None:
-            self.close_idle()  # a machine that is cut off leaves its links open and silent
-        if len(self.waiting) > self.dialling:
-            self.waiting.popleft().unlinked(api.CONNECT_FAILED)
+        self.owner.connections -= 1
+        if is_reachable is None:
+            self.close_idle()  # idle connections to an unreachable machine look open but are dead
+        if len(self.waiting) > self.dial_count:
+            self.waiting.popleft().on_no_connection(api.CONNECT_FAILED)
 
-    def free(self) -> None:
-        """A link has done its job."""
-        self._offer(fresh=False)
+    def release(self) -> None:
+        """Return a connection after its request has ended normally."""
+        self._assign(is_new_connection=False)
 
-    def gone(self) -> None:
-        """A link with a job has ended."""
-        self._closed()
-        self.grow()
+    def discard(self) -> None:
+        """Remove a connection that was lost or closed during a request."""
+        self._count_closed()
+        self.dial_for_waiting()
 
     def close_idle(self) -> None:
-        """All that nobody uses go."""
-        while self.idle:
-            self.idle.pop()
-            self._closed()
+        """Close all idle connections."""
+        while self.idle_until_ms:
+            self.idle_until_ms.pop()
+            self._count_closed()
 
-    def sweep(self) -> None:
-        """Retire what was idle for long."""
+    def close_expired(self) -> None:
+        """Close the connections whose idle time has run out."""
         now = self.owner.clock.now
-        while self.idle and self.idle[0] <= now:
-            self.idle.popleft()
-            self._closed()
+        while self.idle_until_ms and self.idle_until_ms[0] <= now:
+            self.idle_until_ms.popleft()
+            self._count_closed()
 
-    def turn_away(self) -> None:
-        """The server is listed no more."""
+    def shut_down(self) -> None:
+        """Close the pool, as its server is no longer listed: waiting attempts fail."""
         self.close_idle()
         while self.waiting:
-            self.waiting.popleft().unlinked(api.CONNECT_FAILED)
+            self.waiting.popleft().on_no_connection(api.CONNECT_FAILED)
 
-    def _offer(self, fresh: bool) -> None:
+    def _assign(self, is_new_connection: bool) -> None:
         if self.waiting:
-            self.waiting.popleft().write(fresh)
-        elif self.leaving:
-            self._closed()
+            self.waiting.popleft().send(is_new_connection)
+        elif self.is_draining:
+            self._count_closed()
         else:
-            share = self.owner.rng.uniform(*IDLE_SHARES)
-            self.idle.append(self.owner.clock.now + self.owner.idle_ms * share)
+            idle_share = self.owner.rng.uniform(*IDLE_SHARES)
+            self.idle_until_ms.append(self.owner.clock.now + self.owner.idle_ms * idle_share)
 
-    def _closed(self) -> None:
-        self.open -= 1
-        self.host.connections -= 1
-        self.owner.links -= 1
+    def _count_closed(self) -> None:
+        self.open_count -= 1
+        self.server.connections -= 1
+        self.owner.connections -= 1
 
 
 class SimGateway:
-    """One gateway over all of its lives."""
+    """One gateway over all of its incarnations."""
 
     def __init__(
         self,
         spec: GatewaySpec,
-        drawn: GeneratedWorld,
+        world: GeneratedWorld,
         clock: Clock,
-        hosts: Hosts,
-        counter: CounterHost,
-        agent: AgentHost,
+        servers: SimServers,
+        counter: SimCounter,
+        agent: SimAgent,
         write: Callable[[r.Record], None],
-        make: Callable[[api.Settings, int], Gateway] = Gateway,
+        make_module: Callable[[api.Settings, int], Gateway] = Gateway,
     ) -> None:
-        self.spec, self.clock, self.hosts = spec, clock, hosts
-        self._drawn, self._counter, self._agent, self._write, self._make = drawn, counter, agent, write, make
-        self.life = 0
-        self.up = self.accepting = self._ending = False
-        self.busy_ms = 0.0  # processor time of all lives
+        self.spec, self.clock, self.servers = spec, clock, servers
+        self._world, self._counter, self._agent, self._write, self._make_module = (
+            world,
+            counter,
+            agent,
+            write,
+            make_module,
+        )
+        self.incarnation = 0
+        self.is_up = self.is_accepting = self._is_ending = False
+        self.busy_ms = 0.0  # processor time of all incarnations
         self.refusals: Counter[str] = Counter()
-        self._kept: dict[str, object] | None = agent.agent.listing()  # the list as it had it last
-        self._begin()
+        # The list of servers as last known before a stop, given to the next incarnation.
+        self._saved_listing: dict[str, object] | None = agent.agent.listing()
+        self._reset_state()
 
-    # --- Life ---------------------------------------------------------------------------------------------
+    # --- Lifecycle ----------------------------------------------------------------------------------------
 
-    def _begin(self) -> None:
-        """A process that knows nothing."""
-        self.life += 1
-        seed = int(self._drawn.random_streams.stream("gateway", self.spec.name, self.life).integers(2**63))
+    def _reset_state(self) -> None:
+        """Reset to the state of a new process."""
+        self.incarnation += 1
+        seed = int(
+            self._world.random_streams.stream("gateway", self.spec.name, self.incarnation).integers(2**63)
+        )
         raw = {
             "name": self.spec.name,
             "listen": "sim:1",
             "discovery": "sim:2",
             "counter": "sim:3",
             "seed": f"{seed:016x}",
-            "settings": self._drawn.settings(self.spec),
-            "known": self._kept,
-            "limits": {"sockets": self._drawn.scenario.fleet.sockets},
+            "settings": self._world.settings(self.spec),
+            "known": self._saved_listing,
+            "limits": {"sockets": self._world.scenario.fleet.sockets},
         }
         config: Config = parse(raw)
         self.rng = random.Random(seed)
-        self.module = self._make(config.settings, config.seed)
+        self.module = self._make_module(config.settings, config.seed)
         self.dial_ms, self.idle_ms = config.dial_ms, config.idle_ms
-        self._most_links = int(UPSTREAM_SHARE * config.sockets)
-        self._settings, self._known = config.settings, config.fallback_listing
-        self._classes = {c.name: c for c in config.settings.classes}
-        self.lanes: dict[str, Lane] = {}
-        self.links = 0
-        self._open: dict[str, Open] = {}
-        self._free_at = self.clock.now
+        self._max_connections = int(UPSTREAM_SHARE * config.sockets)
+        self._settings, self._fallback_listing = config.settings, config.fallback_listing
+        self._classes = {cls.name: cls for cls in config.settings.classes}
+        self.pools: dict[str, ServerPool] = {}
+        self.connections = 0
+        self._open: dict[str, OpenRequest] = {}
+        self._free_at_ms = self.clock.now
         self._generation: int | None = None
 
-    def start(self, at_once: bool = False) -> None:
-        """It serves, a little after its process was started."""
-        if at_once:
-            self._ready(self.life)
+    def start(self, immediately: bool = False) -> None:
+        """Start the process; it serves after START_MS, or immediately."""
+        if immediately:
+            self._on_ready(self.incarnation)
         else:
-            self._begin()
-            self.clock.after(START_MS, self._ready, self.life)
+            self._reset_state()
+            self.clock.after(START_MS, self._on_ready, self.incarnation)
 
-    def _ready(self, life: int) -> None:
-        if life != self.life:
+    def _on_ready(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        self.up = self.accepting = True
-        self._ending = False
-        self._listed(self._known, "kept")
-        self._agent.news = self._ask
-        self._ask()
-        self.clock.after(SWEEP_S * 1000, self._retire, life)
+        self.is_up = self.is_accepting = True
+        self._is_ending = False
+        self._apply_listing(self._fallback_listing, "kept")
+        self._agent.on_change = self._fetch_listing
+        self._fetch_listing()
+        self.clock.after(SWEEP_S * 1000, self._close_expired, incarnation)
         self._write(r.GatewayIs(self.clock.now, self.spec.name, "ready"))
 
     def kill(self) -> None:
-        """It dies where it stands."""
-        if not self.up:
+        """Kill the process: its connections end without answers."""
+        if not self.is_up:
             return
         self._write(r.GatewayIs(self.clock.now, self.spec.name, "killed"))
-        self._die()
+        self._stop()
 
     def restart(self) -> None:
-        """SIGTERM: it takes new requests a little longer, finishes what it has, and another life begins."""
+        """Send SIGTERM: it accepts requests for SHUTDOWN_ACCEPT_MS more, finishes all and starts again."""
         self._write(r.GatewayIs(self.clock.now, self.spec.name, "stopping"))
-        self._ending = True
-        self.clock.after(ACCEPT_MS, self._stop_accepting, self.life)
+        self._is_ending = True
+        self.clock.after(SHUTDOWN_ACCEPT_MS, self._stop_accepting, self.incarnation)
 
-    def _stop_accepting(self, life: int) -> None:
-        if life == self.life:
-            self.accepting = False
-            self._end_if_done()
+    def _stop_accepting(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
+            self.is_accepting = False
+            self._end_if_idle()
 
-    def _end_if_done(self) -> None:
-        if self._ending and not self.accepting and self.up and not self._open:
+    def _end_if_idle(self) -> None:
+        if self._is_ending and not self.is_accepting and self.is_up and not self._open:
             self._write(r.GatewayIs(self.clock.now, self.spec.name, "ended"))
-            self._die()
+            self._stop()
             self.start()
 
-    def _die(self) -> None:
-        self.up = self.accepting = False
-        self.life += 1  # what is on its way to this life comes to nobody
-        self._agent.news = None
-        self._kept = self._agent.agent.listing()
-        open_, self._open = self._open, {}
-        for request in open_.values():
+    def _stop(self) -> None:
+        self.is_up = self.is_accepting = False
+        self.incarnation += 1  # callbacks of the old incarnation are ignored
+        self._agent.on_change = None
+        self._saved_listing = self._agent.agent.listing()
+        open_requests, self._open = self._open, {}
+        for request in open_requests.values():
             for attempt in request.attempts:
-                if attempt is not None and not attempt.done:
-                    attempt.done = True
-                    attempt.timer.cancel()
-                    if attempt.linked:
-                        attempt.lane.host.closed(attempt)
-            if request.guard is not None:
-                request.guard.cancel()
+                if attempt is not None and not attempt.is_done:
+                    attempt.is_done = True
+                    attempt.timeout_timer.cancel()
+                    if attempt.is_connected:
+                        attempt.pool.server.on_closed(attempt)
+            if request.deadline_timer is not None:
+                request.deadline_timer.cancel()
             if request.client is not None:
-                request.client.dropped()
-        for lane in self.lanes.values():
-            lane.host.connections -= lane.open
+                request.client.on_connection_lost()
+        for pool in self.pools.values():
+            pool.server.connections -= pool.open_count
 
     # --- The processor ------------------------------------------------------------------------------------
 
-    def _work(self, cost_ms: float, call: Callable[..., None], *args: object) -> None:
-        """Handle something once all that came before it is done."""
-        begins = max(self.clock.now, self._free_at)
-        self._free_at = begins + cost_ms
+    def _enqueue(self, cost_ms: float, callback: Callable[..., None], *args: object) -> None:
+        """Queue a call for the processor; it runs once all before it and its own cost are done."""
+        begins_at_ms = max(self.clock.now, self._free_at_ms)
+        self._free_at_ms = begins_at_ms + cost_ms
         self.busy_ms += cost_ms
-        self.clock.at(self._free_at, self._handle_if, self.life, call, args)
+        self.clock.at(self._free_at_ms, self._run_if_current, self.incarnation, callback, args)
 
-    def _handle_if(self, life: int, call: Callable[..., None], args: tuple) -> None:
-        if life == self.life:
-            call(*args)
+    def _run_if_current(self, incarnation: int, callback: Callable[..., None], args: tuple) -> None:
+        if incarnation == self.incarnation:
+            callback(*args)
 
-    def _post(self, event: api.Event) -> None:
-        for act in self.module.handle(UNIX_MS + self.clock.now, event):
-            self._act(act)
+    def _handle_event(self, event: api.Event) -> None:
+        for action in self.module.handle(LOAD_START_UNIX_MS + self.clock.now, event):
+            self._perform(action)
 
     # --- Clients ------------------------------------------------------------------------------------------
 
-    def request(self, client: Client, words: dict[str, object]) -> None:
-        """A request has come; `words` as `ClientRequest` has them."""
-        self._work(COST_REQUEST, self._take, client, words, self.clock.now)
+    def receive(self, client: Client, parameters: dict[str, object]) -> None:
+        """Receive a request; the parameters are those of `ClientRequest` of `yewstage/net`."""
+        self._enqueue(REQUEST_COST_MS, self._accept, client, parameters, self.clock.now)
 
-    def _take(self, client: Client, words: dict[str, object], came_at: float) -> None:
+    def _accept(self, client: Client, parameters: dict[str, object], received_at_ms: float) -> None:
         now = self.clock.now
-        waited = now - came_at - COST_REQUEST
-        left_ms = words["left_ms"] - TRANSIT_MS - (waited if waited > LAG_MS else 0.0)
-        cls = self._classes[words["cls"]]
-        rid = words["rid"]
-        request = self._open[rid] = Open(rid, client, cls, now + left_ms - GUARD_MS)
-        request.guard = self.clock.at(request.end_at, self._guard, request)
-        self._post(
+        waited_ms = now - received_at_ms - REQUEST_COST_MS
+        left_ms = parameters["left_ms"] - TRANSIT_MS - (waited_ms if waited_ms > LAG_MS else 0.0)
+        cls = self._classes[parameters["cls"]]
+        rid = parameters["rid"]
+        request = self._open[rid] = OpenRequest(rid, client, cls, now + left_ms - GUARD_MS)
+        request.deadline_timer = self.clock.at(request.deadline_at_ms, self._on_deadline, request)
+        self._handle_event(
             api.Request(
                 rid,
                 cls.name,
-                words["plan"],
-                words["customer"],
+                parameters["plan"],
+                parameters["customer"],
                 left_ms - MODULE_MS,
-                words["units"],
-                words["width"],
-                words["first"],
-                words["repeat"],
+                parameters["units"],
+                parameters["width"],
+                parameters["first"],
+                parameters["repeat"],
                 True,
                 cls,
             )
         )
 
-    def left(self, rid: str) -> None:
-        """The client is gone."""
+    def on_client_left(self, rid: str) -> None:
+        """Handle a client that has disconnected."""
         request = self._open.get(rid)
         if request is not None and request.client is not None:
             self._close(request)
-            self._post(api.ClientLeft(rid))
+            self._handle_event(api.ClientLeft(rid))
 
-    def _guard(self, request: Open) -> None:
+    def _on_deadline(self, request: OpenRequest) -> None:
         if request.client is not None:
             self._answer(request, 504)
-            self._post(api.ClientLeft(request.rid))
+            self._handle_event(api.ClientLeft(request.rid))
 
-    def _answer(self, request: Open | None, status: int, retry_ms: float = 0.0) -> None:
+    def _answer(self, request: OpenRequest | None, status: int, retry_ms: float = 0.0) -> None:
         if request is None or request.client is None:
             return
         client = request.client
         self._close(request)
-        self.clock.after(HOP_MS, client.answered, status, retry_ms)
+        self.clock.after(HOP_MS, client.on_answer, status, retry_ms)
 
-    def _close(self, request: Open) -> None:
+    def _close(self, request: OpenRequest) -> None:
         request.client = None
-        if request.guard is not None:
-            request.guard.cancel()
-        self._forget(request)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        self._forget_if_done(request)
 
-    def _forget(self, request: Open) -> None:
-        if request.client is None and all(a is None or a.done for a in request.attempts):
+    def _forget_if_done(self, request: OpenRequest) -> None:
+        if request.client is None and all(attempt is None or attempt.is_done for attempt in request.attempts):
             if self._open.pop(request.rid, None) is not None:
-                self._end_if_done()
+                self._end_if_idle()
 
     # --- Servers ------------------------------------------------------------------------------------------
 
-    def bound(self, server: str) -> int:
-        """Links to one server."""
+    def max_connections(self, server: str) -> int:
+        """Return the maximum number of connections to one server."""
         return max(1, self.module.links(server))
 
-    def room(self) -> bool:
-        """Whether another link may be dialled; the one that is idle longest gives way."""
-        if self.links < self._most_links:
+    def make_room(self) -> bool:
+        """Return whether another connection may be dialled; at the limit the longest idle one is closed."""
+        if self.connections < self._max_connections:
             return True
-        idle = [lane for lane in self.lanes.values() if lane.idle]
-        if not idle:
+        pools = [pool for pool in self.pools.values() if pool.idle_until_ms]
+        if not pools:
             return False
-        lane = min(idle, key=lambda lane: lane.idle[0])
-        lane.idle.popleft()
-        lane._closed()
+        pool = min(pools, key=lambda pool: pool.idle_until_ms[0])
+        pool.idle_until_ms.popleft()
+        pool._count_closed()
         return True
 
-    def dialled(self, server: str) -> None:
-        """A connection is up."""
+    def on_dialled(self, server: str) -> None:
+        """Record a new connection."""
         self._write(r.Dialled(self.clock.now, self.spec.name, server))
 
-    def _send(self, act: api.Send) -> None:
-        request, now = self._open.get(act.request), self.clock.now
-        lane = self.lanes.get(act.server)
+    def _send(self, action: api.Send) -> None:
+        request, now = self._open.get(action.request), self.clock.now
+        pool = self.pools.get(action.server)
         number = len(request.attempts) if request is not None else 0
-        if request is None or request.client is None or request.end_at <= now:
+        if request is None or request.client is None or request.deadline_at_ms <= now:
             if request is not None:
                 request.attempts.append(None)
             final = request is None or request.client is None
-            self._outcome(act.request, number, act.server, api.START_EXPIRED, 0.0, final)
+            self._report_outcome(action.request, number, action.server, api.START_EXPIRED, 0.0, final)
             return
-        left_ms = request.end_at - now
-        wait_ms = min(act.timeout_ms, left_ms) if act.timeout_ms else left_ms
-        if lane is None:
+        left_ms = request.deadline_at_ms - now
+        wait_ms = min(action.timeout_ms, left_ms) if action.timeout_ms else left_ms
+        if pool is None:
             request.attempts.append(None)
-            self._outcome(act.request, number, act.server, api.CONNECT_FAILED, 0.0, False, unbegun=True)
+            self._report_outcome(
+                action.request, number, action.server, api.CONNECT_FAILED, 0.0, False, nothing_sent=True
+            )
             return
-        attempt = Attempt(self, request, number, lane, wait_ms, act.start_deadline_ms)
+        attempt = Attempt(self, request, number, pool, wait_ms, action.start_deadline_ms)
         request.attempts.append(attempt)
-        self._work(COST_SEND, self._begin_attempt, attempt)
+        self._enqueue(SEND_COST_MS, self._start_attempt, attempt)
 
-    def _begin_attempt(self, attempt: Attempt) -> None:
-        if not attempt.done:
-            attempt.lane.want(attempt)
+    def _start_attempt(self, attempt: Attempt) -> None:
+        if not attempt.is_done:
+            attempt.pool.acquire(attempt)
 
-    def ended(self, attempt: Attempt, result: str, units: float, report: dict[str, float]) -> None:
-        """An attempt's one end."""
-        self._work(COST_END, self._ended, attempt, result, units, report, self.clock.now)
+    def on_attempt_ended(self, attempt: Attempt, result: str, units: float, report: dict[str, float]) -> None:
+        """Queue the handling of the outcome of an attempt."""
+        self._enqueue(END_COST_MS, self._finish_attempt, attempt, result, units, report, self.clock.now)
 
-    def _ended(
-        self, attempt: Attempt, result: str, units: float, report: dict[str, float], at: float
+    def _finish_attempt(
+        self, attempt: Attempt, result: str, units: float, report: dict[str, float], ended_at_ms: float
     ) -> None:
         request = attempt.request
         if result == api.OK:
             self._answer(request, 200)
         final = request.client is None
-        self._forget(request)
-        self._outcome(
+        self._forget_if_done(request)
+        self._report_outcome(
             request.rid,
             attempt.number,
-            attempt.lane.host.spec.name,
+            attempt.pool.server.spec.name,
             result,
-            at - attempt.sent_at,
+            ended_at_ms - attempt.sent_at_ms,
             final,
             units,
             report,
-            not attempt.linked,
+            not attempt.is_connected,
         )
 
-    def _outcome(
+    def _report_outcome(
         self,
         rid: str,
         number: int,
@@ -524,9 +556,9 @@
         final: bool,
         units: float = 0.0,
         report: dict[str, float] | None = None,
-        unbegun: bool = False,
+        nothing_sent: bool = False,
     ) -> None:
-        self._post(
+        self._handle_event(
             api.Outcome(
                 rid,
                 number,
@@ -536,95 +568,103 @@
                 final,
                 billed_units=units,
                 load_report=report or {},
-                nothing_sent=unbegun,
+                nothing_sent=nothing_sent,
             )
         )
 
     # --- List and counter ---------------------------------------------------------------------------------
 
-    def _ask(self) -> None:
-        """What is new of the list, as a watch that is always on has it."""
+    def _fetch_listing(self) -> None:
+        """Fetch the changes of the list of servers, as a permanent long poll does."""
         raw = self._agent.listing(self._generation)
         if raw is not None and (raw["reset"] or raw["instances"]):
             listing = parse_listing(raw)
             self._generation = listing.generation
-            self._work(COST_LIST, self._listed, listing, "full" if listing.is_full else "changes")
+            self._enqueue(
+                LIST_COST_MS, self._apply_listing, listing, "full" if listing.is_full else "changes"
+            )
 
-    def _listed(self, listing: object, kind: str) -> None:
-        gone = {s.name for s in listing.servers if s.status == "removed"}
+    def _apply_listing(self, listing: object, kind: str) -> None:
+        gone = {server.name for server in listing.servers if server.status == "removed"}
         if kind != "changes":
-            gone |= set(self.lanes) - {s.name for s in listing.servers}
-        for name in sorted(gone & set(self.lanes)):
-            self.lanes.pop(name).turn_away()
+            gone |= set(self.pools) - {server.name for server in listing.servers}
+        for name in sorted(gone & set(self.pools)):
+            self.pools.pop(name).shut_down()
         for server in listing.servers:
             if server.status == "removed":
                 continue
-            lane = self.lanes.get(server.name)
-            if lane is None:
-                lane = self.lanes[server.name] = Lane(self.hosts.all[server.name], self)
-            lane.leaving = server.status == "draining"
-            if lane.leaving:
-                lane.close_idle()
+            pool = self.pools.get(server.name)
+            if pool is None:
+                pool = self.pools[server.name] = ServerPool(self.servers.all[server.name], self)
+            pool.is_draining = server.status == "draining"
+            if pool.is_draining:
+                pool.close_idle()
         if listing.servers or kind != "changes":
-            self._post(api.ServerList(kind, listing.servers))
-
-    def _count(self, act: api.Count) -> None:
-        sent_at, life = self.clock.now, self.life
-        wait = self.clock.after(
-            self._settings.count_wait_ms, self._counted, act.name, api.TIMED_OUT, 0.0, sent_at, life
+            self._handle_event(api.ServerList(kind, listing.servers))
+
+    def _call_counter(self, action: api.Count) -> None:
+        sent_at_ms, incarnation = self.clock.now, self.incarnation
+        wait_timer = self.clock.after(
+            self._settings.count_wait_ms,
+            self._on_count,
+            action.name,
+            api.TIMED_OUT,
+            0.0,
+            sent_at_ms,
+            incarnation,
         )
 
-        def told(total: float | None) -> None:
-            if wait.call is not None:
-                wait.cancel()
+        def on_total(total: float | None) -> None:
+            if wait_timer.callback is not None:
+                wait_timer.cancel()
                 result = api.FULL if total is None else api.OK
-                self._counted(act.name, result, total or 0.0, sent_at, life)
+                self._on_count(action.name, result, total or 0.0, sent_at_ms, incarnation)
 
-        self._counter.call(self.spec.name, act.name, act.amount, act.ttl_ms, told)
+        self._counter.call(self.spec.name, action.name, action.amount, action.ttl_ms, on_total)
 
-    def _counted(self, name: str, result: str, total: float, sent_at: float, life: int) -> None:
-        if life == self.life:
-            reply = api.CountReply(name, result, total, self.clock.now - sent_at)
-            self._work(COST_COUNT, self._post, reply)
+    def _on_count(self, name: str, result: str, total: float, sent_at_ms: float, incarnation: int) -> None:
+        if incarnation == self.incarnation:
+            reply = api.CountReply(name, result, total, self.clock.now - sent_at_ms)
+            self._enqueue(COUNT_COST_MS, self._handle_event, reply)
 
     # --- Actions ------------------------------------------------------------------------------------------
 
-    def _act(self, act: api.Action) -> None:
-        match act:
+    def _perform(self, action: api.Action) -> None:
+        match action:
             case api.Send():
-                self._send(act)
+                self._send(action)
             case api.Refuse():
-                self.refusals[act.reason] += 1
-                self._answer(self._open.get(act.request), 503, act.retry_after_ms)
+                self.refusals[action.reason] += 1
+                self._answer(self._open.get(action.request), 503, action.retry_after_ms)
             case api.Fail():
-                self._answer(self._open.get(act.request), 502)
+                self._answer(self._open.get(action.request), 502)
             case api.Cancel():
-                request = self._open.get(act.request)
-                attempt = request.attempts[act.attempt] if request is not None else None
+                request = self._open.get(action.request)
+                attempt = request.attempts[action.attempt] if request is not None else None
                 if attempt is not None:
                     attempt.cancel()
             case api.Timer():
-                self.clock.after(max(act.delay_ms, 0.0), self._due, act.name, self.life)
+                self.clock.after(max(action.delay_ms, 0.0), self._on_timer, action.name, self.incarnation)
             case api.Count():
-                self._count(act)
+                self._call_counter(action)
             case api.Subscribe() | api.Log():
                 pass
             case _:
-                raise TypeError(f"the simulation knows no such action: {act!r}")
+                raise TypeError(f"action is not simulated: {action!r}")
 
-    def _due(self, name: str, life: int) -> None:
-        if life == self.life:
-            self._work(COST_SWEEP, self._post, api.TimerDue(name))
+    def _on_timer(self, name: str, incarnation: int) -> None:
+        if incarnation == self.incarnation:
+            self._enqueue(TIMER_COST_MS, self._handle_event, api.TimerDue(name))
 
-    def _retire(self, life: int) -> None:
-        """Let links go that were idle for long."""
-        if life == self.life:
-            for lane in self.lanes.values():
-                lane.sweep()
-            self.clock.after(SWEEP_S * 1000, self._retire, life)
+    def _close_expired(self, incarnation: int) -> None:
+        """Close expired idle connections periodically."""
+        if incarnation == self.incarnation:
+            for pool in self.pools.values():
+                pool.close_expired()
+            self.clock.after(SWEEP_S * 1000, self._close_expired, incarnation)
 
     def figures(self) -> r.Figures:
-        """What operators would read."""
-        refusals = {why: float(n) for why, n in sorted(self.refusals.items())}
+        """Return the figures that a gateway shows on its operators' address."""
+        refusals = {reason: float(count) for reason, count in sorted(self.refusals.items())}
         pressure, admitted = round(self.module.smoothed_occupancy, 4), round(self.module.admit_fraction, 4)
         return r.Figures(self.clock.now, self.spec.name, refusals, pressure, admitted)
--- a/plumwall/simulate/hosts.py
+++ b/plumwall/simulate/hosts.py
@@ -1,4 +1,4 @@
-"""Statement servers, the counter and the agents in virtual time: the models of `world`, without sockets."""
+"""Servers, quota counter and discovery agents in virtual time, on the models of `plumwall.world`."""
 
 from __future__ import annotations
 
@@ -9,113 +9,121 @@
 import numpy as np
 
 from plumwall import records as r
-from plumwall.simulate.clock import UNIX_MS, Clock, Timer
+from plumwall.simulate.clock import LOAD_START_UNIX_MS, Clock, Timer
 from plumwall.world.counter import Counter
 from plumwall.world.directory import DRAINING, GONE, READY, Agent, Directory, Entry
 from plumwall.world.generator import FaultEvent, GatewaySpec, GeneratedWorld, ServerSpec, draw_between
 from plumwall.world.server import ERROR, SERVED, DeduplicationGroup, Job, Server
 
-HOP_MS = 0.05  # from one process to another on one machine, as the emulator has it
-TOLD_MS = 6000.0  # after which what an agent holds counts as told, fetched or not
+HOP_MS = 0.05  # latency between two processes on one machine, as in the emulator
+REPORTED_AFTER_MS = 6000.0  # an entry counts as reported after this even if the gateway has not fetched it
 
 
-class Sent(Protocol):
+class SentAttempt(Protocol):
     """An attempt that a gateway has sent to a server."""
 
     rid: str
     gateway: str
-    fresh: bool
+    is_new_connection: bool
     expires_ms: float
 
-    def replied(self, result: str, units: float, report: dict[str, float]) -> None:
-        """Its answer is on its way: served, error, or never ran."""
+    def on_reply(self, result: str, units: float, report: dict[str, float]) -> None:
+        """Receive the answer; `result` is served, error or never (the request was not run)."""
 
-    def broke(self) -> None:
-        """Its connection is gone."""
+    def on_connection_lost(self) -> None:
+        """Handle the loss of the connection."""
 
 
-class Host:
-    """One server."""
+class SimServer:
+    """One server over all of its incarnations, with the requests that it holds."""
 
     def __init__(
-        self, spec: ServerSpec, pod: DeduplicationGroup, hosts: Hosts, rng: np.random.Generator
+        self,
+        spec: ServerSpec,
+        deduplication: DeduplicationGroup,
+        servers: SimServers,
+        rng: np.random.Generator,
     ) -> None:
-        self.spec, self._pod, self._hosts, self._rng = spec, pod, hosts, rng
-        self._clock = hosts.clock
+        self.spec, self._deduplication, self._servers, self._rng = spec, deduplication, servers, rng
+        self._clock = servers.clock
         self.model: Server | None = None
-        self.silent = False  # the machine is gone without a sign
-        self.cut: frozenset[str] = frozenset()  # gateways to which nothing passes
+        self.silent = False  # the machine is lost: nothing is answered or reset
+        self.unreachable_from: frozenset[str] = frozenset()  # names of gateways cut off from it
         self.connections = 0
-        self._open: dict[Sent, Job] = {}
+        self._open: dict[SentAttempt, Job] = {}
         self._timer: Timer | None = None
 
     def reachable(self, gateway: str) -> bool | None:
-        """Whether a dial comes up, is refused (False), or hears nothing (None)."""
-        if self.silent or gateway in self.cut:
+        """Return whether a dial succeeds (True), is refused (False) or gets no answer (None)."""
+        if self.silent or gateway in self.unreachable_from:
             return None
         return self.model is not None
 
     def start(self, cold: bool) -> None:
-        """A life begins."""
+        """Start a new incarnation; `cold` means that it has to warm up."""
         self._end("reset")
-        rules = self._hosts.drawn.scenario.rules
+        rules = self._servers.world.scenario.rules
         now = self._clock.now
-        self.model = Server(self.spec, self._pod, self._rng, now, cold, rules.fall_multiple, rules.fall_ms)
+        self.model = Server(
+            self.spec, self._deduplication, self._rng, now, cold, rules.fall_multiple, rules.fall_ms
+        )
         self.silent = False
         if cold:
-            self._hosts.write(r.ServerIs(now, self.spec.name, "started"))
+            self._servers.write(r.ServerIs(now, self.spec.name, "started"))
 
     def crash(self, state: str) -> None:
-        """The process ends: connections are reset, new ones refused."""
+        """End the process: connections are reset, new ones refused; `state` is the one recorded."""
         self._end("reset")
-        self._hosts.write(r.ServerIs(self._clock.now, self.spec.name, state))
+        self._servers.write(r.ServerIs(self._clock.now, self.spec.name, state))
 
     def vanish(self) -> None:
-        """The machine is gone without a sign."""
+        """Lose the machine: connections stay open but silent."""
         self.silent = True
         self._end("silent")
-        self._hosts.write(r.ServerIs(self._clock.now, self.spec.name, "silent"))
+        self._servers.write(r.ServerIs(self._clock.now, self.spec.name, "silent"))
 
     def _end(self, result: str) -> None:
         self.model = None
         if self._timer is not None:
             self._timer.cancel()
-        open_, self._open = self._open, {}
-        for sent, job in open_.items():
-            self._over(sent, job, result, False)
+        open_attempts, self._open = self._open, {}
+        for sent, job in open_attempts.items():
+            self._record_end(sent, job, result, False)
             if result == "reset":
-                sent.broke()
+                sent.on_connection_lost()
 
     # --- Requests -----------------------------------------------------------------------------------------
 
-    def arrive(self, sent: Sent) -> None:
-        """A whole request is here, unless nothing passes."""
-        if self.silent or sent.gateway in self.cut:
-            return  # nobody hears it, and nobody says so
+    def receive(self, sent: SentAttempt) -> None:
+        """Receive a complete request, unless the network drops it."""
+        if self.silent or sent.gateway in self.unreachable_from:
+            return  # dropped by the network: the sender gets no answer
         now, model = self._clock.now, self.model
         if model is None:
-            sent.broke()
+            sent.on_connection_lost()
             return
-        job = self._hosts.job(sent, self.spec)
-        self._hosts.write(r.Arrived(now, sent.rid, self.spec.name, sent.gateway, now, round(job.work_ms, 3)))
+        job = self._servers.make_job(sent, self.spec)
+        self._servers.write(
+            r.Arrived(now, sent.rid, self.spec.name, sent.gateway, now, round(job.work_ms, 3))
+        )
         self._open[sent] = job
         job.done = sent
-        standing = not model.has_collapsed
+        was_standing = not model.has_collapsed
         result = "full" if self.connections > self.spec.connections else model.offer(now, job)
-        if model.has_collapsed and standing:
-            self._hosts.write(r.ServerIs(now, self.spec.name, "fallen"))
+        if model.has_collapsed and was_standing:
+            self._servers.write(r.ServerIs(now, self.spec.name, "fallen"))
         if result != SERVED:
             job.result = result
             self._finish(job)
-        self._arm()
+        self._schedule()
 
-    def closed(self, sent: Sent) -> None:
-        """Its gateway has closed the connection: the work goes on, nobody is told."""
+    def on_closed(self, sent: SentAttempt) -> None:
+        """Handle a connection closed by the gateway: the work continues, the answer is dropped."""
         job = self._open.pop(sent, None)
         if job is not None:
-            self._over(sent, job, "closed", False)
+            self._record_end(sent, job, "closed", False)
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         due = self.model.due() if self.model is not None else math.inf
@@ -127,208 +135,214 @@
             return
         for job in self.model.advance(self._clock.now):
             self._finish(job)
-        self._arm()
+        self._schedule()
 
     def _finish(self, job: Job) -> None:
         if job.done in self._open:
-            self._clock.after(self._hosts.way_ms(job.done.gateway, self.spec), self._tell, job)
+            self._clock.after(self._servers.round_trip_ms(job.done.gateway, self.spec), self._deliver, job)
 
-    def _tell(self, job: Job) -> None:
+    def _deliver(self, job: Job) -> None:
         sent = job.done
-        if sent not in self._open or sent.gateway in self.cut:
+        if sent not in self._open or sent.gateway in self.unreachable_from:
             return
         del self._open[sent]
-        if self._hosts.loses_answer():
-            self._over(sent, job, "reset", False)
-            sent.broke()
+        if self._servers.draw_answer_loss():
+            self._record_end(sent, job, "reset", False)
+            sent.on_connection_lost()
             return
-        self._over(sent, job, job.result, True)
+        self._record_end(sent, job, job.result, True)
         report = self.model.report(self._clock.now) if self.model is not None else {}
-        units = self._hosts.units(job.id) if job.result == SERVED else 0.0
-        sent.replied(job.result if job.result in (SERVED, ERROR) else "never", units, report)
+        units = self._servers.units(job.id) if job.result == SERVED else 0.0
+        sent.on_reply(job.result if job.result in (SERVED, ERROR) else "never", units, report)
 
-    def _over(self, sent: Sent, job: Job, result: str, told: bool) -> None:
+    def _record_end(self, sent: SentAttempt, job: Job, result: str, was_delivered: bool) -> None:
         now = self._clock.now
-        self._hosts.write(r.Ended(now, job.id, self.spec.name, sent.gateway, result, job.begun, told))
+        self._servers.write(
+            r.Ended(now, job.id, self.spec.name, sent.gateway, result, job.begun, was_delivered)
+        )
 
 
-class Hosts:
-    """All servers."""
+class SimServers:
+    """All servers, and the network between them and the gateways."""
 
-    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
-        self.drawn, self.clock, self.write = drawn, clock, write
-        self._windows = [c.window_ms for c in drawn.scenario.classes]
-        self._lost, self._luck = 0.0, drawn.random_streams.stream("lost", 0)
-        network, rng = drawn.scenario.network, drawn.random_streams.stream("network")
-        self._same = float(rng.uniform(network.same_ms.least, network.same_ms.most))
-        self._cross = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
-        self._zones = {gateway.name: gateway.zone for gateway in drawn.gateways}
-        pods: dict[int, DeduplicationGroup] = {}
+    def __init__(self, world: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
+        self.world, self.clock, self.write = world, clock, write
+        self._windows_ms = [cls.window_ms for cls in world.scenario.classes]
+        self._loss_probability, self._loss_rng = 0.0, world.random_streams.stream("lost", 0)
+        network, rng = world.scenario.network, world.random_streams.stream("network")
+        self._same_zone_ms = float(rng.uniform(network.same_ms.least, network.same_ms.most))
+        self._cross_zone_ms = float(rng.uniform(network.cross_ms.least, network.cross_ms.most))
+        self._gateway_zones = {gateway.name: gateway.zone for gateway in world.gateways}
+        groups: dict[int, DeduplicationGroup] = {}
         self.all = {
-            spec.name: Host(
+            spec.name: SimServer(
                 spec,
-                pods.setdefault(spec.cell, DeduplicationGroup()),
+                groups.setdefault(spec.cell, DeduplicationGroup()),
                 self,
-                drawn.random_streams.stream("server", spec.name),
+                world.random_streams.stream("server", spec.name),
             )
-            for spec in drawn.servers
+            for spec in world.servers
         }
 
-    def begin(self) -> None:
-        """All that are there at the start, warm."""
-        for host in self.all.values():
-            if host.spec.at_start:
-                host.start(cold=False)
+    def start_initial(self) -> None:
+        """Start the servers that are present at the start, warmed up."""
+        for server in self.all.values():
+            if server.spec.at_start:
+                server.start(cold=False)
 
-    def way_ms(self, gateway: str, server: ServerSpec) -> float:
-        """There and back."""
-        same = self._zones[gateway] == server.zone
-        return 2 * (self._same if same else self._cross) + HOP_MS
+    def round_trip_ms(self, gateway: str, server: ServerSpec) -> float:
+        """Return the round trip time between a gateway and a server, in ms."""
+        is_same_zone = self._gateway_zones[gateway] == server.zone
+        return 2 * (self._same_zone_ms if is_same_zone else self._cross_zone_ms) + HOP_MS
 
     def units(self, rid: str) -> float:
-        """The true units of a request."""
-        return float(self.drawn.tries[int(rid[:8], 16)].units)
-
-    def loses_answer(self) -> bool:
-        """Whether the path breaks under this answer."""
-        return self._lost > 0 and self._luck.random() < self._lost
-
-    def job(self, sent: Sent, spec: ServerSpec) -> Job:
-        """The work of a request."""
-        first = self.drawn.tries[int(sent.rid[:8], 16)]
-        keyed = self.drawn.scenario.classes[first.cls].effect == "keyed"
-        work = first.work_ms + (spec.handshake_ms if sent.fresh else 0.0)
-        key = f"{first.index:016x}" if keyed else ""
-        return Job(sent.rid, work, sent.expires_ms, key, self._windows[first.cls] if keyed else 0.0)
-
-    def change(self, change: FaultEvent) -> None:
-        """Carry out what the fault plan says of servers and the ways to them."""
-        if change.kind == "answers_lost":
-            self._lost = change.size
-        elif change.kind in ("zone_cut", "zone_joined"):
-            for host in self.all.values():
-                inside = host.spec.zone == change.target
-                apart = frozenset(n for n, z in self._zones.items() if (z == change.target) != inside)
-                host.cut = apart if change.kind == "zone_cut" else frozenset()
-        elif change.target in self.all:
-            self._change_host(self.all[change.target], change)
-
-    def _change_host(self, host: Host, change: FaultEvent) -> None:
-        match change.kind:
+        """Return the actual units of a request."""
+        return float(self.world.tries[int(rid[:8], 16)].units)
+
+    def draw_answer_loss(self) -> bool:
+        """Draw whether the connection is lost before this answer arrives."""
+        return self._loss_probability > 0 and self._loss_rng.random() < self._loss_probability
+
+    def make_job(self, sent: SentAttempt, spec: ServerSpec) -> Job:
+        """Return the job of a request at a server, with the handshake if the connection is new."""
+        first = self.world.tries[int(sent.rid[:8], 16)]
+        is_keyed = self.world.scenario.classes[first.cls].effect == "keyed"
+        work_ms = first.work_ms + (spec.handshake_ms if sent.is_new_connection else 0.0)
+        key = f"{first.index:016x}" if is_keyed else ""
+        return Job(sent.rid, work_ms, sent.expires_ms, key, self._windows_ms[first.cls] if is_keyed else 0.0)
+
+    def apply(self, event: FaultEvent) -> None:
+        """Apply a fault event to the servers or to the network between gateways and servers."""
+        if event.kind == "answers_lost":
+            self._loss_probability = event.size
+        elif event.kind in ("zone_cut", "zone_joined"):
+            for server in self.all.values():
+                inside = server.spec.zone == event.target
+                other_side = frozenset(
+                    name for name, zone in self._gateway_zones.items() if (zone == event.target) != inside
+                )
+                server.unreachable_from = other_side if event.kind == "zone_cut" else frozenset()
+        elif event.target in self.all:
+            self._apply_to_server(self.all[event.target], event)
+
+    def _apply_to_server(self, server: SimServer, event: FaultEvent) -> None:
+        match event.kind:
             case "server_crash":
-                host.crash("crashed")
+                server.crash("crashed")
             case "server_stop":
-                host.crash("stopped")
+                server.crash("stopped")
             case "server_start":
-                host.start(cold=True)
+                server.start(cold=True)
             case "server_silent":
-                host.vanish()
-            case "server_drain" if host.model is not None:
-                host.model.draining = True
-                self.write(r.ServerIs(self.clock.now, host.spec.name, "draining"))
-            case "server_fails" if host.model is not None:
-                host.model.fails = change.size
-            case "server_slow" if host.model is not None:
-                host.model.slow = change.size
-
-
-class CounterHost:
-    """The quota counter, in the first zone."""
-
-    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
-        figures, rng = drawn.scenario.counter, drawn.random_streams.stream("counter")
-        self._drawn, self._clock, self._write = drawn, clock, write
-        self._zone = drawn.scenario.fleet.zones[0]
+                server.vanish()
+            case "server_drain" if server.model is not None:
+                server.model.draining = True
+                self.write(r.ServerIs(self.clock.now, server.spec.name, "draining"))
+            case "server_fails" if server.model is not None:
+                server.model.fails = event.size
+            case "server_slow" if server.model is not None:
+                server.model.slow = event.size
+
+
+class SimCounter:
+    """The quota counter, which runs in the first zone."""
+
+    def __init__(self, world: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
+        figures, rng = world.scenario.counter, world.random_streams.stream("counter")
+        self._world, self._clock, self._write = world, clock, write
+        self._zone = world.scenario.fleet.zones[0]
         self.model = Counter(
             draw_between(rng, figures.calls_per_s),
             figures.parts,
             draw_between(rng, figures.call_ms),
             figures.queue_ms,
         )
-        self._cut: frozenset[str] = frozenset()
+        self._unreachable_from: frozenset[str] = frozenset()
 
     def call(
-        self, gateway: str, name: str, amount: float, keep_ms: float, told: Callable[[float | None], None]
+        self, gateway: str, name: str, amount: float, ttl_ms: float, on_total: Callable[[float | None], None]
     ) -> bool:
-        """One call; `told` of its total, or None where it was turned away. False: nobody hears it."""
+        """Add to a total; `on_total` gets it, or None if the queue was full. False: no answer will come."""
         now = self._clock.now
-        if gateway in self._cut:
+        if gateway in self._unreachable_from:
             return False
-        counted = self.model.add(now, name, amount, keep_ms)
+        counted = self.model.add(now, name, amount, ttl_ms)
         result = "silent" if counted is None else "full" if counted.total is None else "ok"
         self._write(r.Counted(now, gateway, result))
         if counted is None:
             return False
-        self._clock.at(counted.at_ms + HOP_MS, told, counted.total)
+        self._clock.at(counted.at_ms + HOP_MS, on_total, counted.total)
         return True
 
-    def change(self, change: FaultEvent) -> None:
-        """What the fault plan says of it."""
-        if change.kind == "counter_down":
+    def apply(self, event: FaultEvent) -> None:
+        """Apply a fault event to the counter or to the network between it and the gateways."""
+        if event.kind == "counter_down":
             self.model.fail()
-        elif change.kind == "counter_up":
+        elif event.kind == "counter_up":
             self.model.recover(self._clock.now)
-        elif change.kind == "zone_cut":
-            here = self._zone == change.target
-            gateways = self._drawn.gateways
-            self._cut = frozenset(g.name for g in gateways if (g.zone == change.target) != here)
-        elif change.kind == "zone_joined":
-            self._cut = frozenset()
+        elif event.kind == "zone_cut":
+            counter_inside = self._zone == event.target
+            gateways = self._world.gateways
+            self._unreachable_from = frozenset(
+                gateway.name for gateway in gateways if (gateway.zone == event.target) != counter_inside
+            )
+        elif event.kind == "zone_joined":
+            self._unreachable_from = frozenset()
 
 
-class AgentHost:
-    """One gateway's agent."""
+class SimAgent:
+    """The discovery agent of one gateway."""
 
     def __init__(self, agent: Agent, clock: Clock, write: Callable[[r.Record], None]) -> None:
         self.agent, self._clock, self._write = agent, clock, write
-        self.news: Callable[[], None] | None = None  # a watch that waits
-        self._told: set[tuple[str, str, float]] = set()
-        self._missed: list[Entry] | None = None
+        self.on_change: Callable[[], None] | None = None  # called after a change, while the gateway runs
+        self._reported: set[tuple[str, str, float]] = set()
+        self._held_back: list[Entry] | None = None
 
     def learn(self, entry: Entry) -> None:
-        """News has reached the agent."""
-        if self._missed is not None:
-            self._missed.append(entry)
+        """Apply a change that has reached the agent, and notify the gateway."""
+        if self._held_back is not None:
+            self._held_back.append(entry)
         elif self.agent.learn(entry):
-            self._clock.after(TOLD_MS, self._count_as_told, entry)
-            if self.news is not None:
-                self.news()
-
-    def silence(self, down: bool) -> None:
-        """While discovery is down the agent says nothing and hears nothing; then it hears all at once."""
-        if down and self._missed is None:
-            self._missed = []
-        elif not down and self._missed is not None:
-            missed, self._missed = self._missed, None
-            for entry in missed:
+            self._clock.after(REPORTED_AFTER_MS, self._count_as_reported, entry)
+            if self.on_change is not None:
+                self.on_change()
+
+    def set_discovery_down(self, is_down: bool) -> None:
+        """Begin or end an outage of discovery, in which the agent holds back changes and does not answer."""
+        if is_down and self._held_back is None:
+            self._held_back = []
+        elif not is_down and self._held_back is not None:
+            held_back, self._held_back = self._held_back, None
+            for entry in held_back:
                 self.learn(entry)
-            if self.news is not None:
-                self.news()
+            if self.on_change is not None:
+                self.on_change()
 
     def listing(self, after: int | None) -> dict[str, object] | None:
-        """What is told to one who knows the list up to a generation; None while discovery is down."""
-        if self._missed is not None:
+        """Return the changes after a generation, or the full list; None while discovery is down."""
+        if self._held_back is not None:
             return None
-        news = self.agent.changes_since(after)
-        self._tell(list(self.agent.entries.values()) if news is None else news)
+        changes = self.agent.changes_since(after)
+        self._record_reported(list(self.agent.entries.values()) if changes is None else changes)
         return self.agent.listing(after)
 
-    def _count_as_told(self, entry: Entry) -> None:
+    def _count_as_reported(self, entry: Entry) -> None:
         if self.agent.entries[entry.server.name] == entry:
-            self._tell([entry])
+            self._record_reported([entry])
 
-    def _tell(self, entries: list[Entry]) -> None:
+    def _record_reported(self, entries: list[Entry]) -> None:
         for entry in entries:
             key = (entry.server.name, entry.lifecycle, entry.started_at_ms)
-            if key not in self._told:
-                self._told.add(key)
+            if key not in self._reported:
+                self._reported.add(key)
                 self._write(r.Told(self._clock.now, self.agent.gateway, *key))
 
 
-class Agents:
-    """All agents, and when each learns of what happens to a server."""
+class SimAgents:
+    """All agents; schedules when each learns of a change of a server."""
 
-    KINDS = {
+    CHANGE_KINDS = {
         "server_crash": ("gone", GONE),
         "server_stop": ("gone", GONE),
         "server_silent": ("silent", GONE),
@@ -336,39 +350,39 @@
         "server_start": ("start", READY),
     }
 
-    def __init__(self, drawn: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
+    def __init__(self, world: GeneratedWorld, clock: Clock, write: Callable[[r.Record], None]) -> None:
         self._clock = clock
-        self._directory = Directory(drawn.scenario.listing, drawn.random_streams.stream("directory"))
-        self._specs = {server.name: server for server in drawn.servers}
-        self._started: dict[str, float] = {}
-        addresses = {server.name: f"sim:{1 + i}" for i, server in enumerate(drawn.servers)}
-        self.all = {g.name: self._agent(g, addresses, drawn, write) for g in drawn.gateways}
+        self._directory = Directory(world.scenario.listing, world.random_streams.stream("directory"))
+        self._specs = {server.name: server for server in world.servers}
+        self._started_at_ms: dict[str, float] = {}
+        addresses = {server.name: f"sim:{1 + i}" for i, server in enumerate(world.servers)}
+        self.all = {gateway.name: self._agent(gateway, addresses, world, write) for gateway in world.gateways}
 
     def _agent(
         self,
         gateway: GatewaySpec,
         addresses: dict[str, str],
-        drawn: GeneratedWorld,
+        world: GeneratedWorld,
         write: Callable[[r.Record], None],
-    ) -> AgentHost:
+    ) -> SimAgent:
         agent = Agent(gateway.name, addresses)
-        for server in drawn.servers:
+        for server in world.servers:
             if server.at_start:
                 agent.learn(Entry(server, READY, 0.0))
-        return AgentHost(agent, self._clock, write)
+        return SimAgent(agent, self._clock, write)
 
-    def change(self, change: FaultEvent) -> None:
-        """What the fault plan says of the list."""
-        if change.kind == "list_late":
-            self._directory.late = change.size
-        elif change.kind in ("list_down", "list_up"):
+    def apply(self, event: FaultEvent) -> None:
+        """Apply a fault event to the list of servers or to discovery."""
+        if event.kind == "list_late":
+            self._directory.late = event.size
+        elif event.kind in ("list_down", "list_up"):
             for agent in self.all.values():
-                agent.silence(change.kind == "list_down")
-        elif change.kind in self.KINDS:
-            what, lifecycle = self.KINDS[change.kind]
+                agent.set_discovery_down(event.kind == "list_down")
+        elif event.kind in self.CHANGE_KINDS:
+            change_kind, lifecycle = self.CHANGE_KINDS[event.kind]
             if lifecycle == READY:
-                self._started[change.target] = round(UNIX_MS + self._clock.now, 3)
-            entry = Entry(self._specs[change.target], lifecycle, self._started.get(change.target, 0.0))
-            times = self._directory.arrivals(self._clock.now, what, len(self.all))
-            for agent, at in zip(self.all.values(), times, strict=True):
-                self._clock.at(at, agent.learn, entry)
+                self._started_at_ms[event.target] = round(LOAD_START_UNIX_MS + self._clock.now, 3)
+            entry = Entry(self._specs[event.target], lifecycle, self._started_at_ms.get(event.target, 0.0))
+            times = self._directory.arrivals(self._clock.now, change_kind, len(self.all))
+            for agent, at_ms in zip(self.all.values(), times, strict=True):
+                self._clock.at(at_ms, agent.learn, entry)
--- a/plumwall/simulate/run.py
+++ b/plumwall/simulate/run.py
@@ -1,4 +1,4 @@
-"""A scenario played under virtual time, judged and kept as a run on sockets is."""
+"""Runs a scenario in virtual time, and judges and stores it as a run on sockets."""
 
 from __future__ import annotations
 
@@ -13,107 +13,111 @@
 from plumwall import scenario as scenarios
 from plumwall.emulator.run import RunOutcome
 from plumwall.judge import Judge
-from plumwall.simulate.clients import Front
+from plumwall.simulate.clients import SimClients
 from plumwall.simulate.clock import Clock
 from plumwall.simulate.gateway import SimGateway
-from plumwall.simulate.hosts import Agents, CounterHost, Hosts
+from plumwall.simulate.hosts import SimAgents, SimCounter, SimServers
 from plumwall.world.generator import FaultEvent, GeneratedWorld
 from yewstage import interface as api
 from yewstage.policy import Gateway
 
-SECOND_MS = 1000.0
-LAST_MS = 15_000.0  # beyond the load and the longest deadline
+SAMPLE_INTERVAL_MS = 1000.0
+MAX_TAIL_MS = 15_000.0  # upper bound of the time after the load and the longest deadline
 
 
 class UnplayableError(ValueError):
-    """A scenario that has a part which is not simulated; the text says which."""
+    """A scenario with a part that is not simulated; the message names its field."""
 
 
 class Simulation:
-    """One play."""
+    """One run of a scenario with a seed in virtual time."""
 
     def __init__(
         self,
         scenario: scenarios.Scenario,
         seed: int,
-        say: Callable[[str], None] = lambda text: None,
-        make: Callable[[api.Settings, int], Gateway] = Gateway,
+        report_progress: Callable[[str], None] = lambda text: None,
+        make_module: Callable[[api.Settings, int], Gateway] = Gateway,
     ) -> None:
-        """`make` makes a gateway's module: another one to be compared, or the one in service."""
+        """`make_module` makes the decision module of a gateway: the real one or one to compare with it."""
         if scenario.listing.source != "agent":
             raise UnplayableError(
-                f"listing.source: {scenario.listing.source!r} is processes: plumwall up plays them"
+                f"listing.source: {scenario.listing.source!r} needs processes: use plumwall up"
             )
-        self.scenario, self.seed, self._say = scenario, seed, say
-        self.drawn = GeneratedWorld(scenario, seed)
+        self.scenario, self.seed, self._report_progress = scenario, seed, report_progress
+        self.world = GeneratedWorld(scenario, seed)
         self.clock = Clock()
         self.records: list[r.Record] = []
         write = self.records.append
-        self._hosts = Hosts(self.drawn, self.clock, write)
-        self._counter = CounterHost(self.drawn, self.clock, write)
-        self._agents = Agents(self.drawn, self.clock, write)
+        self._servers = SimServers(self.world, self.clock, write)
+        self._counter = SimCounter(self.world, self.clock, write)
+        self._agents = SimAgents(self.world, self.clock, write)
         self.gateways = {
             spec.name: SimGateway(
                 spec,
-                self.drawn,
+                self.world,
                 self.clock,
-                self._hosts,
+                self._servers,
                 self._counter,
                 self._agents.all[spec.name],
                 write,
-                make,
+                make_module,
             )
-            for spec in self.drawn.gateways
+            for spec in self.world.gateways
         }
-        overdue = scenario.rules.overdue_ms + scenario.rules.socket_ms
-        self._front = Front(self.drawn, self.clock, write, self.gateways, overdue)
+        overdue_ms = scenario.rules.overdue_ms + scenario.rules.socket_ms
+        self._clients = SimClients(self.world, self.clock, write, self.gateways, overdue_ms)
 
     def play(self) -> None:
-        """All of it."""
-        self._hosts.begin()
+        """Run to the end of the last try, or to the upper bound of time."""
+        self._servers.start_initial()
         for gateway in self.gateways.values():
-            gateway.start(at_once=True)
-        self._front.begin()
-        for change in self.drawn.changes:
-            self.clock.at(change.at_ms, self._change, change)
-        self.clock.after(SECOND_MS, self._look, time.monotonic())
-        longest = max(c.deadline_ms for c in self.scenario.classes)
-        self.clock.run(self.scenario.length_s * 1000 + longest + LAST_MS, lambda: not self._front.left)
+            gateway.start(immediately=True)
+        self._clients.start()
+        for event in self.world.changes:
+            self.clock.at(event.at_ms, self._apply, event)
+        self.clock.after(SAMPLE_INTERVAL_MS, self._sample, time.monotonic())
+        max_deadline_ms = max(cls.deadline_ms for cls in self.scenario.classes)
+        self.clock.run(
+            self.scenario.length_s * 1000 + max_deadline_ms + MAX_TAIL_MS, lambda: not self._clients.remaining
+        )
         self.records += [gateway.figures() for gateway in self.gateways.values()]
 
-    def _look(self, began: float) -> None:
-        took = time.monotonic() - began
-        self._say(f"{self.clock.now / 1000:.0f} s of {self.scenario.length_s:g} played in {took:.0f} s")
+    def _sample(self, started_s: float) -> None:
+        took_s = time.monotonic() - started_s
+        self._report_progress(
+            f"{self.clock.now / 1000:.0f} s of {self.scenario.length_s:g} played in {took_s:.0f} s"
+        )
         self.records += [gateway.figures() for gateway in self.gateways.values()]
-        self.clock.after(SECOND_MS, self._look, began)
+        self.clock.after(SAMPLE_INTERVAL_MS, self._sample, started_s)
 
-    def _change(self, change: FaultEvent) -> None:
-        self.records.append(r.Fault(self.clock.now, change.kind, change.target, change.size))
-        for part in (self._hosts, self._counter, self._agents, self._front):
-            part.change(change)
-        gateway = self.gateways.get(change.target)
+    def _apply(self, event: FaultEvent) -> None:
+        self.records.append(r.Fault(self.clock.now, event.kind, event.target, event.size))
+        for part in (self._servers, self._counter, self._agents, self._clients):
+            part.apply(event)
+        gateway = self.gateways.get(event.target)
         if gateway is None:
             return
-        if change.kind == "gateway_kill":
+        if event.kind == "gateway_kill":
             gateway.kill()
-        elif change.kind == "gateway_start" and not gateway.up:
+        elif event.kind == "gateway_start" and not gateway.is_up:
             gateway.start()
-        elif change.kind == "gateway_restart" and gateway.up:
+        elif event.kind == "gateway_restart" and gateway.is_up:
             gateway.restart()
 
     def outcome(self, folder: Path) -> RunOutcome:
-        """Judged; records and outcome are kept in a folder, the same bytes for the same seed."""
+        """Judge the run and write its files to a folder; they are the same bytes for the same seed."""
         folder.mkdir(parents=True, exist_ok=True)
-        self._say("judging the run")
+        self._report_progress("judging the run")
         self.records.sort(key=lambda record: record.at)
-        verdict = Judge(self.drawn, self.records).verdict()
+        verdict = Judge(self.world, self.records).verdict()
         with (folder / "run.jsonl").open("wb") as file:
             writer = r.Writer(file)
             for record in self.records:
                 writer.write(record)
             writer.flush()
-        tally = self._front.tally
-        seconds = max(tally.last_offered_ms / 1000, 1e-3)
+        tally = self._clients.tally
+        duration_s = max(tally.last_offered_ms / 1000, 1e-3)
         reasons: Counter[str] = Counter()
         for gateway in self.gateways.values():
             reasons.update(gateway.refusals)
@@ -123,14 +127,14 @@
             "",
             0.0,
             tally.offered_count,
-            tally.offered_count / seconds,
+            tally.offered_count / duration_s,
             *tally.most_in_a_second(),
             dict(reasons.most_common()),
             {name: round(gateway.busy_ms / 1000, 6) for name, gateway in self.gateways.items()},
             {},
             str(folder),
         )
-        kept = msgspec.structs.replace(outcome, folder="")
+        stored = msgspec.structs.replace(outcome, folder="")
         (folder / "scenario.json").write_text(scenarios.encode(self.scenario), encoding="utf-8")
-        (folder / "outcome.json").write_bytes(msgspec.json.format(msgspec.json.encode(kept), indent=1))
+        (folder / "outcome.json").write_bytes(msgspec.json.format(msgspec.json.encode(stored), indent=1))
         return outcome
