--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The model of the world: servers, counter, lists, each by what it promises."""
+"""Tests of the model of servers, quota counter, lists of servers, token buckets and fault plans."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from plumwall.world.directory import DRAINING, GONE, READY, Agent, Entry
 from plumwall.world.generator import GeneratedWorld, ServerSpec
 from plumwall.world.quota import TokenBucket
-from plumwall.world.server import DRAINING as TURNED_AWAY
+from plumwall.world.server import DRAINING as REJECTED_AS_DRAINING
 from plumwall.world.server import EXPIRED, FULL, SERVED, DeduplicationGroup, Job, Server
 
 SPEC = ServerSpec(
@@ -42,11 +42,11 @@
 
 
 def server(
-    cold: bool = False, now: float = 0.0, pod: DeduplicationGroup | None = None, **changes: object
+    cold: bool = False, now: float = 0.0, group: DeduplicationGroup | None = None, **changes: object
 ) -> Server:
     return Server(
         msgspec.structs.replace(SPEC, **changes),
-        pod or DeduplicationGroup(),
+        group or DeduplicationGroup(),
         np.random.default_rng(1),
         now,
         cold,
@@ -57,60 +57,60 @@
     return Job(name, work, expires, key, 4000.0 if key else 0.0)
 
 
-def ends(one: Server, until: float) -> dict[str, tuple[float, str]]:
-    """When each request ended, and how."""
-    told = {}
-    while one.due() <= until:
-        now = one.due()
-        for done in one.advance(now):
-            told[done.id] = round(now, 3), done.result
-    return told
+def run_until(server_: Server, until: float) -> dict[str, tuple[float, str]]:
+    """Advance the server to `until`; return by request the time and the result of its end."""
+    results = {}
+    while server_.due() <= until:
+        now = server_.due()
+        for job_ in server_.advance(now):
+            results[job_.id] = round(now, 3), job_.result
+    return results
 
 
-def test_requests_beyond_the_cores_share_them_and_beyond_the_slots_wait() -> None:
+def test_requests_share_the_cores_and_wait_when_all_slots_are_taken() -> None:
     one = server()
     assert one.offer(0, job("a")) == one.offer(0, job("b")) == SERVED
-    assert ends(one, 1000) == {"a": (100, SERVED), "b": (100, SERVED)}
+    assert run_until(one, 1000) == {"a": (100, SERVED), "b": (100, SERVED)}
     one = server()
     for name in "abcd":
         assert one.offer(0, job(name)) == SERVED
-    assert one.offer(0, job("e")) == SERVED  # waits for a slot
-    told = ends(one, 1000)
-    assert told["a"][0] == 200 and told["e"][0] == 300
+    assert one.offer(0, job("e")) == SERVED  # queued until a slot is free
+    results = run_until(one, 1000)
+    assert results["a"][0] == 200 and results["e"][0] == 300
 
 
-def test_what_has_ended_when_another_request_comes_is_told_all_the_same() -> None:
+def test_a_request_that_ends_as_another_arrives_is_returned_by_the_next_advance() -> None:
     one = server()
     one.offer(0, job("a", 10))
-    one.offer(10, job("b", 10))  # a's last moment
+    one.offer(10, job("b", 10))  # at the time at which a ends
     assert one.due() == 10 and [done.id for done in one.advance(10)] == ["a"]
     assert [done.id for done in one.advance(20)] == ["b"]
 
 
-def test_a_full_server_turns_away_and_a_draining_one_finishes_what_it_holds() -> None:
+def test_a_full_server_rejects_requests_and_a_draining_one_finishes_those_it_holds() -> None:
     one = server()
     assert [one.offer(0, job(str(i))) for i in range(9)] == [SERVED] * 8 + [FULL]
     one.draining = True
-    assert one.offer(1, job("late")) == TURNED_AWAY
-    assert len(ends(one, 10_000)) == 8
+    assert one.offer(1, job("late")) == REJECTED_AS_DRAINING
+    assert len(run_until(one, 10_000)) == 8
 
 
-def test_who_waited_past_its_time_is_never_begun() -> None:
+def test_a_queued_request_past_its_deadline_is_not_started() -> None:
     one = server(slots=1)
     one.offer(0, job("a"))
     one.offer(0, job("b", expires=50))
-    told = ends(one, 1000)
-    assert told["b"] == (told["a"][0], EXPIRED)
+    results = run_until(one, 1000)
+    assert results["b"] == (results["a"][0], EXPIRED)
 
 
-def test_a_repeat_of_a_key_is_answered_by_its_pod_without_the_work() -> None:
-    pod = DeduplicationGroup()
-    one, other = server(pod=pod), server(pod=pod, name="t")
+def test_a_repeat_of_a_key_is_answered_by_its_group_without_the_work() -> None:
+    group = DeduplicationGroup()
+    one, other = server(group=group), server(group=group, name="t")
     one.offer(0, job("a", key="k"))
     other.offer(10, job("b", key="k"))
-    assert ends(other, 1000)["b"][0] <= 12
-    other.offer(5000, job("c", key="k"))  # forgotten by now
-    assert ends(other, 6000)["c"][0] == 5100
+    assert run_until(other, 1000)["b"][0] <= 12
+    other.offer(5000, job("c", key="k"))  # after the window of the key
+    assert run_until(other, 6000)["c"][0] == 5100
 
 
 @given(st.lists(st.tuples(st.floats(0, 5000), st.floats(1, 400)), min_size=1, max_size=40))
@@ -139,36 +139,38 @@
     assert busy.warmth(5000) > 0.625
 
 
-def test_a_cold_server_falls_over_under_three_times_what_it_can_do_and_not_under_twice() -> None:
-    def pushed(times: float) -> bool:
+def test_a_cold_server_collapses_under_four_times_its_capacity_but_not_under_twice() -> None:
+    def collapses_under(multiple: float) -> bool:
         one, at = server(cold=True, queue=10_000), 0.0
         while at < 3000:
             one.offer(at, job(str(at), 20))
-            at += 20 / (times * one.capacity(at))
+            at += 20 / (multiple * one.capacity(at))
         return one.has_collapsed
 
-    assert pushed(4.0) and not pushed(2.0)
+    assert collapses_under(4.0) and not collapses_under(2.0)
     warm = server(queue=10_000)
     for i in range(1000):
         warm.offer(i, job(str(i), 100))
     assert not warm.has_collapsed
 
 
-def test_a_report_is_as_old_as_its_period_and_delay() -> None:
+def test_a_load_report_is_as_old_as_its_period_and_delay() -> None:
     one = server(report_period_ms=100, report_delay_ms=50)
     one.report(200)
     for i in range(4):
         one.offer(210, job(str(i), 1000))
     assert one.report(290)["inflight"] == 0
-    one.report(301)  # made now, told 50 ms later
+    one.report(301)  # measured now, visible 50 ms later
     assert one.report(320)["inflight"] == 0 and one.report(352)["inflight"] == 4
 
 
-def test_the_counter_serves_in_turn_turns_away_and_forgets() -> None:
+def test_the_counter_serves_in_order_rejects_when_full_and_expires_totals() -> None:
     counter = Counter(calls_per_s=100, partitions=1, call_ms=1, queue_ms=50)
-    told = [counter.add(0, "n", 1, 1000) for _ in range(8)]
-    assert [t.total for t in told[:6]] == [1, 2, 3, 4, 5, 6] and told[6].total is told[7].total is None
-    assert [t.at_ms for t in told[:3]] == [11, 21, 31]
+    results = [counter.add(0, "n", 1, 1000) for _ in range(8)]
+    assert [t.total for t in results[:6]] == [1, 2, 3, 4, 5, 6] and results[6].total is results[
+        7
+    ].total is None
+    assert [t.at_ms for t in results[:3]] == [11, 21, 31]
     assert counter.add(500, "n", 1, 1000).total == 7 and counter.add(1001, "n", 1, 1000).total == 1
     counter.fail()
     assert counter.add(1100, "n", 1, 1000) is None
@@ -180,15 +182,16 @@
     return Entry(SPEC, lifecycle, started)
 
 
-def test_an_agent_keeps_to_the_later_life_however_news_arrives() -> None:
+def test_an_agent_keeps_the_latest_incarnation_when_changes_arrive_out_of_order() -> None:
     agent = Agent("n0", {"s": "127.0.0.1:1"})
     assert agent.learn(entry(READY)) and agent.generation == 2
-    assert agent.learn(entry(GONE)) and not agent.learn(entry(DRAINING))  # late word of the same life
-    assert agent.learn(entry(READY, 5.0)) and not agent.learn(entry(GONE))  # late word of the life before
+    # A late change of the same incarnation is ignored, and so is one of the previous incarnation.
+    assert agent.learn(entry(GONE)) and not agent.learn(entry(DRAINING))
+    assert agent.learn(entry(READY, 5.0)) and not agent.learn(entry(GONE))
     assert [row["lifecycle"] for row in agent.listing()["instances"]] == [READY]
     changes = agent.listing(2)
     assert not changes["reset"] and [row["lifecycle"] for row in changes["instances"]] == [GONE, READY]
-    assert agent.listing(99)["reset"]  # a generation that it never told
+    assert agent.listing(99)["reset"]  # a generation that the agent never had
 
 
 @given(st.permutations([(READY, 0.0), (DRAINING, 0.0), (GONE, 0.0), (READY, 9.0), (DRAINING, 9.0)]))
@@ -199,27 +202,27 @@
     assert agent.entries["s"] == entry(DRAINING, 9.0)
 
 
-def test_a_store_fills_to_its_size_and_may_be_settled_below_nothing() -> None:
-    store = TokenBucket.full(2, 10)
-    assert store.take(0, 10) and not store.take(400, 1) and store.take(500, 1)
-    store.adjust(500, 4)
-    assert store.refill(500) == -4 and store.refill(60_000) == 10
-    assert dataclasses.replace(store).units == 10
+def test_a_token_bucket_fills_to_its_size_and_may_be_adjusted_below_zero() -> None:
+    bucket = TokenBucket.full(2, 10)
+    assert bucket.take(0, 10) and not bucket.take(400, 1) and bucket.take(500, 1)
+    bucket.adjust(500, 4)
+    assert bucket.refill(500) == -4 and bucket.refill(60_000) == 10
+    assert dataclasses.replace(bucket).units == 10
 
 
-def test_faults_strike_what_they_name() -> None:
-    made = scenarios.decode(
+def test_fault_events_affect_the_targets_that_the_fault_names() -> None:
+    scenario = scenarios.decode(
         "name = 'q'\n[servers]\ncount = 8\n[[faults]]\nkind = 'zone_lost'\nzone = 'hall-a'\n"
         "at_s = 5\nfor_s = 2\n[[faults]]\nkind = 'release'\npart = 0.5\nat_s = 10\nfor_s = 4"
     )
-    day = GeneratedWorld(made, 1)
-    lost = {c.target for c in day.changes if c.kind == "server_silent"}
-    assert lost == {s.name for s in day.servers if s.zone == "hall-a" and s.at_start}
-    assert {c.kind for c in day.changes if c.at_ms == 5000} == {
+    world = GeneratedWorld(scenario, 1)
+    lost = {event.target for event in world.changes if event.kind == "server_silent"}
+    assert lost == {spec.name for spec in world.servers if spec.zone == "hall-a" and spec.at_start}
+    assert {event.kind for event in world.changes if event.at_ms == 5000} == {
         "server_silent",
         "gateway_kill",
         "counter_down",
     }
-    new = {s.name for s in day.servers if not s.at_start}
-    assert len(new) == 4 == len([c for c in day.changes if c.kind == "server_drain"])
-    assert new <= {c.target for c in day.changes if c.kind == "server_start"}
+    new = {spec.name for spec in world.servers if not spec.at_start}
+    assert len(new) == 4 == len([event for event in world.changes if event.kind == "server_drain"])
+    assert new <= {event.target for event in world.changes if event.kind == "server_start"}
