--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -94,7 +94,7 @@
         self.owner, self.request, self.number, self.pool = owner, request, number, pool
         self.gateway, self.rid = owner.spec.name, request.rid
         self.expires_ms, self.sent_at_ms = now + max(wait_ms, 1.0), now
-        self.start_by_ms = now + start_ms  # after this it may no longer start
+        self.start_by_ms = now + start_ms  # the attempt must not start later
         self.is_connected = self.is_new_connection = self.is_done = False
         self.timeout_timer = owner.clock.after(wait_ms + TIMEOUT_GRACE_MS, self._on_timeout)
         self.wait_timer: Timer | None = None
@@ -177,9 +177,8 @@
 
     def __init__(self, server: SimServer, owner: SimGateway) -> None:
         self.server, self.owner = server, owner
-        self.idle_until_ms: deque[float] = (
-            deque()
-        )  # expiry time of each idle connection, the most recently used last
+        # Expiry time of each idle connection, the most recently used last.
+        self.idle_until_ms: deque[float] = deque()
         self.open_count = self.dial_count = 0
         self.waiting: deque[Attempt] = deque()
         self.is_draining = False
--- a/plumwall/simulate/hosts.py
+++ b/plumwall/simulate/hosts.py
@@ -47,7 +47,7 @@
         self.spec, self._deduplication, self._servers, self._rng = spec, deduplication, servers, rng
         self._clock = servers.clock
         self.model: Server | None = None
-        self.silent = False  # the machine is lost: nothing is answered or reset
+        self.is_silent = False  # the machine is lost: nothing is answered or reset
         self.unreachable_from: frozenset[str] = frozenset()  # names of gateways cut off from it
         self.connections = 0
         self._open: dict[SentAttempt, Job] = {}
@@ -55,7 +55,7 @@
 
     def reachable(self, gateway: str) -> bool | None:
         """Return whether a dial succeeds (True), is refused (False) or gets no answer (None)."""
-        if self.silent or gateway in self.unreachable_from:
+        if self.is_silent or gateway in self.unreachable_from:
             return None
         return self.model is not None
 
@@ -67,7 +67,7 @@
         self.model = Server(
             self.spec, self._deduplication, self._rng, now, cold, rules.fall_multiple, rules.fall_ms
         )
-        self.silent = False
+        self.is_silent = False
         if cold:
             self._servers.write(r.ServerIs(now, self.spec.name, "started"))
 
@@ -78,7 +78,7 @@
 
     def vanish(self) -> None:
         """Lose the machine: connections stay open but silent."""
-        self.silent = True
+        self.is_silent = True
         self._end("silent")
         self._servers.write(r.ServerIs(self._clock.now, self.spec.name, "silent"))
 
@@ -87,27 +87,27 @@
         if self._timer is not None:
             self._timer.cancel()
         open_attempts, self._open = self._open, {}
-        for sent, job in open_attempts.items():
-            self._record_end(sent, job, result, False)
+        for attempt, job in open_attempts.items():
+            self._record_end(attempt, job, result, False)
             if result == "reset":
-                sent.on_connection_lost()
+                attempt.on_connection_lost()
 
     # --- Requests -----------------------------------------------------------------------------------------
 
-    def receive(self, sent: SentAttempt) -> None:
+    def receive(self, attempt: SentAttempt) -> None:
         """Receive a complete request, unless the network drops it."""
-        if self.silent or sent.gateway in self.unreachable_from:
+        if self.is_silent or attempt.gateway in self.unreachable_from:
             return  # dropped by the network: the sender gets no answer
         now, model = self._clock.now, self.model
         if model is None:
-            sent.on_connection_lost()
+            attempt.on_connection_lost()
             return
-        job = self._servers.make_job(sent, self.spec)
+        job = self._servers.make_job(attempt, self.spec)
         self._servers.write(
-            r.Arrived(now, sent.rid, self.spec.name, sent.gateway, now, round(job.work_ms, 3))
+            r.Arrived(now, attempt.rid, self.spec.name, attempt.gateway, now, round(job.work_ms, 3))
         )
-        self._open[sent] = job
-        job.done = sent
+        self._open[attempt] = job
+        job.done = attempt
         was_standing = not model.has_collapsed
         result = "full" if self.connections > self.spec.connections else model.offer(now, job)
         if model.has_collapsed and was_standing:
@@ -117,11 +117,11 @@
             self._finish(job)
         self._schedule()
 
-    def on_closed(self, sent: SentAttempt) -> None:
+    def on_closed(self, attempt: SentAttempt) -> None:
         """Handle a connection closed by the gateway: the work continues, the answer is dropped."""
-        job = self._open.pop(sent, None)
+        job = self._open.pop(attempt, None)
         if job is not None:
-            self._record_end(sent, job, "closed", False)
+            self._record_end(attempt, job, "closed", False)
 
     def _schedule(self) -> None:
         if self._timer is not None:
@@ -142,23 +142,23 @@
             self._clock.after(self._servers.round_trip_ms(job.done.gateway, self.spec), self._deliver, job)
 
     def _deliver(self, job: Job) -> None:
-        sent = job.done
-        if sent not in self._open or sent.gateway in self.unreachable_from:
+        attempt = job.done
+        if attempt not in self._open or attempt.gateway in self.unreachable_from:
             return
-        del self._open[sent]
+        del self._open[attempt]
         if self._servers.draw_answer_loss():
-            self._record_end(sent, job, "reset", False)
-            sent.on_connection_lost()
+            self._record_end(attempt, job, "reset", False)
+            attempt.on_connection_lost()
             return
-        self._record_end(sent, job, job.result, True)
+        self._record_end(attempt, job, job.result, True)
         report = self.model.report(self._clock.now) if self.model is not None else {}
         units = self._servers.units(job.id) if job.result == SERVED else 0.0
-        sent.on_reply(job.result if job.result in (SERVED, ERROR) else "never", units, report)
+        attempt.on_reply(job.result if job.result in (SERVED, ERROR) else "never", units, report)
 
-    def _record_end(self, sent: SentAttempt, job: Job, result: str, was_delivered: bool) -> None:
+    def _record_end(self, attempt: SentAttempt, job: Job, result: str, was_delivered: bool) -> None:
         now = self._clock.now
         self._servers.write(
-            r.Ended(now, job.id, self.spec.name, sent.gateway, result, job.begun, was_delivered)
+            r.Ended(now, job.id, self.spec.name, attempt.gateway, result, job.begun, was_delivered)
         )
 
 
@@ -203,13 +203,15 @@
         """Draw whether the connection is lost before this answer arrives."""
         return self._loss_probability > 0 and self._loss_rng.random() < self._loss_probability
 
-    def make_job(self, sent: SentAttempt, spec: ServerSpec) -> Job:
+    def make_job(self, attempt: SentAttempt, spec: ServerSpec) -> Job:
         """Return the job of a request at a server, with the handshake if the connection is new."""
-        first = self.world.tries[int(sent.rid[:8], 16)]
+        first = self.world.tries[int(attempt.rid[:8], 16)]
         is_keyed = self.world.scenario.classes[first.cls].effect == "keyed"
-        work_ms = first.work_ms + (spec.handshake_ms if sent.is_new_connection else 0.0)
+        work_ms = first.work_ms + (spec.handshake_ms if attempt.is_new_connection else 0.0)
         key = f"{first.index:016x}" if is_keyed else ""
-        return Job(sent.rid, work_ms, sent.expires_ms, key, self._windows_ms[first.cls] if is_keyed else 0.0)
+        return Job(
+            attempt.rid, work_ms, attempt.expires_ms, key, self._windows_ms[first.cls] if is_keyed else 0.0
+        )
 
     def apply(self, event: FaultEvent) -> None:
         """Apply a fault event to the servers or to the network between gateways and servers."""
--- a/plumwall/world/generator.py
+++ b/plumwall/world/generator.py
@@ -83,8 +83,8 @@
     due_ms: float
     customer: int
     cls: int
-    units: int  # actual units, known after the request is served
-    guess: int  # units that the client declares
+    units: int  # actual units; gateways learn them from the answer
+    guess: int  # units that the client declares in the request
     work_ms: float
     try_ms: float  # timeout of one try
     leaves_ms: float  # the client disconnects after this; 0: never
--- a/plumwall/world/server.py
+++ b/plumwall/world/server.py
@@ -45,7 +45,7 @@
     def __init__(self) -> None:
         self._expires_ms: dict[str, float] = {}
 
-    def repeats(self, key: str, window_ms: float, now: float) -> bool:
+    def is_repeat(self, key: str, window_ms: float, now: float) -> bool:
         """Return whether the key was seen within its window; otherwise record it."""
         if len(self._expires_ms) > 10_000:
             self._expires_ms = {
@@ -119,7 +119,7 @@
         """Return the work it can do per millisecond, without the efficiency loss of crowding."""
         return self.spec.cores * self.spec.speed * self.warmth(now)
 
-    def held(self) -> int:
+    def request_count(self) -> int:
         """Return the number of requests that run or wait."""
         return len(self._running) + len(self._waiting)
 
@@ -178,10 +178,10 @@
 
     def drop_all(self) -> list[Job]:
         """Drop all requests, as when the process ends, and return them, running and waiting."""
-        held = [*self._running, *self._waiting]
+        dropped = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
-        return held
+        return dropped
 
     def report(self, now: float) -> dict[str, float]:
         """Return the load report in effect: measured periodically, visible after a delay, with noise."""
@@ -191,7 +191,7 @@
             noise = 1 + spec.report_noise * self._rng.standard_normal(3)
             measured = (
                 min(1.0, self._busy_ms / span_ms / spec.cores),
-                float(self.held()),
+                float(self.request_count()),
                 float(len(self._waiting)),
             )
             reported = [max(0.0, value * factor) for value, factor in zip(measured, noise, strict=True)]
@@ -224,7 +224,7 @@
     def _rate(self, now: float) -> float:
         """Return the work done per millisecond for each running request; too many held requests reduce it."""
         spec = self.spec
-        excess_per_core = max(0.0, self.held() / spec.cores - spec.thrash_at)
+        excess_per_core = max(0.0, self.request_count() / spec.cores - spec.thrash_at)
         speed = spec.speed * self.warmth(now) / (1 + spec.thrash * excess_per_core) / self.slow
         return speed * min(1.0, spec.cores / len(self._running))
 
@@ -252,7 +252,11 @@
 
     def _start(self, now: float, job: Job) -> None:
         job.begun = True
-        if job.key and job.result == SERVED and self._deduplication.repeats(job.key, job.key_window_ms, now):
+        if (
+            job.key
+            and job.result == SERVED
+            and self._deduplication.is_repeat(job.key, job.key_window_ms, now)
+        ):
             # The work of the key was taken before: only its answer is repeated.
             job.left_ms = min(job.left_ms, TRIVIAL_WORK_MS)
         self._running.append(job)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -133,7 +133,7 @@
     idle, busy = server(cold=True), server(cold=True)
     assert idle.warmth(0) == 0.25 and abs(idle.warmth(5000) - 0.625) < 1e-9 and idle.warmth(10_000) == 1
     for at in range(0, 5000, 100):
-        while busy.held() < 4:
+        while busy.request_count() < 4:
             busy.offer(at, job(str(at), 90))
         busy.advance(at + 99)
     assert busy.warmth(5000) > 0.625
