--- a/plumwall/records.py
+++ b/plumwall/records.py
@@ -1,6 +1,7 @@
-"""What happens in a run, one record for each thing, as JSON lines that several processes may write.
+"""Records of the events of a run, as JSON lines. Each process of a run writes a file of its own.
 
-Times are milliseconds since the load began, by a clock that all processes of a machine share.
+Times are milliseconds since the load began, by the monotonic clock that all processes of a machine share. The
+class names in lower case, the field names and the words in the fields are the format of the file.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 
 
 class Record(Struct, frozen=True, tag_field="t", tag=str.lower, omit_defaults=True):
-    """Anything that happens."""
+    """Base of all records."""
 
     at: float
 
 
 class Asked(Record, frozen=True):
-    """A client's try, its last byte written to a gateway that accepted it."""
+    """A client has written the last byte of a try to a gateway that accepted its connection."""
 
     id: str
-    first: int  # index of its first try in the load
-    number: int  # 0 for a first try
+    first: int  # index in the load of its first try
+    number: int  # 0 for a first try, then counted up by retries
     gateway: str
-    left_ms: float  # what it is given
-    due: float = 0.0  # when it was due; sent later than that is the load tool's fault
-    fresh: bool = False  # the first request on its connection
+    left_ms: float  # time that the client gives it
+    due: float = 0.0  # when it was due; a later send is a delay of the load generator
+    fresh: bool = False  # whether it is the first request on its connection
 
 
-# How a try ended at its client.
+# How a try ended at its client; Answered explains the words.
 WHOLE, TRUNCATED, NOT_SENT, REFUSED, CLOSED, TIMED_OUT, LEFT, SHORT, WRONG, DOUBLE = (
     "whole",
     "cut",
@@ -49,52 +50,50 @@
 class Answered(Record, frozen=True):
     """How a try ended at its client.
 
-    `how`: `whole`, with a status; `refused`, a connection that never came up, so that no gateway took it;
-    `closed` or `cut`, the connection ended with no answer or in the middle of one; `timed_out`, nothing came
-    until long past its time; `left`, the client went away; `wrong`, a 200 whose body no server made;
-    `double`, bytes behind a whole answer.
+    `how` is one of `whole`: a complete answer with a status; `refused`: no connection was established, so no
+    gateway accepted the try; `untold`: its deadline passed before it could be written; `closed`, `cut`: the
+    connection ended without an answer, or in the middle of one; `timed_out`: no answer came until long past
+    its deadline; `left`: the client went away; `wrong`: a 200 with a body that no server sent; `double`: more
+    bytes after a complete answer. `short` is not used.
     """
 
     id: str
     gateway: str
     how: str
     status: int = 0
-    units: int = 0  # as billed
+    units: int = 0  # units that the answer bills
 
 
 class Arrived(Record, frozen=True):
-    """An attempt whose last byte has arrived at a server."""
+    """The last byte of an attempt has arrived at a server."""
 
     id: str
     server: str
     gateway: str
-    began: float  # when its first byte came
+    began: float  # when its first byte arrived
     work_ms: float = 0.0
 
 
 class Ended(Record, frozen=True):
-    """An attempt is over: `result` as the server has it, or `closed` (by the gateway), `reset`, `silent`.
-
-    `told` is whether the answer was written to the gateway.
-    """
+    """An attempt has ended; `result` is the server's, or `closed` (by the gateway), `reset` or `silent`."""
 
     id: str
     server: str
     gateway: str
     result: str
-    began: bool = False  # work was done on it
-    told: bool = False
+    began: bool = False  # whether the server began work on it
+    told: bool = False  # whether the answer was written to the gateway
 
 
 class ServerIs(Record, frozen=True):
-    """A server has become `started` (cold), `draining`, `stopped`, `crashed`, `silent` or `fallen`."""
+    """A server's state is now `started` (cold), `draining`, `stopped`, `crashed`, `silent` or `fallen`."""
 
     server: str
     state: str
 
 
 class Told(Record, frozen=True):
-    """A gateway counts as told of a server's lifecycle."""
+    """From this time on, the judge takes a gateway as informed of a server's lifecycle."""
 
     gateway: str
     server: str
@@ -103,7 +102,7 @@
 
 
 class GatewayIs(Record, frozen=True):
-    """A gateway is `ready`, or was `killed`, `stopping` (SIGTERM), `ended` or `crashed`."""
+    """A gateway's state is now `ready`, `killed`, `stopping` (after SIGTERM), `ended` or `crashed`."""
 
     gateway: str
     state: str
@@ -111,28 +110,28 @@
 
 
 class Dialled(Record, frozen=True):
-    """A connection of a gateway to a server."""
+    """A gateway has opened a connection to a server."""
 
     gateway: str
     server: str
 
 
 class Counted(Record, frozen=True):
-    """A call to the counter: `ok`, `full` or `silent`."""
+    """A gateway has called the quota counter; `result` is `ok`, `full` (turned away) or `silent`."""
 
     gateway: str
     result: str
 
 
 class Probed(Record, frozen=True):
-    """A call for a server's health or load."""
+    """A gateway has asked a server for its health or load."""
 
     gateway: str
     server: str
 
 
 class Figures(Record, frozen=True):
-    """What a gateway said of itself: refusals so far by reason, pressure, the share of new work let in."""
+    """Metrics of a gateway: refusals so far by reason, pressure, share of new work admitted."""
 
     gateway: str
     refusals: dict[str, float]
@@ -141,7 +140,7 @@
 
 
 class Fault(Record, frozen=True):
-    """A change of the fault plan was carried out."""
+    """A change of the fault plan has been made."""
 
     kind: str
     target: str = ""
@@ -149,7 +148,7 @@
 
 
 class Unknown(Record, frozen=True):
-    """A message at a server with an id that no client sent in this form."""
+    """A server has received a message with an id that no client sent in this form."""
 
     server: str
     gateway: str
@@ -175,34 +174,37 @@
 
 
 class Writer:
-    """Writes records to a file, in blocks."""
+    """Writes records to a file in blocks of `block_bytes` or a little more."""
 
-    def __init__(self, file: BinaryIO, block: int = 64 * 1024) -> None:
-        self._file, self._block = file, block
+    def __init__(self, file: BinaryIO, block_bytes: int = 64 * 1024) -> None:
+        self._file, self._block_bytes = file, block_bytes
         self._encoder, self._buffer = msgspec.json.Encoder(), bytearray()
 
     def write(self, record: Record) -> None:
-        """One more."""
+        """Add a record to the buffer; a full buffer is written to the file."""
         self._buffer += self._encoder.encode(record)
         self._buffer += b"\n"
-        if len(self._buffer) >= self._block:
+        if len(self._buffer) >= self._block_bytes:
             self.flush()
 
     def flush(self) -> None:
-        """Hand on what is kept."""
+        """Write the buffer to the file and flush the file."""
         self._file.write(self._buffer)
         self._file.flush()
         self._buffer.clear()
 
 
 def read_records(paths: Iterable[Path]) -> list[Record]:
-    """All records of some files, in order of time; those of one moment as they stand in the files."""
-    records = [record for path in paths for record in _lines(path)]
+    """Read all records of the files in order of time; those of equal time keep the order of the files.
+
+    ValueError names the file and line of an invalid record.
+    """
+    records = [record for path in paths for record in _read_lines(path)]
     records.sort(key=lambda record: record.at)
     return records
 
 
-def _lines(path: Path) -> Iterator[Record]:
+def _read_lines(path: Path) -> Iterator[Record]:
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
             try:
