--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What a request costs, compared between two revisions in one run. Not part of the tests: machines differ."""
+"""Benchmarks of the gateway and its services. They are not tests, because results depend on the machine."""
--- a/benchmarks/beside.py
+++ b/benchmarks/beside.py
@@ -1,10 +1,11 @@
-"""What a replica costs the gateway beside it, and the gateway the replica.
+"""What a replica and a gateway on the same machine cost each other.
 
     python -m benchmarks.beside [--seconds 600] [--shared-core]
 
-Two gateways, each kept at a full core by callers that ask again at once; one has a holding process beside it,
-on the next core or (--shared-core) on its own, whose groups are written to all along. Told: the gateways'
-latencies at one and the same time, and how many elections there were. Real processes on loopback.
+Two gateways each run at a full core under closed-loop callers. One has a holding process beside it, on a core
+of its own or (--shared-core) on the gateway's, and the groups of that process are written to throughout.
+Printed are the latencies of both gateways over the same time, and the number of elections. Real processes on
+loopback.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 from plumwall.faults.gateways import GatewayProcess
 from plumwall.faults.machines import HOST, Machines
 
-CALLERS = 16  # of each gateway
-KEYED = 4
-ASK = (
+CALLERS_PER_GATEWAY = 16
+KEY_GROUPS = 4
+REQUEST = (
     b"GET /api/%016x HTTP/1.1\r\nHost: o\r\nX-Request-Id: r%d\r\nX-Class: view\r\nPlan: open\r\n"
     b"X-Deadline: 4000m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
 )
@@ -37,8 +38,8 @@
 }
 
 
-class _Good(asyncio.Protocol):
-    """A server that answers at once."""
+class _AnsweringConnection(asyncio.Protocol):
+    """A server's connection that answers every request at once."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
@@ -49,44 +50,44 @@
 
 
 async def serve() -> None:
-    """A server's process: says its port, then serves."""
-    server = await asyncio.get_running_loop().create_server(_Good, HOST, 0)
+    """Run a server process: print its port, then serve."""
+    server = await asyncio.get_running_loop().create_server(_AnsweringConnection, HOST, 0)
     print(server.sockets[0].getsockname()[1], flush=True)
     await server.serve_forever()
 
 
 async def call(port: int, seconds: float) -> None:
-    """The callers' process: prints how many were answered well, and percentiles in ms."""
-    took: list[float] = []
+    """Run the callers' process: print the number of answers 200, then p50, p99 and p99.9 in ms."""
+    latencies_ms: list[float] = []
     until = time.perf_counter() + seconds
 
-    async def one(number: int) -> None:
+    async def call_repeatedly(number: int) -> None:
         reader, writer = await asyncio.open_connection(HOST, port)
         serial = 0
         while time.perf_counter() < until:
             serial += 1
             began = time.perf_counter()
-            writer.write(ASK % (number, serial))
+            writer.write(REQUEST % (number, serial))
             head = await reader.readuntil(b"\r\n\r\n")
             if head.startswith(b"HTTP/1.1 200"):
                 await reader.readexactly(2)
-                took.append((time.perf_counter() - began) * 1000)
+                latencies_ms.append((time.perf_counter() - began) * 1000)
 
-    await asyncio.gather(*(one(i) for i in range(CALLERS)))
-    p50, p99, p999 = np.percentile(took, (50, 99, 99.9))
-    print(f"{len(took)} {p50:.3f} {p99:.3f} {p999:.3f}", flush=True)
+    await asyncio.gather(*(call_repeatedly(i) for i in range(CALLERS_PER_GATEWAY)))
+    p50, p99, p999 = np.percentile(latencies_ms, (50, 99, 99.9))
+    print(f"{len(latencies_ms)} {p50:.3f} {p99:.3f} {p999:.3f}", flush=True)
 
 
-class _Side:
-    """One gateway with its server and its callers, on cores of their own."""
+class _Setup:
+    """One gateway with its server and its callers, each on a core of its own."""
 
     def __init__(self, name: str, folder: Path, core: int) -> None:
         self.name, self.folder, self.core = name, folder, core
         self._children: list[asyncio.subprocess.Process] = []
 
-    async def _spawn(self, core: int, *words: str) -> asyncio.subprocess.Process:
+    async def _spawn(self, core: int, *arguments: str) -> asyncio.subprocess.Process:
         child = await spawn(
-            [sys.executable, "-m", "benchmarks.beside", *words],
+            [sys.executable, "-m", "benchmarks.beside", *arguments],
             ROOT,
             {**os.environ, "PYTHONPATH": str(ROOT)},
             stdout=asyncio.subprocess.PIPE,
@@ -96,6 +97,7 @@
         return child
 
     async def start(self) -> None:
+        """Start the server and the gateway."""
         server = await self._spawn(self.core + 2, "--serve")
         port = int(await server.stdout.readline())
         raw = {
@@ -124,22 +126,23 @@
         await self.gateway.start()
         os.sched_setaffinity(self.gateway.process.pid, {self.core})
 
-    async def play(self, seconds: float) -> list[float]:
-        """Answers, and p50, p99, p99.9 in ms."""
+    async def run_callers(self, seconds: float) -> list[float]:
+        """Run the callers; return the number of answers, then p50, p99 and p99.9 in ms."""
         caller = await self._spawn(
             self.core + 4, "--call", str(self.gateway.listen), "--seconds", str(seconds)
         )
         return [float(word) for word in (await caller.stdout.read()).split()]
 
     async def stop(self) -> None:
+        """Kill all processes."""
         await self.gateway.kill()
         for child in self._children:
             kill(child)
             await child.wait()
 
 
-async def _write(machines: Machines) -> int:
-    """Claims, over all groups, until cancelled: about 100 a second."""
+async def _write_claims(machines: Machines) -> int:
+    """Claim keys of all groups, up to 100 a second, until cancelled."""
     client, number = machines.client(), 0
     while True:
         number += 1
@@ -147,39 +150,41 @@
         await asyncio.sleep(0.01)
 
 
-async def measure(seconds: float, shared: bool) -> None:
-    """Both sides at one time."""
+async def measure(seconds: float, shared_core: bool) -> None:
+    """Measure both gateways at the same time and print the results."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         async with Machines(folder, 3) as machines:
-            await machines.init(machines.all, KEYED)
-            whole = await machines.wait_until_replicated()
-            with_replica, without = _Side("with", folder, 0), _Side("without", folder, 1)
-            for machine, core in zip(machines.all, (0 if shared else 6, 7, 7), strict=True):
+            await machines.init(machines.all, KEY_GROUPS)
+            before = await machines.wait_until_replicated()
+            with_replica, without = _Setup("with", folder, 0), _Setup("without", folder, 1)
+            for machine, core in zip(machines.all, (0 if shared_core else 6, 7, 7), strict=True):
                 os.sched_setaffinity(machine.process.pid, {core})
-            terms = {group: here["term"] for group, here in whole.items()}
-            for side in (with_replica, without):
-                await side.start()
-            writing = asyncio.create_task(_write(machines))
-            told = await asyncio.gather(with_replica.play(seconds), without.play(seconds))
+            terms = {group: status["term"] for group, status in before.items()}
+            for setup in (with_replica, without):
+                await setup.start()
+            writing = asyncio.create_task(_write_claims(machines))
+            results = await asyncio.gather(with_replica.run_callers(seconds), without.run_callers(seconds))
             writing.cancel()
-            after = {group: here["term"] for group, here in (await machines.wait_until_replicated()).items()}
-            for side in (with_replica, without):
-                await side.stop()
-        for side, (count, p50, p99, p999) in zip(("with a replica", "without"), told, strict=True):
+            after = {
+                group: status["term"] for group, status in (await machines.wait_until_replicated()).items()
+            }
+            for setup in (with_replica, without):
+                await setup.stop()
+        for label, (count, p50, p99, p999) in zip(("with a replica", "without"), results, strict=True):
             print(
-                f"{side:16} {count / seconds:8.0f} a second   p50 {p50:.2f}   p99 {p99:.2f}   "
+                f"{label:16} {count / seconds:8.0f} a second   p50 {p50:.2f}   p99 {p99:.2f}   "
                 f"p99.9 {p999:.2f} ms"
             )
-        risen = sum(after[group] - term for group, term in terms.items())
+        elections = sum(after[group] - term for group, term in terms.items())
         print(
-            f"{seconds:.0f} s, {'one core' if shared else 'cores of their own'}: elections {risen}, "
-            f"p99 x {told[0][2] / told[1][2]:.3f}, rate x {told[0][0] / told[1][0]:.3f}"
+            f"{seconds:.0f} s, {'one core' if shared_core else 'cores of their own'}: elections {elections}, "
+            f"p99 x {results[0][2] / results[1][2]:.3f}, rate x {results[0][0] / results[1][0]:.3f}"
         )
 
 
 def main() -> None:
-    """One of the processes, or all."""
+    """Run the benchmark, or the process that an option names."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--shared-core", action="store_true")
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,10 +1,11 @@
-"""What membership costs and how soon it knows, by the protocol's own code under virtual time.
+"""Cost and detection times of the membership protocol, measured on its own code in virtual time.
 
     python -m benchmarks.members [--sizes 12,50,200,1000] [--seed 1] [--minutes 5]
 
-For each size: bytes, letters and processor time of a member a second; a lost member: first and last to know;
-a name that comes back; two halves cut apart for 30 s: until all know all again; members held dead that were
-there, an hour, at 0, 5 and 20% loss and with 5% of the members standing still for 30 s each minute.
+Printed for each fleet size: bytes, datagrams ("letters") and processor time of a member per second; when the
+first and last member know that one is lost; the time until its return is known to all; the time until all
+members agree after a 30 s partition into halves; false detections and suspicions per hour at 0, 5 and 20% of
+the datagrams lost, and with 5% of the members paused ("still") for 30 s in each minute.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from yewstage.membership.messages import SUSPECT
 
 
-def acquainted(size: int, seed: int) -> Net:
-    """A fleet whose members all know one another, and have nothing new to tell."""
+def start_fleet(size: int, seed: int) -> Net:
+    """Build a fleet whose members all know one another and have no updates left to disseminate."""
     net = Net(size, seed)
     for i in range(size):
         net.start(i)
@@ -31,20 +32,23 @@
     return net
 
 
-def cost(net: Net, for_ms: float) -> str:
-    """Of a member in peace."""
+def measure_cost(net: Net, duration_ms: float) -> str:
+    """Measure the cost of a member per second while nothing changes."""
     before = [(seat.sent, seat.letters) for seat in net.seats]
     gc.collect()
     began = time.process_time()
-    net.run(for_ms)
-    took, span = time.process_time() - began, for_ms / 1000 * len(net.seats)
+    net.run(duration_ms)
+    cpu_s, member_seconds = time.process_time() - began, duration_ms / 1000 * len(net.seats)
     sent = sum(seat.sent - b for seat, (b, _) in zip(net.seats, before, strict=True))
-    letters = sum(seat.letters - n for seat, (_, n) in zip(net.seats, before, strict=True))
-    return f"{sent / span:6.0f} bytes, {letters / span:.2f} letters, {took / span * 1e6:.0f} us a second"
+    datagrams = sum(seat.letters - n for seat, (_, n) in zip(net.seats, before, strict=True))
+    return (
+        f"{sent / member_seconds:6.0f} bytes, {datagrams / member_seconds:.2f} letters, "
+        f"{cpu_s / member_seconds * 1e6:.0f} us a second"
+    )
 
 
-def found_out(net: Net) -> str:
-    """A lost member, and one that comes back."""
+def measure_detection(net: Net) -> str:
+    """Measure the detection of a lost member, and the time until its return is known."""
     began = net.now
     net.kill(5)
     net.run(60_000)
@@ -59,8 +63,8 @@
     )
 
 
-def merged(net: Net) -> str:
-    """Two halves that were apart for 30 s."""
+def measure_merge(net: Net) -> str:
+    """Measure the time in which a fleet merges after a 30 s partition into halves."""
     half = len(net.seats) // 2
     net.split(range(half), range(half, len(net.seats)))
     net.run(30_000)
@@ -68,37 +72,42 @@
     return f"apart for 30 s, one again after {net.until_agreed(600_000) / 1000:.1f} s"
 
 
-def false(net: Net, minutes: float, loss: float, still: float) -> str:
-    """Members held dead, or suspected, that were there, by whoever held so, an hour."""
+def measure_false_detections(net: Net, minutes: float, loss: float, paused_share: float) -> str:
+    """Count false detections and false suspicions, over all observers, per hour.
+
+    `paused_share` is the share of the members that is paused for 30 s in each minute.
+    """
     net.found.clear()
     net.links.loss = loss
-    size, down = len(net.seats), set()
+    size, paused = len(net.seats), set()
     until = net.now + minutes * 60_000
     while net.now < until:
-        for i in net.rng.sample(range(size), round(still * size)):
+        for i in net.rng.sample(range(size), round(paused_share * size)):
             net.stall(i, 30_000)
-            down.add(i)
+            paused.add(i)
         net.run(60_000)
     net.links.loss = 0.0
     hours = minutes * 60_000 / HOUR_MS
-    dead, suspected = net.false(down) / hours, net.false(down, SUSPECT) / hours / (size - 1)
-    return f"{loss:.0%} lost, {still:.0%} still: {dead:.0f} held dead, {suspected:.1f} suspected an hour"
+    dead, suspected = net.false(paused) / hours, net.false(paused, SUSPECT) / hours / (size - 1)
+    return (
+        f"{loss:.0%} lost, {paused_share:.0%} still: {dead:.0f} held dead, {suspected:.1f} suspected an hour"
+    )
 
 
 def main() -> None:
-    """All sizes, one after the other."""
+    """Run all sizes, one after the other."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--sizes", default="12,50,200,1000")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--minutes", type=float, default=5.0)
     options = parser.parse_args()
     for size in map(int, options.sizes.split(",")):
-        net = acquainted(size, options.seed)
-        print(f"{size} members: {cost(net, 20_000)}", flush=True)
-        print(f"  {found_out(net)}\n  {merged(net)}", flush=True)
-        for loss, still in ((0.0, 0.0), (0.05, 0.0), (0.2, 0.0), (0.0, 0.05)):
-            net = acquainted(size, options.seed)
-            print(f"  {false(net, options.minutes, loss, still)}", flush=True)
+        net = start_fleet(size, options.seed)
+        print(f"{size} members: {measure_cost(net, 20_000)}", flush=True)
+        print(f"  {measure_detection(net)}\n  {measure_merge(net)}", flush=True)
+        for loss, paused_share in ((0.0, 0.0), (0.05, 0.0), (0.2, 0.0), (0.0, 0.05)):
+            net = start_fleet(size, options.seed)
+            print(f"  {measure_false_detections(net, options.minutes, loss, paused_share)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scenes.py
+++ b/benchmarks/scenes.py
@@ -1,7 +1,8 @@
-"""What the program is fed: bytes and events written down by hand, straight into its protocols; no sockets.
+"""Scenes of the benchmark: hand-written bytes and events, fed directly into the program's protocols.
 
-Every scene goes through parser, core and module as a request in service does. The other sides are stand-ins
-that answer at the next turn of the loop, so that what is measured is the gateway's own work.
+Every scene of whole requests goes through parser, core and policy as in service, but without sockets. Servers
+and services are test doubles that answer in the next iteration of the event loop, so only the work of the
+gateway is measured.
 """
 
 from __future__ import annotations
@@ -13,23 +14,24 @@
 
 import uvloop
 
-CLIENTS = 16  # requests open at once
-HOSTS, COUNTER, DISCOVERY = 8081, 6400, 8500  # ports, by which a stand-in knows what it is
-SMALL = (
+CONCURRENT_REQUESTS = 16
+# Loop.create_connection chooses the test double by the port.
+SERVER_PORT, COUNTER_PORT, DISCOVERY_PORT = 8081, 6400, 8500
+SMALL_ANSWER = (
     b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nBilled-Units: 2\r\n"
     b"X-Load: load_share=0.41,concurrent=3,depth=0\r\nContent-Length: 512\r\n\r\n" + b"x" * 512
 )
-CLOSING = SMALL.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
-PIECE = b"x" * 16384
+CLOSING_ANSWER = SMALL_ANSWER.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
+LONG_PIECE = b"x" * 16384
 LONG_PIECES = 16
-LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LONG_PIECES * len(PIECE))
-TOTAL = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
+LONG_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LONG_PIECES * len(LONG_PIECE))
+COUNTER_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1"
 CONFIG = {
     "name": "n0",
     "listen": "127.0.0.1:0",
     "seed": "8c1f30d27a5be964",
-    "discovery": f"127.0.0.1:{DISCOVERY}",
-    "counter": f"127.0.0.1:{COUNTER}",
+    "discovery": f"127.0.0.1:{DISCOVERY_PORT}",
+    "counter": f"127.0.0.1:{COUNTER_PORT}",
     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
     "known": {
         "generation": 1,
@@ -37,7 +39,7 @@
         "instances": [
             {
                 "instanceId": f"s-{i}",
-                "hostPort": f"127.0.0.{i + 1}:{HOSTS}",
+                "hostPort": f"127.0.0.{i + 1}:{SERVER_PORT}",
                 "zone": "ab"[i % 2],
                 "machineType": "m",
                 "cell": i % 3,
@@ -76,7 +78,7 @@
 
 
 def request(cls: str = "view", plan: str = "team", body: bytes = b"", customer: int = 1) -> bytes:
-    """One request as a client writes it."""
+    """Build the bytes of one request as a client writes it."""
     method = "POST" if body else "GET"
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return (
@@ -88,18 +90,21 @@
 
 
 class Transport:
-    """The near end of a connection whose far end is a stand-in."""
+    """The asyncio transport of a connection to a test double."""
 
     def __init__(
-        self, written: Callable[[bytes], None], lost: Callable[[None], None], soon: Callable[..., object]
+        self,
+        on_write: Callable[[bytes], None],
+        on_lost: Callable[[None], None],
+        call_soon: Callable[..., object],
     ) -> None:
-        self.write, self._lost, self._soon = written, lost, soon
+        self.write, self._on_lost, self._call_soon = on_write, on_lost, call_soon
         self._closing = False
 
     def abort(self) -> None:
         if not self._closing:
             self._closing = True
-            self._soon(self._lost, None)
+            self._call_soon(self._on_lost, None)
 
     close = abort
 
@@ -126,59 +131,64 @@
 
 
 class Loop:
-    """The program's loop, but whom it dials is a stand-in."""
+    """The event loop of the program; its outgoing connections lead to test doubles."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, answers: list[bytes]) -> None:
         self._loop, self._answers = loop, answers
         self.call_later, self.call_soon, self.time = loop.call_later, loop.call_soon, loop.time
         self.create_task = loop.create_task
 
-    async def create_connection(self, make: Callable, host: str, port: int) -> tuple[Transport, object]:
-        protocol = make()
-        answer = {HOSTS: self._serve, COUNTER: self._count}.get(port, self._ignore)
+    async def create_connection(
+        self, protocol_factory: Callable, host: str, port: int
+    ) -> tuple[Transport, object]:
+        protocol = protocol_factory()
+        answer = {SERVER_PORT: self._answer_request, COUNTER_PORT: self._answer_count}.get(port, self._ignore)
         transport = Transport(lambda data: answer(protocol, data), protocol.connection_lost, self.call_soon)
         protocol.connection_made(transport)
         return transport, protocol
 
-    def _serve(self, protocol: asyncio.Protocol, data: bytes) -> None:
-        self.call_soon(self._say, protocol, 0)
+    def _answer_request(self, protocol: asyncio.Protocol, data: bytes) -> None:
+        self.call_soon(self._send_answer_part, protocol, 0)
 
-    def _say(self, protocol: asyncio.Protocol, n: int) -> None:
+    def _send_answer_part(self, protocol: asyncio.Protocol, part: int) -> None:
         if not protocol.transport.is_closing():
-            protocol.data_received(self._answers[n])
-            if n + 1 < len(self._answers):
-                self.call_soon(self._say, protocol, n + 1)
+            protocol.data_received(self._answers[part])
+            if part + 1 < len(self._answers):
+                self.call_soon(self._send_answer_part, protocol, part + 1)
 
-    def _count(self, protocol: asyncio.Protocol, data: bytes) -> None:
-        self.call_soon(protocol.data_received, TOTAL * data.count(b"POST "))
+    def _answer_count(self, protocol: asyncio.Protocol, data: bytes) -> None:
+        self.call_soon(protocol.data_received, COUNTER_ANSWER * data.count(b"POST "))
 
     def _ignore(self, protocol: asyncio.Protocol, data: bytes) -> None:
         pass
 
 
 class Client:
-    """Asks again and again, on one connection or on a new one each time."""
+    """A client that sends the same request repeatedly, on one connection or on a new one each time."""
 
-    def __init__(self, scene: Sockets, data: bytes, fresh: bool) -> None:
-        self._scene, self._data, self._fresh = scene, data, fresh
+    def __init__(self, scene: GatewayScene, data: bytes, new_connections: bool) -> None:
+        self._scene, self._data, self._new_connections = scene, data, new_connections
         self._protocol: asyncio.Protocol | None = None
-        self._got = 0
+        self._received_bytes = 0
 
-    def ask(self) -> None:
-        if self._protocol is None or self._fresh or self._protocol.transport.is_closing():
+    def send_request(self) -> None:
+        """Send the request."""
+        if self._protocol is None or self._new_connections or self._protocol.transport.is_closing():
             self._protocol = protocol = self._scene.tree.clients.ClientConnection(self._scene.server)
-            protocol.connection_made(Transport(self._written, protocol.connection_lost, self._scene.soon))
-        self._got = 0
+            protocol.connection_made(
+                Transport(self._on_write, protocol.connection_lost, self._scene.call_soon)
+            )
+        self._received_bytes = 0
         self._protocol.data_received(self._data)
 
-    def _written(self, data: bytes) -> None:
-        self._got += len(data)
-        if self._got >= self._scene.longest:
+    def _on_write(self, data: bytes) -> None:
+        self._received_bytes += len(data)
+        if self._received_bytes >= self._scene.answer_bytes:
             self._scene.answered(self, data)
 
 
-class Sockets:
-    """Requests that go through the whole program."""
+class GatewayScene:
+    """A scene of requests that go through the whole program."""
 
     def __init__(
         self,
@@ -186,52 +196,57 @@
         data: bytes,
         answers: list[bytes],
         refused: bool = False,
-        fresh: bool = False,
+        new_connections: bool = False,
     ) -> None:
-        self.tree, self._wanted = tree, (b"200", b"503") if refused else (b"200",)  # the first are let in
+        # A scene of refusals begins with answers 200 until the burst of the plan is used up.
+        self.tree, self._allowed_statuses = tree, (b"200", b"503") if refused else (b"200",)
         body = sum(map(len, answers)) - answers[0].index(b"\r\n\r\n")
-        self.longest = 1 if refused else body  # so many bytes are an answer
+        self.answer_bytes = 1 if refused else body  # from which on an answer counts as complete
         self._loop = uvloop.new_event_loop()
-        self.soon = self._loop.call_soon
+        self.call_soon = self._loop.call_soon
         loop = Loop(self._loop, answers)
         config = tree.config.parse(CONFIG)
         core = tree.core.Core(config, loop)
         self.server = tree.clients.ClientListener(core, loop, config.sockets)
-        self._clients = [Client(self, data, fresh) for _ in range(CLIENTS)]
-        self._left = 0
-        self._over: asyncio.Future | None = None
+        self._clients = [Client(self, data, new_connections) for _ in range(CONCURRENT_REQUESTS)]
+        self._unstarted = 0
+        self._finished: asyncio.Future | None = None
         core.start()
 
     def run(self, requests: int) -> None:
-        """So many requests, a few at a time."""
-        self._left, self._out = requests, 0
-        self._over = self._loop.create_future()
+        """Run so many requests, CONCURRENT_REQUESTS at a time."""
+        self._unstarted, self._open = requests, 0
+        self._finished = self._loop.create_future()
         for client in self._clients:
-            self.soon(self._next, client)
-        self._loop.run_until_complete(self._over)
+            self.call_soon(self._start_next, client)
+        self._loop.run_until_complete(self._finished)
 
-    def _next(self, client: Client) -> None:
-        if self._left > 0:
-            self._left -= 1
-            self._out += 1
-            client.ask()
+    def _start_next(self, client: Client) -> None:
+        if self._unstarted > 0:
+            self._unstarted -= 1
+            self._open += 1
+            client.send_request()
 
     def answered(self, client: Client, data: bytes) -> None:
-        """A client has its whole answer."""
-        self._out -= 1
-        if data[:9] == b"HTTP/1.1 " and data[9:12] not in self._wanted and not self._over.done():
-            self._over.set_exception(AssertionError(f"answered {data[:40]!r}"))
-        if self._left:
-            self.soon(self._next, client)
-        elif not self._out and not self._over.done():
-            self._over.set_result(None)
+        """Handle the answer of a client; start its next request, or end the run."""
+        self._open -= 1
+        if (
+            data[:9] == b"HTTP/1.1 "
+            and data[9:12] not in self._allowed_statuses
+            and not self._finished.done()
+        ):
+            self._finished.set_exception(AssertionError(f"answered {data[:40]!r}"))
+        if self._unstarted:
+            self.call_soon(self._start_next, client)
+        elif not self._open and not self._finished.done():
+            self._finished.set_result(None)
 
     def close(self) -> None:
         self._loop.close()
 
 
-class Module:
-    """The decisions alone, on a clock of the scene's own."""
+class PolicyScene:
+    """A scene of the policy alone, in virtual time."""
 
     def __init__(self, tree: SimpleNamespace, servers: int = 12, gateways: int = 3) -> None:
         self._api = api = tree.api
@@ -244,16 +259,18 @@
         )
 
     def run(self, requests: int) -> None:
-        """So many requests, 16 out at once, with sweeps and counts as they come."""
-        api, out = self._api, []
+        """Run so many requests, up to 16 in flight, with sweep timers and replies of the counter."""
+        api, in_flight = self._api, []
         for _ in range(requests):
             self._now += 5.0
             self._serial += 1
-            rid = f"r{self._serial}"
-            self._give(api.Request(rid, "view", "team", f"c{self._serial % 40}", 4000.0, 2.0, 3, 0), out)
-            if len(out) > CLIENTS:
-                sent = out.pop(0)
-                self._give(
+            request_id = f"r{self._serial}"
+            self._handle(
+                api.Request(request_id, "view", "team", f"c{self._serial % 40}", 4000.0, 2.0, 3, 0), in_flight
+            )
+            if len(in_flight) > CONCURRENT_REQUESTS:
+                sent = in_flight.pop(0)
+                self._handle(
                     api.Outcome(
                         sent.request,
                         0,
@@ -264,29 +281,31 @@
                         billed_units=2.0,
                         load_report={"util": 0.4, "inflight": 3, "queue": 0},
                     ),
-                    out,
+                    in_flight,
                 )
             if self._now >= self._sweep_at:
                 self._sweep_at = self._now + 100.0
-                self._give(api.TimerDue("sweep"), out)
+                self._handle(api.TimerDue("sweep"), in_flight)
 
-    def _give(self, event: object, out: list) -> None:
-        for act in self._gateway.handle(self._now, event):
-            if isinstance(act, self._api.Send):
-                out.append(act)
-            elif isinstance(act, self._api.Count):
-                self._give(self._api.CountReply(act.name, self._api.OK, act.amount, 5.0), out)
+    def _handle(self, event: object, in_flight: list) -> None:
+        for action in self._gateway.handle(self._now, event):
+            if isinstance(action, self._api.Send):
+                in_flight.append(action)
+            elif isinstance(action, self._api.Count):
+                self._handle(self._api.CountReply(action.name, self._api.OK, action.amount, 5.0), in_flight)
 
     def close(self) -> None:
         pass
 
 
-SCENES: dict[str, Callable[[SimpleNamespace], Sockets | Module]] = {
-    "kept": lambda tree: Sockets(tree, request(), [SMALL]),
-    "body": lambda tree: Sockets(tree, request("post", body=b"y" * 2048), [SMALL]),
-    "fresh": lambda tree: Sockets(tree, request(), [CLOSING], fresh=True),
-    "long": lambda tree: Sockets(tree, request(), [LONG_HEAD + PIECE, *[PIECE] * (LONG_PIECES - 1)]),
-    "refused": lambda tree: Sockets(tree, request(plan="small"), [SMALL], refused=True),
-    "module": Module,
-    "fleet": lambda tree: Module(tree, servers=200, gateways=200),
+SCENES: dict[str, Callable[[SimpleNamespace], GatewayScene | PolicyScene]] = {
+    "kept": lambda tree: GatewayScene(tree, request(), [SMALL_ANSWER]),
+    "body": lambda tree: GatewayScene(tree, request("post", body=b"y" * 2048), [SMALL_ANSWER]),
+    "fresh": lambda tree: GatewayScene(tree, request(), [CLOSING_ANSWER], new_connections=True),
+    "long": lambda tree: GatewayScene(
+        tree, request(), [LONG_HEAD + LONG_PIECE, *[LONG_PIECE] * (LONG_PIECES - 1)]
+    ),
+    "refused": lambda tree: GatewayScene(tree, request(plan="small"), [SMALL_ANSWER], refused=True),
+    "module": PolicyScene,
+    "fleet": lambda tree: PolicyScene(tree, servers=200, gateways=200),
 }
--- a/benchmarks/trees.py
+++ b/benchmarks/trees.py
@@ -25,38 +25,41 @@
 
 
 def load(folder: Path) -> SimpleNamespace:
-    """The modules of the program in a folder, apart from those of any other folder."""
-    _forget()
+    """Import the modules of the program from a folder, separate from those of any other folder.
+
+    RuntimeError if they were imported from elsewhere.
+    """
+    _remove_imported_modules()
     sys.path.insert(0, str(folder))
     try:
         tree = SimpleNamespace(
-            **{short: importlib.import_module(f"{PACKAGE}.{name}") for short, name in MODULES.items()}
+            **{attribute: importlib.import_module(f"{PACKAGE}.{name}") for attribute, name in MODULES.items()}
         )
     finally:
         sys.path.remove(str(folder))
-        _forget()
-    _check(tree.policy, folder)
+        _remove_imported_modules()
+    _check_origin(tree.policy, folder)
     return tree
 
 
-def _forget() -> None:
+def _remove_imported_modules() -> None:
     for name in [n for n in sys.modules if n == PACKAGE or n.startswith(f"{PACKAGE}.")]:
         del sys.modules[name]
 
 
-def _check(module: ModuleType, folder: Path) -> None:
-    """A module of another folder would be compared with itself."""
+def _check_origin(module: ModuleType, folder: Path) -> None:
+    """Check where a module is from; one of the other tree would be compared with itself."""
     if not Path(module.__file__).is_relative_to(folder):
-        raise RuntimeError(f"{module.__file__} is not in {folder}")
+        raise RuntimeError(f"{module.__file__} was not imported from {folder}")
 
 
 @contextmanager
 def revision(name: str) -> Iterator[Path]:
-    """A folder with the program as it was at a revision."""
-    packed = subprocess.run(
+    """Unpack the program of a revision into a temporary folder."""
+    archive = subprocess.run(
         ["git", "archive", "--format=tar", name, PACKAGE], cwd=ROOT, check=True, stdout=subprocess.PIPE
     ).stdout
     with TemporaryDirectory() as folder:
-        with tarfile.open(fileobj=io.BytesIO(packed)) as tar:
+        with tarfile.open(fileobj=io.BytesIO(archive)) as tar:
             tar.extractall(folder, filter="data")
         yield Path(folder).resolve()
