--- a/plumwall/judge.py
+++ b/plumwall/judge.py
@@ -116,6 +116,7 @@
         return self.answered.status if whole else 0
 
     def served(self) -> bool:
+        """Whether it was answered with success."""
         return self.status() in SERVED_STATUS
 
 
@@ -193,11 +194,11 @@
                     "sent bytes to a client that had no open request",
                     gateway=answered.gateway,
                 )
-        out: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
+        attempts_at: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
         for record in sorted([*self._records[r.Arrived], *self._records[r.Ended]], key=_record_order):
             if isinstance(record, r.Arrived):
                 attempt = Attempt(record)
-                out[record.id, record.server].append(attempt)
+                attempts_at[record.id, record.server].append(attempt)
                 if record.id in self.tries:
                     self.tries[record.id].attempts.append(attempt)
                 else:
@@ -210,9 +211,9 @@
                         record.gateway,
                     )
             else:
-                waiting = [a for a in out[record.id, record.server] if a.ended is None]
-                if waiting:
-                    waiting[0].ended = record
+                unended = [a for a in attempts_at[record.id, record.server] if a.ended is None]
+                if unended:
+                    unended[0].ended = record
 
     # --- Rules ----------------------------------------------------------------------------------------
 
@@ -622,7 +623,7 @@
                 return worst
 
     def _prices(self, chains: list[RequestChain]) -> dict[str, float]:
-        goal, first = self._scenario.goal, max(1, len(chains))
+        goal, chain_count = self._scenario.goal, max(1, len(chains))
         offered = sum(c.offered_worth for c in chains) or 1.0
         zones = {g.name: g.zone for g in self._world.gateways} | {s.name: s.zone for s in self._world.servers}
         attempts = [a for t in self._tries.values() for a in t.attempts]
@@ -648,10 +649,10 @@
             "waste": goal.waste * wasted / wanted_ms,
             "late_fail": goal.late_fail * late / offered,
             "over_quota": beyond / offered,
-            "cross_zone": goal.cross_zone * crossing / first,
-            "probe": goal.probe * len(self._records[r.Probed]) / first,
-            "handshake": goal.handshake * len(self._records[r.Dialled]) / first,
-            "counter": goal.counter * len(self._records[r.Counted]) / first,
+            "cross_zone": goal.cross_zone * crossing / chain_count,
+            "probe": goal.probe * len(self._records[r.Probed]) / chain_count,
+            "handshake": goal.handshake * len(self._records[r.Dialled]) / chain_count,
+            "counter": goal.counter * len(self._records[r.Counted]) / chain_count,
         }
 
     def _ended_late(self, chain: RequestChain) -> bool:
