--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is wrong is one line with the path of the field; a day is the same each time."""
+"""Tests of scenarios: errors name the path of the field, and a seed always generates the same world."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from plumwall.world.generator import GeneratedWorld
 
 ROOT = Path(__file__).parent.parent
-WANTED = {
+SCENARIOS = {
     "failing",
     "list-service",
     "quiet",
@@ -28,18 +28,18 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(WANTED))
-def test_every_built_in_scenario_can_be_played(name: str) -> None:
-    made = scenarios.load(scenarios.find(name))
-    assert made.name == name and made.about and name in scenarios.built_in()
-    passed_on = scenarios.encode(scenarios.decode_json(scenarios.encode(made)))
-    assert scenarios.encode(scenarios.decode_json(passed_on)) == passed_on
+@pytest.mark.parametrize("name", sorted(SCENARIOS))
+def test_built_in_scenario_is_valid_and_survives_encoding(name: str) -> None:
+    scenario = scenarios.load(scenarios.find(name))
+    assert scenario.name == name and scenario.about and name in scenarios.built_in()
+    encoded = scenarios.encode(scenarios.decode_json(scenarios.encode(scenario)))
+    assert scenarios.encode(scenarios.decode_json(encoded)) == encoded
 
 
-def test_every_field_says_what_it_means() -> None:
-    told = list(scenarios.describe())
-    assert len({f.path for f in told}) == len(told) > 80
-    assert all(f.meaning and f.unit and f.default for f in told)
+def test_every_field_is_described() -> None:
+    described = list(scenarios.describe())
+    assert len({field.path for field in described}) == len(described) > 80
+    assert all(field.meaning and field.unit and field.default for field in described)
 
 
 @pytest.mark.parametrize(
@@ -70,23 +70,23 @@
         ("name = 'q", "not TOML: "),
     ],
 )
-def test_a_bad_scenario_is_one_line_with_the_path(text: str, line: str) -> None:
+def test_error_of_an_invalid_scenario_is_one_line_with_the_path(text: str, line: str) -> None:
     with pytest.raises(scenarios.ScenarioError) as error:
         scenarios.decode(text)
     assert str(error.value).startswith(line) and "\n" not in str(error.value)
 
 
 def _digest(name: str, seed: int) -> str:
-    day = GeneratedWorld(scenarios.load(scenarios.find(name)), seed)
-    return hashlib.sha256(b"\n".join(day.lines())).hexdigest()
+    world = GeneratedWorld(scenarios.load(scenarios.find(name)), seed)
+    return hashlib.sha256(b"\n".join(world.lines())).hexdigest()
 
 
-def test_one_seed_draws_one_day_in_any_process_and_another_seed_another() -> None:
+def test_seed_generates_the_same_world_in_every_process() -> None:
     code = (
         "import sys; sys.path.insert(0, 'tests'); from test_scenario import _digest; "
         "print(_digest('zone-lost', 7))"
     )
-    told = {
+    digests = {
         subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
@@ -97,19 +97,19 @@
         ).stdout.strip()
         for seed in ("1", "2")
     }
-    assert told == {_digest("zone-lost", 7)} != {_digest("zone-lost", 8)}
+    assert digests == {_digest("zone-lost", 7)} != {_digest("zone-lost", 8)}
 
 
-def test_the_load_is_what_the_scenario_asks_for() -> None:
-    made = scenarios.decode(
+def test_load_matches_the_scenario() -> None:
+    scenario = scenarios.decode(
         "name = 'q'\nlength_s = 300\n[load]\nrate_per_s = 50\nheavy = 0\nspiky = 0\n"
         "most_excess = 0\nswing = 0"
     )
-    day = GeneratedWorld(made, 3)
-    assert 0.95 < len(day.tries) / (50 * 300) < 1.05  # nobody asks beyond: all is inside
-    shares = [sum(t.cls == i for t in day.tries) / len(day.tries) for i in range(3)]
+    world = GeneratedWorld(scenario, 3)
+    assert 0.95 < len(world.tries) / (50 * 300) < 1.05  # no customer asks beyond its quota, so all is within
+    shares = [sum(t.cls == i for t in world.tries) / len(world.tries) for i in range(3)]
     assert all(abs(a - b) < 0.02 for a, b in zip(shares, (0.59, 0.21, 0.2), strict=True))
-    for first in day.tries[::97]:
-        customer = day.customers[first.customer]
-        gateway = day.gateway_of(first, 0, first.due_ms)
-        assert (gateway - customer.first) % len(day.gateways) < customer.width
+    for first in world.tries[::97]:
+        customer = world.customers[first.customer]
+        gateway = world.gateway_of(first, 0, first.due_ms)
+        assert (gateway - customer.first) % len(world.gateways) < customer.width
