--- a/plumwall/__init__.py
+++ b/plumwall/__init__.py
@@ -1,6 +1,6 @@
-"""The workbench round the gateway: commands, an emulator of its world, a judge and a load tool.
+"""Test workbench for the gateway: commands, an emulated environment, a judge of runs and a load generator.
 
-`yewstage` is the program in service and imports nothing of this.
+`yewstage` is the production program; it does not import this package.
 """
 
 VERSION = "0.2.0"
--- a/plumwall/__main__.py
+++ b/plumwall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m plumwall`."""
+"""Entry point of `python -m plumwall`."""
 
 from plumwall.cli.main import main
 
--- a/plumwall/cli/__init__.py
+++ b/plumwall/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands: each parses its words, calls a part, prints what came of it."""
+"""The commands. Each parses its arguments, calls the part that does the work, and prints the result."""
--- a/plumwall/cli/check.py
+++ b/plumwall/cli/check.py
@@ -1,4 +1,4 @@
-"""Commands that read a file and say whether it can be used."""
+"""`plumwall config`: validates configuration files of the production programs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-from plumwall.cli.console import FILE, BadFileError, as_json, fields
+from plumwall.cli.console import EXISTING_FILE, BadInputError, json_option, print_fields
 from yewstage.holding.config import HoldingConfig, holding
 from yewstage.interface import Plan
 from yewstage.net.clients import ClassAndPlanNames
@@ -20,15 +20,19 @@
 
 @click.group()
 def config() -> None:
-    """Configuration files of the programs in service."""
+    """Validate configuration files of the gateway, the holding, the list service and the checker."""
 
 
 @config.command("check")
-@click.argument("file", type=FILE)
-@click.option("--kind", type=click.Choice(KINDS), help="Whose file it is; else its fields tell.")
-@as_json
+@click.argument("file", type=EXISTING_FILE)
+@click.option(
+    "--kind",
+    type=click.Choice(KINDS),
+    help="Program that the file is for; by default derived from its fields.",
+)
+@json_option
 def check_config(file: Path, kind: str | None, json_: bool) -> None:
-    """Check the configuration FILE of a gateway, holding, list service or checker; nothing is started.
+    """Validate the configuration FILE of a gateway, holding, list service or checker without starting it.
 
     \b
     Examples:
@@ -36,78 +40,89 @@
       plumwall config check registry.json --kind registry
     """
     try:
-        kind = kind or _kind(read(str(file)))
-        told = _CHECKS[kind](file)
+        kind = kind or _detect_kind(read(str(file)))
+        summary = _SUMMARIES[kind](file)
     except ConfigError as error:
-        raise BadFileError(str(error)) from None
-    fields({"file": str(file), "kind": kind, **told}, json_)
+        raise BadInputError(str(error)) from None
+    print_fields({"file": str(file), "kind": kind, **summary}, json_)
 
 
-def _kind(raw: dict[str, object]) -> str:
-    fields_of = ("settings", "cluster", "folder", "probing")
-    for kind, field in zip(KINDS, fields_of, strict=True):
+def _detect_kind(raw: dict[str, object]) -> str:
+    identifying_fields = ("settings", "cluster", "folder", "probing")
+    for kind, field in zip(KINDS, identifying_fields, strict=True):
         if field in raw:
             return kind
     raise ConfigError(
-        f"{', '.join(fields_of)}: none is there, so whose file this is cannot be told; say --kind"
+        f"{', '.join(identifying_fields)}: none is present, so the program cannot be determined; pass --kind"
     )
 
 
-def _gateway(file: Path) -> dict[str, object]:
-    made: Config = load({"ROUTER_CONFIG": str(file)})
-    ClassAndPlanNames(made.settings)
+def _gateway_summary(file: Path) -> dict[str, object]:
+    loaded: Config = load({"ROUTER_CONFIG": str(file)})
+    ClassAndPlanNames(loaded.settings)  # as at a gateway's start, so that its errors show here
     return {
-        "name": made.name,
-        "listen": _text(made.listen),
-        "discovery": _text(made.discovery),
-        "classes": ", ".join(c.name for c in made.settings.classes),
-        "plans": ", ".join(p.name for p in made.settings.plans),
-        "fleet": made.settings.fleet_size,
-        "known": len(made.fallback_listing.servers),
-        "holding": ", ".join(map(_text, made.holding)) or "none",
-        "shares": ", ".join(_share(plan) for plan in made.settings.plans if plan.uses_quota_shares) or "none",
-        "peers": f"{_text(made.peers.listen)} in {made.peers.settings.cluster}" if made.peers else "none",
+        "name": loaded.name,
+        "listen": _format_address(loaded.listen),
+        "discovery": _format_address(loaded.discovery),
+        "classes": ", ".join(c.name for c in loaded.settings.classes),
+        "plans": ", ".join(p.name for p in loaded.settings.plans),
+        "fleet": loaded.settings.fleet_size,
+        "known": len(loaded.fallback_listing.servers),
+        "holding": ", ".join(map(_format_address, loaded.holding)) or "none",
+        "shares": ", ".join(_share_mode(plan) for plan in loaded.settings.plans if plan.uses_quota_shares)
+        or "none",
+        "peers": f"{_format_address(loaded.peers.listen)} in {loaded.peers.settings.cluster}"
+        if loaded.peers
+        else "none",
     }
 
 
-def _share(plan: Plan) -> str:
-    """How a plan's quota is shared, and what a gateway that hears nobody may spend."""
+def _share_mode(plan: Plan) -> str:
+    """The mode in which a plan's quota is shared; if bounded, also what an isolated gateway may spend."""
     if not plan.floor:
         return f"{plan.name} strict"
     return f"{plan.name} bounded by {plan.floor:g} units within {plan.floor_ms:g} ms"
 
 
-def _holding(file: Path) -> dict[str, object]:
-    made: HoldingConfig = holding(read(str(file)))
-    peers = ", ".join(sorted(made.peers))
+def _holding_summary(file: Path) -> dict[str, object]:
+    loaded: HoldingConfig = holding(read(str(file)))
+    peers = ", ".join(sorted(loaded.peers))
     return {
-        "cluster": made.cluster,
-        "name": made.name,
-        "zone": made.zone,
-        "peer": _text(made.peer),
+        "cluster": loaded.cluster,
+        "name": loaded.name,
+        "zone": loaded.zone,
+        "peer": _format_address(loaded.peer),
         "peers": peers,
-        "listen": _text(made.service.listen),
-        "folder": str(made.service.folder),
+        "listen": _format_address(loaded.service.listen),
+        "folder": str(loaded.service.folder),
     }
 
 
-def _registry(file: Path) -> dict[str, object]:
-    made: RegistryConfig = service(read(str(file)))
-    return {"listen": _text(made.listen), "ops": _text(made.ops), "folder": str(made.folder)}
+def _registry_summary(file: Path) -> dict[str, object]:
+    loaded: RegistryConfig = service(read(str(file)))
+    return {
+        "listen": _format_address(loaded.listen),
+        "ops": _format_address(loaded.ops),
+        "folder": str(loaded.folder),
+    }
 
 
-def _checker(file: Path) -> dict[str, object]:
-    made: CheckerConfig = checker(read(str(file)))
-    return {"name": made.name, "registry": ", ".join(map(_text, made.registry)), "ops": _text(made.ops)}
+def _checker_summary(file: Path) -> dict[str, object]:
+    loaded: CheckerConfig = checker(read(str(file)))
+    return {
+        "name": loaded.name,
+        "registry": ", ".join(map(_format_address, loaded.registry)),
+        "ops": _format_address(loaded.ops),
+    }
 
 
-def _text(at: tuple[str, int]) -> str:
-    return f"{at[0]}:{at[1]}"
+def _format_address(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
-_CHECKS: dict[str, Callable[[Path], dict[str, object]]] = {
-    "gateway": _gateway,
-    "holding": _holding,
-    "registry": _registry,
-    "checker": _checker,
+_SUMMARIES: dict[str, Callable[[Path], dict[str, object]]] = {
+    "gateway": _gateway_summary,
+    "holding": _holding_summary,
+    "registry": _registry_summary,
+    "checker": _checker_summary,
 }
--- a/plumwall/cli/main.py
+++ b/plumwall/cli/main.py
@@ -1,4 +1,4 @@
-"""`plumwall`: the commands by name, each loaded when it is asked for."""
+"""The `plumwall` command. Subcommands are imported when they are used."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import click
 
 from plumwall import VERSION
-from plumwall.cli.console import as_json, fields
+from plumwall.cli.console import json_option, print_fields
 
-# Where each command lives. Help for one does not pay for the imports of the others.
+# Module and function of each command. Lazy imports keep the start of one command free of the others' imports.
 COMMANDS = {
     "up": "play:up",
     "load": "play:load",
@@ -34,8 +34,8 @@
 LIBRARIES = ("click", "rich", "msgspec", "xxhash", "numpy", "hdrhistogram", "httptools", "uvloop")
 
 
-class Lazy(click.Group):
-    """A group whose commands are imported by name."""
+class LazyGroup(click.Group):
+    """A command group that imports a command from `COMMANDS` when it is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return [*COMMANDS, *super().list_commands(ctx)]
@@ -47,26 +47,26 @@
         return getattr(import_module(f"plumwall.cli.{module}"), attribute)
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """Run gateways, the services round them, and the world that they are tried in.
+    """Run gateways, the services that they use, and an emulated environment to test them in.
 
     \b
-    Exit status: 0 done, 1 the work failed or a rule broke, 2 bad use or a bad file.
+    Exit status: 0 success, 1 failure or a broken rule, 2 wrong usage or an invalid file.
     Completion:  eval "$(_PLUMWALL_COMPLETE=bash_source plumwall)"   (or zsh_source, fish_source)
     """
 
 
 @cli.command()
-@as_json
+@json_option
 def version(json_: bool) -> None:
-    """Say which version this is, and of what it is made.
+    """Show the versions of plumwall, Python and the libraries in use.
 
     \b
     Example:
       plumwall version --json
     """
-    fields(
+    print_fields(
         {
             "plumwall": VERSION,
             "python": platform.python_version(),
@@ -77,5 +77,5 @@
 
 
 def main() -> None:
-    """The entry of `python -m plumwall` and of the script."""
+    """Entry point of `python -m plumwall` and of the installed `plumwall` script."""
     cli(prog_name="plumwall")
--- a/plumwall/cli/members.py
+++ b/plumwall/cli/members.py
@@ -1,4 +1,4 @@
-"""`plumwall members`, `plumwall verdicts`: who of a fleet is there, and what its gateways find of servers."""
+"""`plumwall members` and `plumwall verdicts`: members of a fleet, and servers that fail for its gateways."""
 
 from __future__ import annotations
 
@@ -7,88 +7,110 @@
 
 import click
 
-from plumwall.cli.console import WorkFailedError, as_json, say_json, say_table
-from plumwall.cli.servers import addresses
+from plumwall.cli.console import WorkFailedError, json_option, print_json, print_table
+from plumwall.cli.servers import parse_addresses
 from yewstage.net.config import Address
 from yewstage.registry.client import get_once
 
-WAIT_S = 2.0
-SEEN = ("name", "zone", "region", "state", "for", "incarnation", "by", "seen otherwise by")
-STATES = ("alive", "suspect", "dead", "left")
-VERDICTS = ("server", "fails for", "of zones", "gateways (times in a row)", "oldest word")
-ASKED = ("asked", "name", *STATES, "health", "false suspicions", "dropped", "trouble")
+STATUS_TIMEOUT_S = 2.0
+MEMBER_COLUMNS = ("name", "zone", "region", "state", "for", "incarnation", "by", "seen otherwise by")
+MEMBER_STATES = ("alive", "suspect", "dead", "left")
+VERDICT_COLUMNS = ("server", "fails for", "of zones", "gateways (times in a row)", "oldest word")
+GATEWAY_COLUMNS = ("asked", "name", *MEMBER_STATES, "health", "false suspicions", "dropped", "trouble")
 
 
 at_option = click.option(
-    "--at", required=True, callback=addresses, help="Gateways' operators' addresses, HOST:PORT,..."
+    "--at",
+    required=True,
+    callback=parse_addresses,
+    help="Operators' addresses of gateways, HOST:PORT,...",
 )
 
 
 @click.command()
 @at_option
-@as_json
+@json_option
 def verdicts(at: list[Address], json_: bool) -> None:
-    """Show which servers fail for which gateways, as the first of these that answers knows it of all.
+    """Show which servers fail for which gateways, as known to the first of these gateways that answers.
 
-    Each gateway judges by itself; nothing is done by what others find yet.
+    Each gateway judges servers by its own requests; the reports of others do not affect it.
 
     \b
     Example:
       plumwall verdicts --at 127.0.0.1:9601,127.0.0.1:9602
     """
-    told = next((one for one in asyncio.run(_told(at)) if one.get("started")), None)
-    if told is None:
-        raise WorkFailedError("none of them answers, or none has peers")
-    rows = [_verdict(server, found) for server, found in sorted(told["servers"].items())]
-    say_table(VERDICTS, rows, f"as {told['name']} knows it", json_)
-
-
-def _verdict(server: str, found: list[dict[str, object]]) -> list[object]:
-    zones = sorted({row["zone"] for row in found})
-    who = ", ".join(f"{row['gateway']} ({row['times']})" for row in sorted(found, key=lambda r: r["gateway"]))
-    return [server, len(found), " ".join(zones), who, f"{max(row['ageMs'] for row in found) / 1000:.1f} s"]
+    status = next((each for each in asyncio.run(_statuses(at)) if each.get("started")), None)
+    if status is None:
+        raise WorkFailedError("no gateway answers, or none of them has peers")
+    rows = [_verdict_row(server, reports) for server, reports in sorted(status["servers"].items())]
+    print_table(VERDICT_COLUMNS, rows, f"as {status['name']} knows it", json_)
+
+
+def _verdict_row(server: str, reports: list[dict[str, object]]) -> list[object]:
+    zones = sorted({row["zone"] for row in reports})
+    gateways = ", ".join(
+        f"{row['gateway']} ({row['times']})" for row in sorted(reports, key=lambda row: row["gateway"])
+    )
+    return [
+        server,
+        len(reports),
+        " ".join(zones),
+        gateways,
+        f"{max(row['ageMs'] for row in reports) / 1000:.1f} s",
+    ]
 
 
 @click.command()
 @at_option
-@as_json
+@json_option
 def members(at: list[Address], json_: bool) -> None:
-    """Show who of a fleet is there, as each of these gateways sees it. 1 if they differ or one is gone.
+    """Show the members of a fleet as each of these gateways sees them.
+
+    Exits with 1 if the views differ, a member is suspect or dead, or a gateway has trouble
+    or does not answer.
 
     \b
     Example:
       plumwall members --at 127.0.0.1:9601,127.0.0.1:9602,127.0.0.1:9603
     """
-    told = asyncio.run(_told(at))
+    statuses = asyncio.run(_statuses(at))
     names = [f"{host}:{port}" for host, port in at]
     if json_:
-        say_json(dict(zip(names, told, strict=True)))
+        print_json(dict(zip(names, statuses, strict=True)))
     else:
-        say_table(SEEN, _seen(told))
-        say_table(ASKED, [_asked(*pair) for pair in zip(names, told, strict=True)])
-    if not _well(told):
+        print_table(MEMBER_COLUMNS, _member_rows(statuses))
+        print_table(GATEWAY_COLUMNS, [_gateway_row(*pair) for pair in zip(names, statuses, strict=True)])
+    if not _is_healthy(statuses):
         raise SystemExit(1)
 
 
-async def _told(at: list[Address]) -> list[dict[str, object]]:
-    return list(await asyncio.gather(*(get_once(one, "/ops/members", WAIT_S) for one in at)))
+async def _statuses(at: list[Address]) -> list[dict[str, object]]:
+    return list(
+        await asyncio.gather(*(get_once(address, "/ops/members", STATUS_TIMEOUT_S) for address in at))
+    )
 
 
-def _well(told: list[dict[str, object]]) -> bool:
-    views = [{m["name"]: (m["state"], m["incarnation"]) for m in one.get("members", ())} for one in told]
-    fine = all(state in ("alive", "left") for view in views for state, _ in view.values())
-    return fine and all(view and view == views[0] for view in views) and not any(map(_trouble, told))
+def _is_healthy(statuses: list[dict[str, object]]) -> bool:
+    views = [
+        {m["name"]: (m["state"], m["incarnation"]) for m in status.get("members", ())} for status in statuses
+    ]
+    all_up = all(state in ("alive", "left") for view in views for state, _ in view.values())
+    return all_up and all(view and view == views[0] for view in views) and not any(map(_trouble, statuses))
 
 
-def _seen(told: list[dict[str, object]]) -> list[list[object]]:
-    """Each member as the first that was asked sees it, and who sees it otherwise."""
-    newest: dict[str, dict[str, object]] = {}
-    for one in told:
-        for row in one.get("members", ()):
-            newest.setdefault(row["name"], row)
+def _member_rows(statuses: list[dict[str, object]]) -> list[list[object]]:
+    """One row per member, as the first gateway that knows it reports it, and the gateways that differ."""
+    first_seen: dict[str, dict[str, object]] = {}
+    for status in statuses:
+        for row in status.get("members", ()):
+            first_seen.setdefault(row["name"], row)
     rows = []
-    for name, row in sorted(newest.items()):
-        differ = [one["name"] for one in told if one.get("started") and _state(one, name) != row["state"]]
+    for name, row in sorted(first_seen.items()):
+        differing = [
+            status["name"]
+            for status in statuses
+            if status.get("started") and _member_state(status, name) != row["state"]
+        ]
         since = f"{row['sinceMs'] / 1000:.1f} s"
         rows.append(
             [
@@ -99,30 +121,38 @@
                 since,
                 row["incarnation"],
                 row["by"],
-                ", ".join(differ),
+                ", ".join(differing),
             ]
         )
     return rows
 
 
-def _state(one: dict[str, object], name: str) -> str:
-    return next((row["state"] for row in one["members"] if row["name"] == name), "unknown")
+def _member_state(status: dict[str, object], name: str) -> str:
+    return next((row["state"] for row in status["members"] if row["name"] == name), "unknown")
 
 
-def _asked(at: str, one: dict[str, object]) -> list[object]:
-    if not one:
+def _gateway_row(at: str, status: dict[str, object]) -> list[object]:
+    if not status:
         return [at, "", *[""] * 7, "no answer, or it has no peers"]
-    if not one["started"]:
-        return [at, one["name"], *[""] * 7, "waits for the process before it"]
-    count = Counter(row["state"] for row in one["members"])
-    states = [count[state] for state in STATES]
-    dropped = ", ".join(f"{n} {why}" for why, n in sorted(one["dropped"].items()))
-    return [at, one["name"], *states, one["health"], one["falseSuspicions"], dropped, _trouble(one)]
-
-
-def _trouble(one: dict[str, object]) -> str:
-    if not one:
+    if not status["started"]:
+        return [at, status["name"], *[""] * 7, "waits for the process before it"]
+    count_by_state = Counter(row["state"] for row in status["members"])
+    states = [count_by_state[state] for state in MEMBER_STATES]
+    dropped = ", ".join(f"{n} {reason}" for reason, n in sorted(status["dropped"].items()))
+    return [
+        at,
+        status["name"],
+        *states,
+        status["health"],
+        status["falseSuspicions"],
+        dropped,
+        _trouble(status),
+    ]
+
+
+def _trouble(status: dict[str, object]) -> str:
+    if not status:
         return "no answer"
-    if one.get("contested"):
+    if status.get("contested"):
         return "its name is used twice"
-    return "hears badly: it asks more slowly" if one.get("health", 0) > 2 else ""
+    return "hears badly: it asks more slowly" if status.get("health", 0) > 2 else ""
--- a/plumwall/cli/play.py
+++ b/plumwall/cli/play.py
@@ -1,4 +1,4 @@
-"""`up` and `load`: run a world and its gateways, or only a load on gateways that are up."""
+"""`plumwall up` and `plumwall load`: run an emulated environment with gateways, or load existing gateways."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 from plumwall import scenario as scenarios
 from plumwall.cli.console import (
-    BadFileError,
-    PlainLines,
+    BadInputError,
+    PlainProgress,
     WorkFailedError,
     err,
-    host_port,
+    make_table,
     out,
-    say_json,
-    table,
+    parse_host_port,
+    print_json,
 )
-from plumwall.cli.scenario import found
+from plumwall.cli.scenario import load_scenario
 from plumwall.cli.service import log_format
 from plumwall.emulator.fleet import StartError
 from plumwall.emulator.metrics import Exporter
@@ -34,19 +34,19 @@
 from yewstage.log import TEXT
 from yewstage.net.config import Address
 
-RATE_OF_A_WORKER = 3000.0  # first tries a second that one process of clients or servers carries with ease
-SHOWN = 10  # findings on the screen; the rest is in the run's folder
+WORKER_RATE_PER_S = 3000.0  # first tries per second that one process of clients or servers handles with ease
+MAX_PRINTED_FINDINGS = 10  # outcome.json in the run's folder has all of them
 
 
-class Screen:
-    """What is seen while a run goes on: a table that is drawn anew, or plain lines."""
+class ProgressDisplay:
+    """Progress of a run on stderr: a live table on a terminal, otherwise plain lines."""
 
     def __init__(self, title: str, json_: bool) -> None:
-        self._title, self._plain = title, PlainLines()
+        self._title, self._plain_progress = title, PlainProgress()
         self._live = Live(console=err, refresh_per_second=4, transient=True) if err.is_terminal else None
         self._quiet = json_ and self._live is None
 
-    def __enter__(self) -> Screen:
+    def __enter__(self) -> ProgressDisplay:
         if self._live is not None:
             self._live.start()
         return self
@@ -55,31 +55,31 @@
         if self._live is not None:
             self._live.stop()
 
-    def say(self, text: str) -> None:
-        """Where the run is."""
+    def report(self, text: str) -> None:
+        """Print one line about the phase of the run."""
         err.print(f"[dim]{text}[/dim]") if self._live is not None else click.echo(text, err=True)
 
-    def look(self, seen: RunStatus) -> None:
-        """Figures once a second."""
+    def update(self, status: RunStatus) -> None:
+        """Show the figures of the last second; called once a second."""
         if self._live is not None:
             self._live.update(
                 Group(
-                    f"[bold]{self._title}[/bold]  {seen.at_s:.0f} s   last fault: {seen.fault or 'none'}",
-                    self._table(seen),
+                    f"[bold]{self._title}[/bold]  {status.at_s:.0f} s   last fault: {status.fault or 'none'}",
+                    self._make_status_table(status),
                 )
             )
         elif not self._quiet:
-            served = sum(s.served for s in seen.gateways.values())
-            tries = sum(s.tries for s in seen.gateways.values())
-            self._plain.say(
-                f"{seen.at_s:.0f} s: {tries} tries a second ended, {served} served; last fault: "
-                f"{seen.fault or 'none'}"
+            served = sum(second.served for second in status.gateways.values())
+            tries = sum(second.tries for second in status.gateways.values())
+            self._plain_progress.report(
+                f"{status.at_s:.0f} s: {tries} tries ended in the last second, {served} served; last fault: "
+                f"{status.fault or 'none'}"
             )
 
-    def _table(self, seen: RunStatus) -> Table:
+    def _make_status_table(self, status: RunStatus) -> Table:
         rows = []
-        for name in sorted(seen.metrics or seen.gateways, key=lambda n: (len(n), n)):
-            second, figures = seen.gateways.get(name), seen.metrics.get(name, {})
+        for name in sorted(status.metrics or status.gateways, key=lambda name: (len(name), name)):
+            second, metrics = status.gateways.get(name), status.metrics.get(name, {})
             counts = (
                 (second.tries, second.served, second.refused, second.failed, second.p50_ms, second.p99_ms)
                 if second
@@ -88,13 +88,13 @@
             rows.append(
                 (
                     name,
-                    seen.states.get(name, "-"),
+                    status.states.get(name, "-"),
                     *counts,
-                    _pressure(figures),
-                    figures.get("process_resident_memory_bytes", 0.0) / 2**20,
+                    _format_pressure(metrics),
+                    metrics.get("process_resident_memory_bytes", 0.0) / 2**20,
                 )
             )
-        return table(
+        return make_table(
             (
                 "gateway",
                 "state",
@@ -111,24 +111,26 @@
         )
 
 
-def _pressure(figures: dict[str, float]) -> str:
-    """The smoothed occupancy that the ramp goes by, and the part of new work that it lets in."""
-    if "gateway_pressure" not in figures:
+def _format_pressure(metrics: dict[str, float]) -> str:
+    """The smoothed occupancy used by admission control, and the share of new requests that it admits."""
+    if "gateway_pressure" not in metrics:
         return "-"
-    return f"{figures['gateway_pressure']:.2f}, lets in {figures['gateway_admitted_share']:.0%}"
+    return f"{metrics['gateway_pressure']:.2f}, lets in {metrics['gateway_admitted_share']:.0%}"
 
 
-def _metrics(context: click.Context, parameter: click.Parameter, value: str | None) -> Address | None:
-    return host_port("--metrics", value) if value else None
+def _parse_metrics_address(
+    context: click.Context, parameter: click.Parameter, value: str | None
+) -> Address | None:
+    return parse_host_port("--metrics", value) if value else None
 
 
 @contextmanager
-def _exporter(at: Address | None, screen: Screen) -> Iterator[Exporter]:
-    """Figures for Prometheus for as long as a run lasts."""
+def _serve_metrics(address: Address | None, display: ProgressDisplay) -> Iterator[Exporter]:
+    """Serve Prometheus metrics during a run if an address is given; raises WorkFailedError if it cannot."""
     exporter = Exporter()
-    if at is not None:
+    if address is not None:
         try:
-            screen.say(f"figures at http://{at[0]}:{exporter.serve(at)}/metrics")
+            display.report(f"metrics at http://{address[0]}:{exporter.serve(address)}/metrics")
         except OSError as error:
             raise WorkFailedError(f"--metrics: {error}") from None
     try:
@@ -137,48 +139,60 @@
         exporter.close()
 
 
-def _shared(command: Callable) -> Callable:
-    """Options of both commands."""
+def _run_options(command: Callable) -> Callable:
+    """Decorator that adds the options common to `up` and `load`."""
     for option in (
-        click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Draws the day."),
         click.option(
-            "--rate", type=click.FloatRange(0, min_open=True), help="First tries a second inside quotas."
+            "--seed",
+            type=click.IntRange(0),
+            default=1,
+            show_default=True,
+            help="Seed of the generated world and workload.",
+        ),
+        click.option(
+            "--rate", type=click.FloatRange(0, min_open=True), help="First tries per second within quotas."
+        ),
+        click.option(
+            "--length", type=click.FloatRange(0, min_open=True), help="Length of the load in seconds."
         ),
-        click.option("--length", type=click.FloatRange(0, min_open=True), help="Of the load, seconds."),
         click.option(
             "--to",
             "to_rate",
             type=click.FloatRange(0, min_open=True),
-            help="A ramp: the rate that the load ends at.",
+            help="Ramp up or down to this rate at the end of the load.",
         ),
         click.option(
             "--burst",
             nargs=3,
             type=click.FloatRange(0),
             default=None,
-            help="A burst: its rate, when it begins and how long it lasts (seconds).",
+            help="A burst: its rate, start and duration (in seconds).",
         ),
         click.option(
             "--out",
             "folder",
             type=click.Path(file_okay=False, path_type=Path),
-            help="Where records and logs go. Default: runs/NAME-SEED-TIME.",
+            help="Folder for records and logs. Default: runs/NAME-SEED-TIME.",
+        ),
+        click.option(
+            "--workers",
+            type=click.IntRange(1, 64),
+            help="Number of client processes (default: by the rate); `up` runs half as many for servers.",
         ),
-        click.option("--workers", type=click.IntRange(1, 64), help="Processes of clients, and of servers."),
         click.option("--json", "json_", is_flag=True, help="Print the outcome as JSON."),
         click.option(
             "--metrics",
             metavar="HOST:PORT",
-            callback=_metrics,
-            help="Answer Prometheus there while the run goes on.",
+            callback=_parse_metrics_address,
+            help="Serve Prometheus metrics on this address during the run.",
         ),
     ):
         command = option(command)
     return command
 
 
-def changed(
-    made: scenarios.Scenario,
+def with_overrides(
+    base: scenarios.Scenario,
     rate: float | None,
     length: float | None,
     to_rate: float | None,
@@ -186,52 +200,55 @@
     gateways: int | None = None,
     servers: int | None = None,
 ) -> scenarios.Scenario:
-    """A scenario with what the command line says instead."""
+    """A copy of a scenario with values of the command line; raises BadInputError if the result is invalid."""
     replace = msgspec.structs.replace
-    load = made.load
+    load = base.load
     if rate is not None:
         load = replace(load, rate_per_s=rate)
     if to_rate is not None:
         load = replace(load, shape="ramp", to_per_s=to_rate)
     if burst:
         load = replace(load, shape="burst", to_per_s=burst[0], burst_at_s=burst[1], burst_for_s=burst[2])
-    made = replace(made, load=load, length_s=length if length is not None else made.length_s)
+    base = replace(base, load=load, length_s=length if length is not None else base.length_s)
     if gateways is not None:
-        made = replace(made, fleet=replace(made.fleet, gateways=gateways))
+        base = replace(base, fleet=replace(base.fleet, gateways=gateways))
     if servers is not None:
-        made = replace(made, servers=replace(made.servers, count=servers))
+        base = replace(base, servers=replace(base.servers, count=servers))
     try:
-        scenarios.check(made)
-        return scenarios.decode_json(scenarios.encode(made))
+        scenarios.check(base)
+        return scenarios.decode_json(scenarios.encode(base))
     except scenarios.ScenarioError as error:
-        raise BadFileError(str(error)) from None
+        raise BadInputError(str(error)) from None
 
 
 def _client_workers(workers: int | None, load: scenarios.Load) -> int:
-    """What was asked for, else as many as the load wants."""
-    return workers or max(1, round(max(load.rate_per_s, load.to_per_s) / RATE_OF_A_WORKER))
+    """The number of client processes: the given one, or one per `WORKER_RATE_PER_S` of the peak rate."""
+    return workers or max(1, round(max(load.rate_per_s, load.to_per_s) / WORKER_RATE_PER_S))
 
 
 def run_folder(folder: Path | None, name: str, seed: int) -> Path:
-    """Where a run's files go: what was asked for, which has to be empty, or a folder of its own."""
-    made = folder or Path("runs") / f"{name}-{seed}-{time.strftime('%Y%m%dT%H%M%S')}"
-    if made.exists() and any(made.iterdir()):
-        raise BadFileError(f"--out: {made} is not empty")
-    return made
+    """The folder for a run's files: the given one, or a new name below `runs/`.
+
+    Raises BadInputError if the folder exists and is not empty.
+    """
+    run_dir = folder or Path("runs") / f"{name}-{seed}-{time.strftime('%Y%m%dT%H%M%S')}"
+    if run_dir.exists() and any(run_dir.iterdir()):
+        raise BadInputError(f"--out: {run_dir} is not empty")
+    return run_dir
 
 
-def _play(work: Callable[[], Coroutine]) -> object:
-    """Run to the end; SIGINT and SIGTERM end it in order, children first."""
+def _run_until_signal(work: Callable[[], Coroutine]) -> object:
+    """Run a coroutine. SIGINT and SIGTERM cancel it, so that it ends its children; then returns None."""
 
-    async def guarded() -> object:
+    async def run_with_signal_handlers() -> object:
         task = asyncio.current_task()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, task.cancel)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, task.cancel)
         return await work()
 
     try:
-        return asyncio.run(guarded())
+        return asyncio.run(run_with_signal_handlers())
     except asyncio.CancelledError:
         return None
     except StartError as error:
@@ -240,18 +257,20 @@
 
 @click.command()
 @click.argument("name", metavar="[SCENARIO]", default="quiet")
-@_shared
-@click.option("--gateways", type=click.IntRange(1, 250), help="How many.")
-@click.option("--servers", type=click.IntRange(1, 2000), help="How many.")
+@_run_options
+@click.option("--gateways", type=click.IntRange(1, 250), help="Number of gateways.")
+@click.option("--servers", type=click.IntRange(1, 2000), help="Number of servers.")
 @click.option(
     "--deploy",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
     default=DEPLOY,
-    help="The deploy file whose `run` starts a gateway.",
+    help="Deploy file whose `run` command starts a gateway.",
     show_default="the project's own",
 )
 @log_format
-@click.option("--no-load", is_flag=True, help="Only the world and its gateways, until Ctrl-C.")
+@click.option(
+    "--no-load", is_flag=True, help="Run the environment and its gateways without a load, until Ctrl-C."
+)
 def up(
     name: str,
     seed: int,
@@ -269,10 +288,10 @@
     log_format: str | None,
     no_load: bool,
 ) -> None:
-    """Play a SCENARIO: servers, counter, lists, customers and faults round real gateways, then judge the run.
+    """Run a SCENARIO with real gateways and emulated servers, counter, server lists, clients and faults.
 
-    Without SCENARIO it is an ordinary day, `quiet`. Ends with 1 if a rule broke, a gateway crashed or the
-    load tool was late.
+    The default scenario, `quiet`, is ordinary load. The run is checked against the rules: exits with 1 if
+    a rule was broken, a gateway crashed or the load generator was late.
 
     \b
     Examples:
@@ -280,38 +299,41 @@
       plumwall up zone-lost --seed 3 --gateways 10 --servers 30 --rate 200
       plumwall up --no-load
     """
-    made = changed(found(name), rate, length, to_rate, burst, gateways, servers)
-    count = _client_workers(workers, made.load)
-    where = run_folder(folder, made.name, seed)
-    with Screen(f"{made.name}, seed {seed}", json_) as screen, _exporter(metrics, screen) as exporter:
+    scenario = with_overrides(load_scenario(name), rate, length, to_rate, burst, gateways, servers)
+    worker_count = _client_workers(workers, scenario.load)
+    run_dir = run_folder(folder, scenario.name, seed)
+    with (
+        ProgressDisplay(f"{scenario.name}, seed {seed}", json_) as display,
+        _serve_metrics(metrics, display) as exporter,
+    ):
         run = Run(
             Options(
-                scenario=made,
+                scenario=scenario,
                 seed=seed,
-                folder=where,
+                folder=run_dir,
                 deploy=deploy,
                 log_format=log_format or TEXT,
-                client_workers=0 if no_load else count,
-                host_workers=(count + 1) // 2,
+                client_workers=0 if no_load else worker_count,
+                host_workers=(worker_count + 1) // 2,
             ),
-            screen.say,
-            screen.look,
+            display.report,
+            display.update,
             exporter,
         )
-        outcome = _play(lambda: _hold(run, screen) if no_load else run.play())
+        outcome = _run_until_signal(lambda: _serve_until_signal(run, display) if no_load else run.play())
     if no_load:
         return
-    report(outcome, json_)
+    report_outcome(outcome, json_)
 
 
-async def _hold(run: Run, screen: Screen) -> None:
+async def _serve_until_signal(run: Run, display: ProgressDisplay) -> None:
     task = asyncio.ensure_future(run.serve_until_cancelled())
     while not task.done() and not run.t0:
         await asyncio.sleep(0.1)
     if run.t0:
         at = ",".join(gateway.listen for gateway in run.gateways.values())
-        screen.say(
-            f"gateways are up; to try them: plumwall load --at {at} --scenario {run.scenario.name} "
+        display.report(
+            f"gateways are ready; to load them: plumwall load --at {at} --scenario {run.scenario.name} "
             f"--seed {run.options.seed}"
         )
     try:
@@ -322,25 +344,25 @@
         raise
 
 
-def _gateways(context: click.Context, parameter: click.Parameter, value: str) -> list[str]:
-    return ["{}:{}".format(*host_port("--at", at)) for at in value.split(",")]
+def _parse_gateway_addresses(context: click.Context, parameter: click.Parameter, value: str) -> list[str]:
+    return ["{}:{}".format(*parse_host_port("--at", at)) for at in value.split(",")]
 
 
 @click.command()
-@_shared
+@_run_options
 @click.option(
     "--at",
     required=True,
     metavar="HOST:PORT[,...]",
-    callback=_gateways,
-    help="Addresses of the gateways, in the order of their numbers.",
+    callback=_parse_gateway_addresses,
+    help="Addresses of the gateways, ordered by gateway number.",
 )
 @click.option(
     "--scenario",
     "name",
     default="quiet",
     show_default=True,
-    help="Classes, plans, customers and clients, by name or file.",
+    help="Scenario, by name or file, that defines classes, plans, customers and clients.",
 )
 def load(
     seed: int,
@@ -355,10 +377,10 @@
     at: list[str],
     name: str,
 ) -> None:
-    """Load gateways that are up already.
+    """Generate load on gateways that already run.
 
-    An open loop: tries are sent when they are due, however long answers take; latency counts from then. A run
-    whose tool was late is void, and ends with 1.
+    The load is an open loop: tries are sent when due, however long answers take, and latency is measured
+    from the due time. If the load generator was late, the run is void and exits with 1.
 
     \b
     Examples:
@@ -366,28 +388,31 @@
       plumwall load --at 127.0.0.1:8081,127.0.0.1:8082 --rate 50 --to 500
       plumwall load --at 127.0.0.1:8081 --burst 300 5 2 --json
     """
-    made = changed(found(name), rate, length, to_rate, burst, gateways=len(at))
-    count = _client_workers(workers, made.load)
-    where = run_folder(folder, f"load-{made.name}", seed)
-    with Screen(f"load of {made.name}, seed {seed}", json_) as screen, _exporter(metrics, screen) as exporter:
+    scenario = with_overrides(load_scenario(name), rate, length, to_rate, burst, gateways=len(at))
+    worker_count = _client_workers(workers, scenario.load)
+    run_dir = run_folder(folder, f"load-{scenario.name}", seed)
+    with (
+        ProgressDisplay(f"load of {scenario.name}, seed {seed}", json_) as display,
+        _serve_metrics(metrics, display) as exporter,
+    ):
         run = Run(
-            Options(scenario=made, seed=seed, folder=where, client_workers=count, gateways=at),
-            screen.say,
-            screen.look,
+            Options(scenario=scenario, seed=seed, folder=run_dir, client_workers=worker_count, gateways=at),
+            display.report,
+            display.update,
             exporter,
         )
-        outcome = _play(run.play)
-    report(outcome, json_)
+        outcome = _run_until_signal(run.play)
+    report_outcome(outcome, json_)
 
 
-def report(outcome: RunOutcome | None, json_: bool) -> None:
-    """Figures and findings; the exit status says whether all is well."""
+def report_outcome(outcome: RunOutcome | None, json_: bool) -> None:
+    """Print figures and findings; raises WorkFailedError if the run ended early, is void or broke a rule."""
     if outcome is None:
-        raise WorkFailedError("ended before the run was over")
+        raise WorkFailedError("the run was ended early")
     if json_:
-        say_json(outcome)
+        print_json(outcome)
     else:
-        _print(outcome)
+        _print_outcome(outcome)
     verdict = outcome.verdict
     if outcome.void:
         raise WorkFailedError(f"void: {outcome.void}")
@@ -396,10 +421,10 @@
         raise WorkFailedError(f"rules broken: {broken}")
 
 
-def _print(outcome: RunOutcome) -> None:
+def _print_outcome(outcome: RunOutcome) -> None:
     rows = [tuple(getattr(row, name) for name in row.__struct_fields__) for row in outcome.rows]
     out.print(
-        table(
+        make_table(
             ("by", "name", "tries", "served", "refused", "failed", "p50 ms", "p90 ms", "p99 ms", "max ms"),
             rows,
         )
@@ -435,18 +460,19 @@
     )
     counts = ", ".join(f"{value:g} {name.replace('_', ' ')}" for name, value in verdict.counts.items())
     out.print(f"  {counts}", markup=False)
-    cpu = sum(outcome.cpu_s.values()) / max(1, outcome.tries) * 1e6
+    cpu_us_per_try = sum(outcome.cpu_s.values()) / max(1, outcome.tries) * 1e6
     out.print(
-        f"  gateways: {cpu:.0f} us of processor time a try, starts included; "
+        f"  gateways: {cpu_us_per_try:.0f} us of processor time a try, starts included; "
         f"{max(outcome.memory_mb.values(), default=0):.0f} MiB at the most",
         markup=False,
     )
     reasons = ", ".join(f"{reason} {count:,}" for reason, count in outcome.refusals.items() if count)
     out.print(f"  refused by gateways: {reasons or 'nothing'}", markup=False)
     out.print("[green]rules kept[/green]" if verdict.kept else "[red]rules broken[/red]")
-    for finding in verdict.findings[:SHOWN]:
+    for finding in verdict.findings[:MAX_PRINTED_FINDINGS]:
         out.print(f"  {finding.line()}", markup=False)
-    if len(verdict.findings) > SHOWN:
+    if len(verdict.findings) > MAX_PRINTED_FINDINGS:
         out.print(
-            f"  and {len(verdict.findings) - SHOWN} more in {outcome.folder}/outcome.json", markup=False
+            f"  and {len(verdict.findings) - MAX_PRINTED_FINDINGS} more in {outcome.folder}/outcome.json",
+            markup=False,
         )
--- a/plumwall/cli/scenario.py
+++ b/plumwall/cli/scenario.py
@@ -1,66 +1,70 @@
-"""Commands on scenarios: which there are, what a file may say, whether one can be played, what it draws."""
+"""`plumwall scenario`: lists and validates scenarios, documents their fields, shows what they generate."""
 
 from __future__ import annotations
 
 import click
 
 from plumwall import scenario as scenarios
-from plumwall.cli.console import BadFileError, as_json, fields, say_json, say_table
+from plumwall.cli.console import BadInputError, json_option, print_fields, print_json, print_table
 
 
-def found(name: str) -> scenarios.Scenario:
-    """A scenario by its name or file; bad ones end the command with the path of the field."""
+def load_scenario(name: str) -> scenarios.Scenario:
+    """Load a scenario by name or file; raises BadInputError, which names the invalid field."""
     try:
         return scenarios.load(scenarios.find(name))
     except scenarios.ScenarioError as error:
-        raise BadFileError(str(error)) from None
+        raise BadInputError(str(error)) from None
 
 
 @click.group()
 def scenario() -> None:
-    """Scenarios: worlds that gateways are tried in."""
+    """Scenarios: the environments, workloads and faults that gateways are tested with."""
 
 
 @scenario.command("list")
-@as_json
+@json_option
 def list_(json_: bool) -> None:
-    """Show the scenarios that come with the program.
+    """List the built-in scenarios.
 
     \b
     Example:
       plumwall scenario list
     """
-    rows = [(name, made.length_s, made.about) for name in scenarios.built_in() for made in [found(name)]]
-    say_table(("name", "length_s", "about"), rows, json_=json_)
+    rows = [
+        (name, loaded.length_s, loaded.about)
+        for name in scenarios.built_in()
+        for loaded in [load_scenario(name)]
+    ]
+    print_table(("name", "length_s", "about"), rows, json_=json_)
 
 
 @scenario.command()
 @click.argument("name", metavar="SCENARIO")
-@as_json
+@json_option
 def check(name: str, json_: bool) -> None:
-    """Check a SCENARIO by its name or file; nothing is started.
+    """Validate a SCENARIO, given by name or file, without starting it.
 
     \b
     Example:
       plumwall scenario check my-day.toml
     """
-    made = found(name)
-    fields(
+    loaded = load_scenario(name)
+    print_fields(
         {
-            "name": made.name,
-            "about": made.about,
-            "length_s": made.length_s,
-            "gateways": made.fleet.gateways,
-            "servers": made.servers.count,
-            "rate_per_s": made.load.rate_per_s,
-            "faults": len(made.faults),
+            "name": loaded.name,
+            "about": loaded.about,
+            "length_s": loaded.length_s,
+            "gateways": loaded.fleet.gateways,
+            "servers": loaded.servers.count,
+            "rate_per_s": loaded.load.rate_per_s,
+            "faults": len(loaded.faults),
         },
         json_,
     )
 
 
 @scenario.command("fields")
-@as_json
+@json_option
 def fields_(json_: bool) -> None:
     """Show every field of a scenario file, with its unit and default.
 
@@ -68,46 +72,54 @@
     Example:
       plumwall scenario fields
     """
-    say_table(
+    print_table(
         ("field", "unit", "default", "meaning"),
-        [(f.path, f.unit, f.default, f.meaning) for f in scenarios.describe()],
+        [(field.path, field.unit, field.default, field.meaning) for field in scenarios.describe()],
         json_=json_,
     )
 
 
 @scenario.command()
 @click.argument("name", metavar="SCENARIO")
-@click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Draws the day.")
-@click.option("--all", "all_", is_flag=True, help="Every request, customer and server, not only a summary.")
-@as_json
+@click.option(
+    "--seed",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Seed of the generated world and workload.",
+)
+@click.option(
+    "--all", "all_", is_flag=True, help="Show every request, customer and server instead of a summary."
+)
+@json_option
 def draw(name: str, seed: int, all_: bool, json_: bool) -> None:
-    """Show what a SCENARIO draws by a seed: the same each time, byte for byte.
+    """Show what a SCENARIO generates from a seed. The output is the same each time, byte for byte.
 
     \b
     Examples:
       plumwall scenario draw zone-lost --seed 3
       plumwall scenario draw zone-lost --seed 3 --all > day.jsonl
     """
-    from plumwall.world.generator import GeneratedWorld  # numpy is needed here alone
+    from plumwall.world.generator import GeneratedWorld  # imports numpy, which other commands do not need
 
-    day = GeneratedWorld(found(name), seed)
+    world = GeneratedWorld(load_scenario(name), seed)
     if all_:
-        for line in day.lines():
+        for line in world.lines():
             click.echo(line)
     elif json_:
-        say_json(
+        print_json(
             {
-                "servers": len(day.servers),
-                "customers": len(day.customers),
-                "first_tries": len(day.tries),
-                "changes": day.changes,
+                "servers": len(world.servers),
+                "customers": len(world.customers),
+                "first_tries": len(world.tries),
+                "changes": world.changes,
             }
         )
     else:
         click.echo(
-            f"{len(day.servers)} servers, {len(day.customers)} customers, {len(day.tries)} first tries"
+            f"{len(world.servers)} servers, {len(world.customers)} customers, {len(world.tries)} first tries"
         )
-        say_table(
+        print_table(
             ("at_s", "change", "target", "size"),
-            [(c.at_ms / 1000, c.kind, c.target, c.size) for c in day.changes],
+            [(change.at_ms / 1000, change.kind, change.target, change.size) for change in world.changes],
         )
--- a/plumwall/cli/service.py
+++ b/plumwall/cli/service.py
@@ -1,4 +1,4 @@
-"""Commands that become one of the programs in service."""
+"""Commands that run a production program: the gateway, the list service or the checker."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 
 import click
 
-from plumwall.cli.console import FILE
+from plumwall.cli.console import EXISTING_FILE
 from yewstage.log import FORMATS
 
 
 def log_format(command: Callable) -> Callable:
-    """How the program logs."""
+    """Decorator that adds the `--log-format` option of a production program."""
     return click.option(
         "--log-format",
         type=click.Choice(FORMATS),
-        help="Text for people, or JSON lines; goes before the file's `log`.",
+        help="Text, or JSON lines; overrides `log` in the file.",
     )(command)
 
 
-def chosen_format(chosen: str | None) -> list[str]:
+def log_format_arguments(chosen: str | None) -> list[str]:
+    """Command line arguments that pass a chosen log format on to the program."""
     return ["--log-format", chosen] if chosen else []
 
 
-def become(module: str, *words: str) -> None:
-    """Replace this process: what runs in service carries nothing of the workbench."""
+def exec_module(module: str, *words: str) -> None:
+    """Replace this process by a module's, so that a production program runs without workbench imports."""
     sys.stdout.flush()
     os.execv(sys.executable, [sys.executable, "-m", module, *words])
 
@@ -35,15 +36,15 @@
 @click.command()
 @click.option(
     "--config",
-    type=FILE,
+    type=EXISTING_FILE,
     envvar="ROUTER_CONFIG",
     required=True,
     show_envvar=True,
-    help="What the gateway is told, as JSON.",
+    help="JSON file with the gateway's configuration.",
 )
 @log_format
 def gateway(config: Path, log_format: str | None) -> None:
-    """Run one gateway, as `python -m yewstage` does.
+    """Run one gateway, like `python -m yewstage`.
 
     \b
     Example:
@@ -52,11 +53,13 @@
     os.environ["ROUTER_CONFIG"] = str(config)
     if log_format:
         os.environ["ROUTER_LOG"] = log_format
-    become("yewstage")
+    exec_module("yewstage")
 
 
 @click.command()
-@click.option("--config", type=FILE, required=True, help="What the list service is told, as JSON.")
+@click.option(
+    "--config", type=EXISTING_FILE, required=True, help="JSON file with the list service's configuration."
+)
 @log_format
 def registry(config: Path, log_format: str | None) -> None:
     """Run the list service.
@@ -65,17 +68,19 @@
     Example:
       plumwall registry --config registry.json
     """
-    become("yewstage.registry", "--config", str(config), *chosen_format(log_format))
+    exec_module("yewstage.registry", "--config", str(config), *log_format_arguments(log_format))
 
 
 @click.command()
-@click.option("--config", type=FILE, required=True, help="What the checker is told, as JSON.")
+@click.option(
+    "--config", type=EXISTING_FILE, required=True, help="JSON file with the checker's configuration."
+)
 @log_format
 def checker(config: Path, log_format: str | None) -> None:
-    """Run a checker of the listed servers.
+    """Run a health checker for the listed servers.
 
     \b
     Example:
       plumwall checker --config checker.json
     """
-    become("yewstage.checker", "--config", str(config), *chosen_format(log_format))
+    exec_module("yewstage.checker", "--config", str(config), *log_format_arguments(log_format))
--- a/plumwall/cli/torture.py
+++ b/plumwall/cli/torture.py
@@ -1,4 +1,7 @@
-"""`plumwall torture`: rounds of faults on real processes, until something breaks or all are played."""
+"""`plumwall torture` and `plumwall check-model`: fault injection on real processes, and model checking.
+
+A torture run and each search of a model end at the first breach, which is a broken guarantee.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
 import click
 import numpy as np
 
-from plumwall.cli.console import BadFileError, as_json, fields, waiting
-from plumwall.faults import torture as work
+from plumwall.cli.console import BadInputError, json_option, print_fields, show_progress
+from plumwall.faults import torture as fault_rounds
 from plumwall.faults.keyed import KeyedOutcome, KeyedPlan, KeyedTorture
 from plumwall.faults.members import MembersOutcome, MembersPlan, MembersTorture
 from plumwall.faults.shares import SharesOutcome, SharesPlan, SharesTorture
@@ -21,16 +24,23 @@
 
 @click.command()
 @click.argument("plan", default="holding")
-@click.option("--rounds", type=click.IntRange(1), default=20, show_default=True, help="How many faults.")
+@click.option("--rounds", type=click.IntRange(1), default=20, show_default=True, help="Number of faults.")
 @click.option(
-    "--seed", type=click.IntRange(0), default=1, show_default=True, help="Draws the same faults again."
+    "--seed",
+    type=click.IntRange(0),
+    default=1,
+    show_default=True,
+    help="Seed of the faults; the same seed gives the same faults.",
 )
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Keep folders and logs there.")
-@as_json
+@click.option(
+    "--out", type=click.Path(file_okay=False, path_type=Path), help="Folder in which state and logs are kept."
+)
+@json_option
 def torture(plan: str, rounds: int, seed: int, out: Path | None, json_: bool) -> None:
-    """Lose, stop, cut off and bring back real machines under writers, and check what they were promised.
+    """Inject faults into real processes under load: crashes, pauses, partitions, lost disks, restarts.
 
-    PLAN is a name or a TOML file. Ends 1 with the last calls before the breach if a promise was broken.
+    PLAN is a name or a TOML file. Checks the guarantees given to clients. If one is broken, exits with 1;
+    a plan of kind `copies` then prints the last calls before the breach.
 
     \b
     Example:
@@ -39,23 +49,33 @@
       plumwall torture members --rounds 50
     """
     try:
-        read = work.read_plan(plan)
+        parsed_plan = fault_rounds.read_plan(plan)
     except ValueError as error:
-        raise BadFileError(str(error)) from None
-    began = time.monotonic()
-    with tempfile.TemporaryDirectory() as folder, waiting("torture", json_) as say:
-        if isinstance(read, KeyedPlan):
-            keyed = asyncio.run(KeyedTorture(read, out or Path(folder), seed, say).play(rounds))
-            return tell_keyed(plan, seed, keyed, time.monotonic() - began, json_)
-        if isinstance(read, MembersPlan):
-            found = asyncio.run(MembersTorture(read, out or Path(folder), seed, say).play(rounds))
-            return tell_members(plan, seed, found, time.monotonic() - began, json_)
-        if isinstance(read, SharesPlan):
-            spent = asyncio.run(SharesTorture(read, out or Path(folder), seed, say).play(rounds))
-            return tell_shares(plan, seed, read, spent, time.monotonic() - began, json_)
-        drawn = work.draw(read, rounds, seed)
-        outcome = asyncio.run(work.run_torture(read, drawn, out or Path(folder), say))
-    fields(
+        raise BadInputError(str(error)) from None
+    start_s = time.monotonic()
+    with tempfile.TemporaryDirectory() as folder, show_progress("torture", json_) as report:
+        if isinstance(parsed_plan, KeyedPlan):
+            keyed_outcome = asyncio.run(
+                KeyedTorture(parsed_plan, out or Path(folder), seed, report).play(rounds)
+            )
+            return print_keyed_outcome(plan, seed, keyed_outcome, time.monotonic() - start_s, json_)
+        if isinstance(parsed_plan, MembersPlan):
+            members_outcome = asyncio.run(
+                MembersTorture(parsed_plan, out or Path(folder), seed, report).play(rounds)
+            )
+            return print_members_outcome(plan, seed, members_outcome, time.monotonic() - start_s, json_)
+        if isinstance(parsed_plan, SharesPlan):
+            shares_outcome = asyncio.run(
+                SharesTorture(parsed_plan, out or Path(folder), seed, report).play(rounds)
+            )
+            return print_shares_outcome(
+                plan, seed, parsed_plan, shares_outcome, time.monotonic() - start_s, json_
+            )
+        drawn_rounds = fault_rounds.draw(parsed_plan, rounds, seed)
+        outcome = asyncio.run(
+            fault_rounds.run_torture(parsed_plan, drawn_rounds, out or Path(folder), report)
+        )
+    print_fields(
         {
             "plan": plan,
             "seed": seed,
@@ -66,10 +86,10 @@
             "claims of shared keys": outcome.claims,
             "histories found linearizable": outcome.histories,
             "histories not decided": outcome.undecided,
-            "no write for, s": spread(outcome.gaps_s),
-            "all copies again, s": spread(outcome.whole_s),
+            "no write for, s": percentiles(outcome.gaps_s),
+            "all copies again, s": percentiles(outcome.whole_s),
             "bytes copied for that, as last told": f"{sum(outcome.copied.values()):,}",
-            "took, s": round(time.monotonic() - began, 1),
+            "took, s": round(time.monotonic() - start_s, 1),
             "broken": outcome.breach or "nothing",
         },
         json_,
@@ -81,16 +101,16 @@
         raise SystemExit(1)
 
 
-def tell(rows: dict[str, object], breach: str, took_s: float, json_: bool) -> None:
-    """Print what a run found; exit status 1 if a promise was broken."""
-    fields(rows | {"took, s": round(took_s, 1), "broken": breach or "nothing"}, json_)
+def print_outcome(rows: dict[str, object], breach: str, took_s: float, json_: bool) -> None:
+    """Print the result of a run; exits with 1 if it found a breach."""
+    print_fields(rows | {"took, s": round(took_s, 1), "broken": breach or "nothing"}, json_)
     if breach:
         raise SystemExit(1)
 
 
-def tell_keyed(plan: str, seed: int, outcome: KeyedOutcome, took_s: float, json_: bool) -> None:
-    """What came of rounds under clients that repeat."""
-    tell(
+def print_keyed_outcome(plan: str, seed: int, outcome: KeyedOutcome, took_s: float, json_: bool) -> None:
+    """Print the result of a keyed plan, whose clients repeat requests."""
+    print_outcome(
         {
             "plan": plan,
             "seed": seed,
@@ -99,10 +119,12 @@
             "answered well": outcome.served,
             "end not known": outcome.unknown,
             "tries": outcome.tries,
-            "tries by status": ", ".join(f"{k or 'none'}: {n}" for k, n in sorted(outcome.statuses.items())),
+            "tries by status": ", ".join(
+                f"{status or 'none'}: {count}" for status, count in sorted(outcome.statuses.items())
+            ),
             "repeats answered by what is known": outcome.recalled,
             "effects that happened twice": outcome.twice,
-            "all copies again, s": spread(outcome.whole_s),
+            "all copies again, s": percentiles(outcome.whole_s),
         },
         outcome.breach,
         took_s,
@@ -110,16 +132,16 @@
     )
 
 
-def tell_members(plan: str, seed: int, outcome: MembersOutcome, took_s: float, json_: bool) -> None:
-    """What came of rounds on gateways that find out who is there."""
-    tell(
+def print_members_outcome(plan: str, seed: int, outcome: MembersOutcome, took_s: float, json_: bool) -> None:
+    """Print the result of a members plan, which tests failure detection among gateways."""
+    print_outcome(
         {
             "plan": plan,
             "seed": seed,
             "rounds": outcome.rounds,
-            "first to find out, s": spread(outcome.first_s),
-            "last to find out, s": spread(outcome.last_s),
-            "all agree again, s": spread(outcome.agreed_s),
+            "first to find out, s": percentiles(outcome.first_s),
+            "last to find out, s": percentiles(outcome.last_s),
+            "all agree again, s": percentiles(outcome.agreed_s),
             "held dead that were there": outcome.false_dead,
             "looks at all": outcome.looks,
             "oldest word shown, ms": round(outcome.oldest_ms),
@@ -131,13 +153,13 @@
     )
 
 
-def tell_shares(
-    plan: str, seed: int, read: SharesPlan, outcome: SharesOutcome, took_s: float, json_: bool
+def print_shares_outcome(
+    plan: str, seed: int, shares_plan: SharesPlan, outcome: SharesOutcome, took_s: float, json_: bool
 ) -> None:
-    """What came of rounds on gateways that spend shares of a quota."""
-    tell(
+    """Print the result of a shares plan, whose gateways spend shares of a quota."""
+    print_outcome(
         {
-            "plan": f"{plan}, {read.mode}",
+            "plan": f"{plan}, {shares_plan.mode}",
             "seed": seed,
             "rounds": outcome.rounds,
             "served": outcome.served,
@@ -146,7 +168,7 @@
             "units beyond the quota, at most": round(outcome.beyond, 1),
             "floors allowed, in all": outcome.floors,
             "part of the quota used": round(outcome.used, 3),
-            "the same without a fault": spread(outcome.quiet),
+            "the same without a fault": percentiles(outcome.quiet),
         },
         outcome.breach,
         took_s,
@@ -154,8 +176,8 @@
     )
 
 
-def spread(values: list[float]) -> str:
-    """Median, 99th percentile, most, and of how many."""
+def percentiles(values: list[float]) -> str:
+    """Median, 99th percentile, maximum and number of the values, as text."""
     if not values:
         return "none"
     p50, p99 = np.percentile(values, (50, 99))
@@ -163,39 +185,45 @@
 
 
 @click.command("check-model")
-@click.option("--plans", type=click.IntRange(0), default=1000, show_default=True, help="Random plans.")
-@click.option("--steps", type=click.IntRange(1), default=300, show_default=True, help="Of each plan.")
-@click.option("--seed", type=click.IntRange(0), default=0, show_default=True, help="Of the first plan.")
+@click.option(
+    "--plans", type=click.IntRange(0), default=1000, show_default=True, help="Number of random plans."
+)
+@click.option(
+    "--steps", type=click.IntRange(1), default=300, show_default=True, help="Number of steps of each plan."
+)
+@click.option("--seed", type=click.IntRange(0), default=0, show_default=True, help="Seed of the first plan.")
 @click.option(
     "--depth",
     type=click.IntRange(0),
     default=0,
     show_default=True,
-    help="All orders from each scene to this depth.",
+    help="Depth of the exhaustive search of event orders from each scene; 0 for none.",
 )
-@as_json
+@json_option
 def check_model(plans: int, steps: int, seed: int, depth: int, json_: bool) -> None:
-    """Play consensus, the stores on it and where copies are to be under virtual time.
+    """Check models of consensus, of the stores on it and of copy placement in virtual time.
 
-    Random plans, and all orders to a depth.
+    Runs random plans and, with --depth, all orders of events up to that depth. Exits with 1 at a breach.
 
     \b
     Example:
       plumwall check-model --plans 5000 --depth 4
     """
-    found = []
-    with waiting("random plans", json_) as say:
+    results = []
+    with show_progress("random plans", json_) as report:
         if plans:
-            found.append(
-                explore.search(range(seed, seed + plans), steps, report=lambda f: say(f"{f.plans} played"))
+            results.append(
+                explore.search(
+                    range(seed, seed + plans), steps, report=lambda search: report(f"{search.plans} run")
+                )
             )
-            say("random plans of where copies are to be")
-            found.append(places.search(range(seed, seed + plans), steps))
+            report("random plans of copy placement")
+            results.append(places.search(range(seed, seed + plans), steps))
         for scene in SCENES if depth else ():
-            say(f"all orders from {scene}")
-            found.append(explore.search_all_orders(scene, depth))
-    for result in found:
-        fields(
+            report(f"all orders from {scene}")
+            results.append(explore.search_all_orders(scene, depth))
+    for result in results:
+        print_fields(
             {
                 "scene": result.scene if result.scene == "places" or not result.plans else "random",
                 "plans": result.plans,
@@ -210,5 +238,5 @@
         if result.breach:
             for step in (places if result.scene == "places" else explore).shorten(result):
                 click.echo(" ".join(step), err=True)
-    if any(result.breach for result in found):
+    if any(result.breach for result in results):
         raise SystemExit(1)
