--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit status, errors that name the field, JSON for programs."""
+"""The command line: help, exit statuses, and error messages that name the invalid field."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from plumwall.cli.main import COMMANDS, cli
 
 
-def run(*words: str) -> Result:
-    return CliRunner().invoke(cli, list(words))
+def invoke(*arguments: str) -> Result:
+    return CliRunner().invoke(cli, list(arguments))
 
 
 @pytest.mark.parametrize("name", sorted(COMMANDS))
 def test_every_command_has_help(name: str) -> None:
-    done = run(name, "--help")
-    assert done.exit_code == 0 and len(done.output.splitlines()) > 5
+    result = invoke(name, "--help")
+    assert result.exit_code == 0 and len(result.output.splitlines()) > 5
 
 
-def test_what_each_command_promises_about_its_status(tmp_path: Path) -> None:
-    assert run("version", "--json").exit_code == 0
-    assert json.loads(run("version", "--json").output)["plumwall"]
-    assert run("servers", "--at", "127.0.0.1:1").exit_code == 1  # nobody there: the work failed
-    assert run("servers", "--at", "nowhere").exit_code == 2
-    assert run("drain", "a b", "--at", "127.0.0.1:1").exit_code == 2
-    assert run("config", "check", str(tmp_path / "none.json")).exit_code == 2
+def test_exit_status_is_1_for_a_failure_and_2_for_invalid_usage(tmp_path: Path) -> None:
+    assert invoke("version", "--json").exit_code == 0
+    assert json.loads(invoke("version", "--json").output)["plumwall"]
+    assert invoke("servers", "--at", "127.0.0.1:1").exit_code == 1  # nothing listens on this port
+    assert invoke("servers", "--at", "nowhere").exit_code == 2
+    assert invoke("drain", "a b", "--at", "127.0.0.1:1").exit_code == 2
+    assert invoke("config", "check", str(tmp_path / "none.json")).exit_code == 2
 
 
 @pytest.mark.parametrize(
@@ -43,8 +43,10 @@
         ('{"settings": {"bounds": {"dial_timeout_ms": 0}}}', "bounds.dial_timeout_ms"),
     ],
 )
-def test_a_bad_configuration_is_one_line_that_names_the_field(tmp_path: Path, text: str, field: str) -> None:
+def test_an_invalid_configuration_gives_one_line_that_names_the_field(
+    tmp_path: Path, text: str, field: str
+) -> None:
     path = tmp_path / "file.json"
     path.write_text(text)
-    done = run("config", "check", str(path))
-    assert done.exit_code == 2 and field in done.output and len(done.output.splitlines()) == 1
+    result = invoke("config", "check", str(path))
+    assert result.exit_code == 2 and field in result.output and len(result.output.splitlines()) == 1
