--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -19,7 +19,7 @@
 import numpy as np
 
 from plumwall.emulator.process import kill, raise_descriptors, spawn_module
-from plumwall.faults.machines import HOST, Machines, hindered
+from plumwall.faults.machines import HOST, Machines, impaired_command
 from yewstage.holding.group_names import LIST_GROUP, group_of
 from yewstage.registry.client import ServiceClient, ServiceReply
 
@@ -78,7 +78,7 @@
         )
     )
     process = await spawn_module(
-        *hindered("yewstage.registry", options.sync_ms),
+        *impaired_command("yewstage.registry", options.sync_ms),
         "--config",
         str(config),
         stderr=asyncio.subprocess.PIPE,
--- a/plumwall/emulator/listservice.py
+++ b/plumwall/emulator/listservice.py
@@ -112,7 +112,7 @@
         """Apply a fault: a machine is lost together with its disk, or starts again with an empty one."""
         machine = self._machines.by_name(name)
         if kind == "holding_lost":
-            await machine.kill(disk_too=True)
+            await machine.kill(delete_state=True)
         else:
             await self._machines.start(machine)
 
--- a/plumwall/faults/child.py
+++ b/plumwall/faults/child.py
@@ -29,7 +29,7 @@
             self.lines.append(line.decode())
             del self.lines[:-LOG_LINES_KEPT]
 
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether the process was started and has not ended; true for a stopped (SIGSTOP) process too."""
         return self.process is not None and self.process.returncode is None
 
@@ -37,6 +37,6 @@
         """Stop the process with SIGSTOP."""
         os.kill(self.process.pid, signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let the process continue, with SIGCONT."""
         os.kill(self.process.pid, signal.SIGCONT)
--- a/plumwall/faults/fleet.py
+++ b/plumwall/faults/fleet.py
@@ -57,8 +57,8 @@
 
     async def __aexit__(self, *exc: object) -> None:
         for gateway in self.gateways.values():
-            if gateway.up():
-                gateway.wake()
+            if gateway.is_up():
+                gateway.resume()
                 await gateway.kill()
         for link in self.links.values():
             link.stop()
@@ -92,10 +92,10 @@
             if receiver == name:
                 link.target = (HOST, gateway.members)
 
-    def rekey(self, name: str, keys: list[str]) -> None:
+    def set_keys(self, name: str, keys: list[str]) -> None:
         """Change a gateway's keys; by SIGHUP if it is up, else from its next start on."""
         self.gateways[name].set(peers=self.peers(name, keys=keys))
-        if self.gateways[name].up():
+        if self.gateways[name].is_up():
             self.gateways[name].process.send_signal(signal.SIGHUP)
 
     # --- Faults -------------------------------------------------------------------------------------------
@@ -107,7 +107,7 @@
                 if sender != receiver:
                     self.links[sender, receiver].forward.lost = 1.0
 
-    def split(self, members: Iterable[str]) -> None:
+    def partition(self, members: Iterable[str]) -> None:
         """Partition the fleet: drop all datagrams between these gateways and the rest."""
         inside = set(members)
         outside = set(self.names) - inside
@@ -134,7 +134,7 @@
         """The state of each member, as this gateway sees it."""
         return {row["name"]: row["state"] for row in (await self.status(name)).get("members", ())}
 
-    async def until(self, seen_by: Iterable[str], states: dict[str, str]) -> None:
+    async def wait_for_states(self, seen_by: Iterable[str], states: dict[str, str]) -> None:
         """Wait until each gateway of `seen_by` sees these states; other members may have any state."""
         for name in seen_by:
             while True:
--- a/plumwall/faults/gateways.py
+++ b/plumwall/faults/gateways.py
@@ -61,24 +61,24 @@
 
     def runs(self) -> bool:
         """Whether the process is up and not stopped by `pause`."""
-        return self.up() and not self._paused
+        return self.is_up() and not self._paused
 
     def pause(self) -> None:
         """Stop the process with SIGSTOP; it then counts as not running."""
         self._paused = True
         super().pause()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let the process continue, with SIGCONT; it then counts as running."""
         self._paused = False
-        super().wake()
+        super().resume()
 
     def set(self, **changes: object) -> None:
         """Change fields of the configuration file. They apply from the next start or SIGHUP on."""
         self._config = self._config | changes
         self._write_config()
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         """Terminate the process with SIGTERM; returns the exit status."""
         self.process.terminate()
         return await self.process.wait()
--- a/plumwall/faults/keyed.py
+++ b/plumwall/faults/keyed.py
@@ -55,10 +55,10 @@
     unknown: int = 0  # requests without a 200 answer after all retries
     tries: int = 0
     statuses: Counter[int] = field(default_factory=Counter)  # 0: no answer
-    recalled: int = 0  # 200 answers to a retry after a 200 answer
+    repeated_answers: int = 0  # 200 answers to a retry after a 200 answer
     twice: int = 0  # keys that ran more than once
     breach: str = ""
-    whole_s: list[float] = field(default_factory=list)  # from each loss until fully replicated again
+    replicated_s: list[float] = field(default_factory=list)  # from each loss until fully replicated again
 
 
 def _settings(machines: int) -> dict[str, object]:
@@ -148,7 +148,7 @@
         self._say(f"round {number}: lost {machine.name} with its gateway and disk")
         began = time.monotonic()
         served = self.outcome.served
-        await asyncio.gather(machine.kill(disk_too=True), gateway.kill())
+        await asyncio.gather(machine.kill(delete_state=True), gateway.kill())
         while self.outcome.served < served + self._plan.clients:
             await asyncio.sleep(0.01)  # requests are served by the other machines meanwhile
         await asyncio.gather(machines.start(machine), gateway.start())
@@ -159,7 +159,7 @@
             raise RuntimeError(
                 f"round {number}: not fully replicated after {ROUND_TIMEOUT_S:.0f} s"
             ) from None
-        self.outcome.whole_s.append(time.monotonic() - began)
+        self.outcome.replicated_s.append(time.monotonic() - began)
 
     # --- Clients ------------------------------------------------------------------------------------------
 
@@ -182,7 +182,7 @@
             status, answer = await self._attempt(self._gateways[target], f"{key}-{attempt}", key, customer)
             self.outcome.statuses[status] += 1
             if status == 200:
-                self.outcome.recalled += key in self._answers
+                self.outcome.repeated_answers += key in self._answers
                 self._answers.setdefault(key, set()).add(answer)
                 if rng.random() < 0.2:  # as if the answer were lost: the client retries
                     continue
--- a/plumwall/faults/links.py
+++ b/plumwall/faults/links.py
@@ -24,8 +24,8 @@
     dropping: bool = False
     delay_s: float = 0.0
     bytes_per_s: float = 0.0  # 0: no limit
-    passed: int = 0  # bytes
-    lost: int = 0  # bytes
+    passed_bytes: int = 0  # bytes
+    lost_bytes: int = 0  # bytes
 
     def __post_init__(self) -> None:
         self.unpaused.set()
@@ -153,9 +153,9 @@
                     await asyncio.sleep(wait_s)
                 if direction.dropping:
                     connection.has_gap = True
-                    direction.lost += len(data)
+                    direction.lost_bytes += len(data)
                     continue
-                direction.passed += len(data)
+                direction.passed_bytes += len(data)
                 writer.write(data)
                 await writer.drain()
         except OSError:
--- a/plumwall/faults/machines.py
+++ b/plumwall/faults/machines.py
@@ -26,7 +26,9 @@
 STATUS_TIMEOUT_S = 1.0
 
 
-def hindered(module: str, sync_ms: float = 0.0, file_bytes: int = 0, clock_s: float = 0.0) -> list[str]:
+def impaired_command(
+    module: str, sync_ms: float = 0.0, file_bytes: int = 0, clock_s: float = 0.0
+) -> list[str]:
     """Arguments of `python -m` to run a module, through plumwall.faults.hindered if an impairment is set."""
     if not (sync_ms or file_bytes or clock_s):
         return [module]
@@ -67,7 +69,7 @@
         path = self.folder / "holding.json"
         path.write_bytes(msgspec.json.encode(config))
         self.process = await spawn_module(
-            *hindered(self.module, self.sync_ms, self.file_bytes, self.clock_s),
+            *impaired_command(self.module, self.sync_ms, self.file_bytes, self.clock_s),
             "--config",
             str(path.resolve()),
             stderr=asyncio.subprocess.PIPE,
@@ -87,38 +89,38 @@
                 break
         self.read_on()
 
-    async def kill(self, disk_too: bool = False) -> None:
-        """Kill the process with SIGKILL; with `disk_too`, delete its stored state as well."""
+    async def kill(self, delete_state: bool = False) -> None:
+        """Kill the process with SIGKILL; with `delete_state`, delete its stored state as well."""
         kill(self.process)
         await self.process.wait()
-        if disk_too:
+        if delete_state:
             shutil.rmtree(self.folder / "state", ignore_errors=True)
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         """Terminate the process with SIGTERM; returns the exit status."""
         self.process.send_signal(signal.SIGTERM)
         return await self.process.wait()
 
-    def fill(self, room: int) -> None:
+    def fill_disk(self, room: int) -> None:
         """Emulate a full disk: no file may grow past the size of the largest one now plus `room` bytes."""
         sizes = [path.stat().st_size for path in (self.folder / "state").rglob("*") if path.is_file()]
         self._limit_file_size(max(sizes, default=0) + room)
 
-    def make_room(self) -> None:
-        """Remove the limit that `fill` set."""
+    def free_disk(self) -> None:
+        """Remove the limit that `fill_disk` set."""
         self._limit_file_size(resource.RLIM_INFINITY)
 
     def _limit_file_size(self, bytes_: int) -> None:
         hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)[1]
         resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (bytes_, hard))
 
-    def keep_copy(self) -> None:
-        """Save a copy of the stored state, for `bring_back`."""
+    def save_state(self) -> None:
+        """Save a copy of the stored state, for `restore_state`."""
         shutil.rmtree(self.folder / "earlier", ignore_errors=True)
         shutil.copytree(self.folder / "state", self.folder / "earlier")
 
-    def bring_back(self) -> None:
-        """Replace the stored state by the copy that `keep_copy` saved."""
+    def restore_state(self) -> None:
+        """Replace the stored state by the copy that `save_state` saved."""
         shutil.rmtree(self.folder / "state", ignore_errors=True)
         shutil.copytree(self.folder / "earlier", self.folder / "state")
 
@@ -129,7 +131,7 @@
             with max(folder.glob("log-*")).open("ab") as log:
                 log.write(framed(b"torn" * bytes_)[:bytes_])
 
-    def forget(self, group: str) -> None:
+    def lose_last_record(self, group: str) -> None:
         """Cut off the end of a group's last log record, though it was synced: a disk that acknowledges writes
         that it does not keep."""
         log = max((self.folder / "state" / group).glob("log-*"))
@@ -164,8 +166,8 @@
     async def close(self) -> None:
         """Kill all machines and close all links."""
         for machine in self.all:
-            if machine.up():
-                machine.wake()
+            if machine.is_up():
+                machine.resume()
                 kill(machine.process)
                 await machine.process.wait()
             for link in machine.links.values():
@@ -217,7 +219,7 @@
         """The leader of a group; waits until there is one."""
         while True:
             for machine in self.all:
-                if machine.up() and await self.is_leader(machine, group):
+                if machine.is_up() and await self.is_leader(machine, group):
                     return machine
             await asyncio.sleep(0.05)
 
@@ -254,7 +256,7 @@
         return {s["id"]: s["copiedBytes"] for s in statuses if s}
 
     async def _status_if_up(self, machine: Machine) -> dict[str, object]:
-        return await self.status(machine) if machine.up() else {}
+        return await self.status(machine) if machine.is_up() else {}
 
 
 def _status_if_replicated(
--- a/plumwall/faults/members.py
+++ b/plumwall/faults/members.py
@@ -47,12 +47,14 @@
     """Results of all rounds."""
 
     rounds: int = 0
-    first_s: list[float] = field(default_factory=list)  # from each fault until the first gateway detects it
-    last_s: list[float] = field(default_factory=list)  # from each fault until the last gateway detects it
+    # from each fault until the first gateway detects it
+    first_detected_s: list[float] = field(default_factory=list)
+    # from each fault until the last gateway detects it
+    last_detected_s: list[float] = field(default_factory=list)
     agreed_s: list[float] = field(default_factory=list)  # from the end of each fault until all gateways agree
     false_dead: int = 0  # gateways without a fault that were seen as dead
-    looks: int = 0  # polls of the whole fleet's status
-    oldest_ms: float = 0.0  # greatest age of shared data about a server that a gateway reported
+    polls: int = 0  # polls of the whole fleet's status
+    max_age_ms: float = 0.0  # greatest age of shared data about a server that a gateway reported
     bytes_per_s: float = 0.0  # sent by one gateway, mean over all rounds
     breach: str = ""
 
@@ -122,7 +124,7 @@
             case "killed" | "all_killed":
                 await asyncio.gather(*(fleet.gateways[name].kill() for name in targets))
             case "left":
-                await asyncio.gather(*(fleet.gateways[name].end() for name in targets))
+                await asyncio.gather(*(fleet.gateways[name].terminate() for name in targets))
             case "stopped":
                 for name in targets:
                     fleet.gateways[name].pause()
@@ -131,7 +133,7 @@
             case "mute":
                 fleet.cut(targets, others)
             case "zone_cut":
-                fleet.split(targets)
+                fleet.partition(targets)
             case "lossy":
                 fleet.lose(0.2)
             case "late":
@@ -144,7 +146,7 @@
         self.fleet.lose(self._plan.loss)
         if fault == "stopped":
             for name in targets:
-                self.fleet.gateways[name].wake()
+                self.fleet.gateways[name].resume()
         elif fault in ("killed", "left", "all_killed"):
             await asyncio.gather(*(self.fleet.start(name) for name in targets))
 
@@ -163,9 +165,9 @@
             for rows in status["servers"].values():
                 for row in rows:
                     age = row["ageMs"]
-                    self.outcome.oldest_ms = max(self.outcome.oldest_ms, age)
+                    self.outcome.max_age_ms = max(self.outcome.max_age_ms, age)
                     assert age <= SERVERS.bound_ms, f"{name} reports data about a server that is {age} ms old"
-        self.outcome.looks += 1
+        self.outcome.polls += 1
         return statuses
 
     def _check_no_false_dead(self, statuses: dict[str, dict[str, object]], targets: set[str]) -> None:
@@ -188,8 +190,8 @@
                     if name not in detected_s and all(states.get(target) == "dead" for target in targets):
                         detected_s[name] = time.monotonic() - began
                 await asyncio.sleep(POLL_INTERVAL_S)
-        self.outcome.first_s.append(min(detected_s.values()))
-        self.outcome.last_s.append(max(detected_s.values()))
+        self.outcome.first_detected_s.append(min(detected_s.values()))
+        self.outcome.last_detected_s.append(max(detected_s.values()))
 
     async def _poll_for(self, targets: set[str], others: list[str], duration_s: float) -> None:
         until = time.monotonic() + duration_s
--- a/plumwall/faults/shares.py
+++ b/plumwall/faults/shares.py
@@ -78,11 +78,12 @@
     served: int = 0
     refused: int = 0
     # Largest excess over the bound, in units; below 0: the smallest distance from it.
-    over: float = float("-inf")
-    beyond: float = 0.0  # largest excess over burst + rate x time + clients, in units; 0 in strict
-    floors: float = 0.0  # units that the formula allowed for all outages
-    used: float = 0.0  # share of the quota that was used, over all rounds
-    quiet: list[float] = field(default_factory=list)  # share that was used, in each round without a fault
+    max_excess: float = float("-inf")
+    max_beyond_quota: float = 0.0  # largest excess over burst + rate x time + clients, in units; 0 in strict
+    allowed_floors: float = 0.0  # units that the formula allowed for all outages
+    used_share: float = 0.0  # share of the quota that was used, over all rounds
+    # share that was used, in each round without a fault
+    quiet_used_shares: list[float] = field(default_factory=list)
     breach: str = ""
 
 
@@ -140,15 +141,15 @@
                     task.cancel()
                 await asyncio.gather(*tasks, return_exceptions=True)
                 for gateway in self._gateways:
-                    gateway.wake()
+                    gateway.resume()
                     await gateway.kill()
                 for link in [link for links in self._links for link in links]:
                     await link.stop()
                 server.close()
         first, last = self._samples[0], self._samples[-1]
         quota_units = self._plan.burst + self._plan.rate * (last[0] - first[0])
-        self.outcome.used, self.outcome.served = self._count[0] / quota_units, self._count[0]
-        self.outcome.floors = self._allowed_floors(self._outages)
+        self.outcome.used_share, self.outcome.served = self._count[0] / quota_units, self._count[0]
+        self.outcome.allowed_floors = self._allowed_floors(self._outages)
         return self.outcome
 
     def _allowed_floors(self, outages: int) -> float:
@@ -225,7 +226,7 @@
         await self._inject(fault, self._gateways[target], self._links[target], machines)
         if fault == "quiet":
             quota_units = self._plan.rate * (time.monotonic() - began)
-            self.outcome.quiet.append((self._count[0] - before) / quota_units)
+            self.outcome.quiet_used_shares.append((self._count[0] - before) / quota_units)
         async with asyncio.timeout(ROUND_TIMEOUT_S):
             await machines.wait_until_replicated()
         served = self._count[0]
@@ -242,7 +243,7 @@
                 await asyncio.sleep(2 * FAULT_DURATION_S)
             case "leader_lost":
                 leader = await self._leader(machines)
-                await leader.kill(disk_too=True)
+                await leader.kill(delete_state=True)
                 await machines.start(leader)
             case "leader_cut":  # from the other machines, not from the gateways: it must grant no more
                 machines.isolate(await self._leader(machines))
@@ -252,7 +253,7 @@
                 leader = await self._leader(machines)
                 leader.pause()
                 await asyncio.sleep(FAULT_DURATION_S)
-                leader.wake()
+                leader.resume()
             case "clock_off":  # restarted with a wall clock that is an hour ahead
                 leader = await self._leader(machines)
                 await leader.kill()
@@ -267,7 +268,7 @@
             case "gateway_stopped":
                 gateway.pause()
                 await asyncio.sleep(FAULT_DURATION_S)  # longer than a share is valid
-                gateway.wake()
+                gateway.resume()
             case "gateway_cut":
                 for link in links:
                     link.cut()
@@ -318,9 +319,9 @@
             outages = samples[i + 1 :, 2] - samples[max(i - int(FAULT_DURATION_S / SAMPLE_INTERVAL_S), 0), 2]
             beyond = received - quota
             if len(beyond):
-                self.outcome.beyond = max(self.outcome.beyond, float(beyond.max()))
-                self.outcome.over = max(
-                    self.outcome.over, float((beyond - self._allowed_floors(1) * outages).max())
+                self.outcome.max_beyond_quota = max(self.outcome.max_beyond_quota, float(beyond.max()))
+                self.outcome.max_excess = max(
+                    self.outcome.max_excess, float((beyond - self._allowed_floors(1) * outages).max())
                 )
-        if self.outcome.over > 0:
-            self.outcome.breach = f"{self.outcome.over:.1f} units over the bound"
+        if self.outcome.max_excess > 0:
+            self.outcome.breach = f"{self.outcome.max_excess:.1f} units over the bound"
--- a/plumwall/faults/torture.py
+++ b/plumwall/faults/torture.py
@@ -127,23 +127,24 @@
 
     rounds: int = 0
     writes: int = 0
-    unsure: int = 0  # attempts to write without an acknowledgement
+    unacknowledged: int = 0  # attempts to write without an acknowledgement
     grants: int = 0  # of the lease
     breach: str = ""
     after: Round | None = None
     claims: int = 0  # answered calls on shared keys
     histories: int = 0  # histories of shared keys found linearizable
     undecided: int = 0  # histories whose search was given up
-    gaps_s: list[float] = field(default_factory=list)  # longest time without a write, per loss of a leader
-    whole_s: list[float] = field(default_factory=list)  # from each fault until fully replicated again
-    copied: dict[str, int] = field(default_factory=dict)  # bytes sent to new copies, by disk
+    # longest time without a write, per loss of a leader
+    write_gaps_s: list[float] = field(default_factory=list)
+    replicated_s: list[float] = field(default_factory=list)  # from each fault until fully replicated again
+    copied_bytes: dict[str, int] = field(default_factory=dict)  # bytes sent to new copies, by disk
     history: list[str] = field(default_factory=list)  # calls that show the breach, else the last calls
 
 
 class TortureLoad:
     """The load: writers, clients that claim shared keys and two clients that want one lease.
 
-    `breach` describes a violation that a client found; empty if there is none. `shows` has the calls that
+    `breach` describes a violation that a client found; empty if there is none. `evidence` has the calls that
     prove it.
     """
 
@@ -152,7 +153,7 @@
         self.begun: dict[str, int] = {}  # newest version sent, by key
         self.acknowledged: dict[str, int] = {}  # newest version acknowledged, by key
         self.revisions: dict[str, int] = {}  # revision of the newest version acknowledged, by key
-        self.writes = self.unsure = 0
+        self.writes = self.unacknowledged = 0
         self.last_write_at = time.monotonic()
         self.longest_gap_s = 0.0  # longest time without a write since this was set to 0
         self.leases: list[LeaseHolder] = []
@@ -160,7 +161,7 @@
         self._clients: list[ServiceClient] = []
         self._tasks: list[asyncio.Task] = []
         self.breach = ""
-        self.shows: list[str] = []
+        self.evidence: list[str] = []
         self.history: list[str] = []  # the latest acknowledged writes, as lines of a report
         self.calls: list[Call] = []  # on shared keys, not checked yet
         self.claims = self.histories = self.undecided = 0
@@ -201,11 +202,13 @@
             version = self.begun[key] = self.begun.get(key, 0) + 1
             began = time.monotonic()
             while (reply := await self._put(client, key, version)) is None or reply.status != 200:
-                self.unsure += 1
+                self.unacknowledged += 1
                 if reply is not None and reply.status == 409:
                     self.breach = f"{key} = {version - 1} was acknowledged and is lost: {reply.body}"
-                    self.shows = [line for line in self.history if f" {key} = " in line][-3:]
-                    self.shows.append(f"{began:.3f} {time.monotonic():.3f} {key} = {version}: {reply.body}")
+                    self.evidence = [line for line in self.history if f" {key} = " in line][-3:]
+                    self.evidence.append(
+                        f"{began:.3f} {time.monotonic():.3f} {key} = {version}: {reply.body}"
+                    )
                     return
                 await asyncio.sleep(0.02)
             self.acknowledged[key], self.revisions[key] = version, reply.body["revision"]
@@ -243,7 +246,7 @@
                 token = lease.token
                 if self.tokens and token <= self.tokens[-1][1] and self.tokens[-1][0] != name:
                     self.breach = f"{name} was granted token {token} after {self.tokens[-1]}"
-                    self.shows = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
+                    self.evidence = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
                 self.tokens.append((name, token))
             await asyncio.sleep(min(wait_s, 0.4))
             times_held += lease.is_held()
@@ -304,7 +307,7 @@
         while True:
             if sum(lease.is_held() for lease in self.leases) > 1:
                 self.breach = f"two clients hold the lease at once: {self.tokens[-2:]}"
-                self.shows = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
+                self.evidence = [f"{who} was granted token {number}" for who, number in self.tokens[-2:]]
             await asyncio.sleep(0.002)
 
 
@@ -350,14 +353,14 @@
             self.outcome.breach, self.outcome.after = str(breach), round_
         finally:
             await self.load.stop()
-        self.outcome.history = self.load.shows or self.load.history[-200:]
+        self.outcome.history = self.load.evidence or self.load.history[-200:]
         violation = self._violation or self.load.check_shared_keys(include_current=True)
         if violation:
             self.outcome.history = [call.line() for call in violation]
             self.outcome.breach = f"the history of {violation[0].key} is not linearizable"
         self.outcome.claims, self.outcome.histories = self.load.claims, self.load.histories
         self.outcome.undecided = self.load.undecided
-        self.outcome.writes, self.outcome.unsure = self.load.writes, self.load.unsure
+        self.outcome.writes, self.outcome.unacknowledged = self.load.writes, self.load.unacknowledged
         self.outcome.grants = len(self.load.tokens)
         return self.outcome
 
@@ -383,8 +386,8 @@
         try:
             async with asyncio.timeout(ROUND_TIMEOUT_S):
                 await self._wait_until_replicated()
-                self.outcome.copied |= await self._machines.copied_bytes()
-                self.outcome.whole_s.append(time.monotonic() - began)
+                self.outcome.copied_bytes |= await self._machines.copied_bytes()
+                self.outcome.replicated_s.append(time.monotonic() - began)
                 await self._wait_until_all_report()
         except TimeoutError:
             raise BreachError(
@@ -394,7 +397,7 @@
         if self._violation:
             raise BreachError("a history is not linearizable")
         if leader in targets:
-            self.outcome.gaps_s.append(
+            self.outcome.write_gaps_s.append(
                 max(self.load.longest_gap_s, time.monotonic() - self.load.last_write_at)
             )
         if self.load.breach:
@@ -424,22 +427,22 @@
                     machines.isolate(machine, out=fault != "deaf", into=fault != "mute")
             await asyncio.sleep(FAULT_DURATION_S)
             for machine in targets:
-                machine.wake()
+                machine.resume()
             machines.heal()
             return
         if fault == "full":
-            targets[0].fill(FULL_DISK_ROOM_BYTES)
+            targets[0].fill_disk(FULL_DISK_ROOM_BYTES)
             await asyncio.sleep(FAULT_DURATION_S)
-            targets[0].make_room()
+            targets[0].free_disk()
             return
         if fault == "earlier":
-            targets[0].keep_copy()
+            targets[0].save_state()
             await asyncio.sleep(FAULT_DURATION_S)
         await asyncio.gather(*(m.kill(fault in DISK_LOSS_FAULTS) for m in targets))
         if fault == "torn":
             targets[0].tear(40)
         elif fault == "earlier":
-            targets[0].bring_back()
+            targets[0].restore_state()
         await asyncio.gather(*(machines.start(machine) for machine in targets))
 
     async def _wait_until_all_report(self) -> None:
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -86,7 +86,7 @@
             tokens.append(reply.body["token"])
             leader = await machines.leader()
             ids.add((await machines.status(leader))["id"])
-            await leader.kill(disk_too=True)
+            await leader.kill(delete_state=True)
             await register(client, f"during-{round_}")
             names.add(f"during-{round_}")
             await machines.start(leader)
@@ -108,7 +108,7 @@
         kept, *lost = machines.all
         await wait_until_listed(kept, {"s-1"})
         for machine in lost:
-            await machine.kill(disk_too=True)
+            await machine.kill(delete_state=True)
         client_of_kept = ServiceClient([(HOST, kept.listen)])
         reply = None
         while reply is None or reply.status == 421:  # it still redirects to the lost leader
@@ -164,16 +164,16 @@
         await register(client, "s-1")
         machine = machines.all[1]
         before = (await machines.status(machine))["id"]
-        machine.keep_copy()
+        machine.save_state()
         await register(client, "s-2")
         await machine.kill()
-        machine.bring_back()
+        machine.restore_state()
         await machines.start(machine)
         assert any("the folder is a copy or an earlier state of" in line for line in machine.lines)
         status = await machines.wait_until_replicated()
         assert before not in {m["id"] for m in status[LIST_GROUP]["members"]}
         await wait_until_listed(machine, {"s-1", "s-2"})
-        assert await machine.end() == 0
+        assert await machine.terminate() == 0
         client.close()
 
     with_machines(3, tmp_path, scenario)
@@ -191,7 +191,7 @@
         kept, *lost = machines.all
         await wait_until_listed(kept, {"s-1"})
         for machine in machines.all:
-            await machine.kill(disk_too=machine is not kept)
+            await machine.kill(delete_state=machine is not kept)
         (kept.folder / "state").rename(kept.folder / "old")
         config = kept.folder / "holding.json"
         again = ("plumwall", "holding", "restore", "--config", str(config), "--from")
@@ -229,9 +229,9 @@
         for other in machines.all:  # restart them with wall clocks an hour ahead
             if other is not leader:
                 other.clock_s = 3600
-                await other.end()
+                await other.terminate()
                 await machines.start(other)
-        await leader.end()
+        await leader.terminate()
         leader.file_bytes = 6000
         await machines.start(leader)
         for i in range(40):
@@ -271,7 +271,7 @@
         words = {"holder": "h-1", "token": reply.body["token"]}
         renewal = asyncio.create_task(resumed_client.call("POST", "/v1/leases/duty/renew", words))
         await asyncio.sleep(0)
-        leader.wake()
+        leader.resume()
         assert (await renewal).status in (200, 503)  # done by the new leader, or to be repeated
         assert (await machines.leader()) is not leader
         for used in (client, others, resumed_client):
@@ -296,7 +296,7 @@
     async def run_scenario() -> None:
         outcome = await run_torture(plan, draw(plan, 8, 3), tmp_path, seen.append)
         assert not outcome.breach and outcome.rounds == 8, (outcome, seen)
-        assert outcome.writes > 100 and len(outcome.gaps_s) >= 1
+        assert outcome.writes > 100 and len(outcome.write_gaps_s) >= 1
 
     on_loop(run_scenario, 200)
 
@@ -309,7 +309,7 @@
     async def run_scenario() -> None:
         async with Machines(tmp_path, 3, gone_ms=1500.0, most_ttl_ms=1e8) as machines:
             for machine in machines.all:
-                await machine.kill(disk_too=True)
+                await machine.kill(delete_state=True)
                 machine.module = "tests.rogue_holding"
                 await machines.start(machine)
             await machines.init(machines.all, plan.keyed)
@@ -321,11 +321,11 @@
             machines.isolate(leader)  # no other replica receives what it acknowledges from here on
             while load.writes < 100 and not load.breach:
                 await asyncio.sleep(0.01)
-            await leader.kill(disk_too=True)
+            await leader.kill(delete_state=True)
             while not load.breach:
                 await asyncio.sleep(0.01)
             await load.stop()
-        assert "is lost" in load.breach and len(load.shows) > 1, (load.breach, load.shows)
+        assert "is lost" in load.breach and len(load.evidence) > 1, (load.breach, load.evidence)
 
     on_loop(run_scenario, 60)
 
@@ -461,7 +461,7 @@
         assert await reader.readexactly(3) == b"TWO"
         link.cut(backward=False)
         writer.write(b"three")
-        while not link.forward.lost:
+        while not link.forward.lost_bytes:
             await asyncio.sleep(0)
         link.heal()
         assert await reader.read() == b"" and received == [b"one", b"two"]
--- a/tests/test_holding_groups.py
+++ b/tests/test_holding_groups.py
@@ -51,7 +51,7 @@
 
 
 async def plumwall(machines: Machines, *words: str) -> subprocess.CompletedProcess[str]:
-    at = ",".join(f"{HOST}:{machine.listen}" for machine in machines.all if machine.up())
+    at = ",".join(f"{HOST}:{machine.listen}" for machine in machines.all if machine.is_up())
     return await asyncio.to_thread(run, "plumwall", "holding", *words, "--at", at)
 
 
@@ -74,7 +74,7 @@
         client = machines.client()
         await call_until_ok(client, "/v1/keys/k0/done", {"by": "g1/r1", "status": 200, "answer": "eA=="})
         for group in ("keys-1", "keys-2", "keys-3", PLACEMENT_GROUP):
-            await (lost := await machines.leader(group)).kill(disk_too=True)
+            await (lost := await machines.leader(group)).kill(delete_state=True)
             assert all([await claim(client, key, "g2/r9") == "begun" for key in keys[1:]])
             await machines.start(lost)
             await machines.wait_until_replicated()
@@ -152,7 +152,7 @@
         done = await plumwall(machines, "remove", old.name)
         assert done.returncode == 0, done.stderr
         learner = await machine_catching_up(machines)
-        await learner.kill(disk_too=True)
+        await learner.kill(delete_state=True)
         members = (await machines.status(await machines.leader()))["groups"][LIST_GROUP]["members"]
         assert before <= {name_of(member["id"]) for member in members}  # no old member was removed
         await machines.start(learner)
@@ -181,7 +181,7 @@
         )
         for machine in lost:
             await machine.kill()
-        client = ServiceClient([(HOST, m.listen) for m in machines.all if m.up()])
+        client = ServiceClient([(HOST, m.listen) for m in machines.all if m.is_up()])
         if group == LIST_GROUP:
             await register(client, "s-1")
         else:
@@ -221,7 +221,7 @@
             led = [here for here in [await list_led_by(machines, m) for m in others] if here]
             members = led[0]["members"] if led else []
             await asyncio.sleep(0.01)
-        old.wake()  # its disk is intact and it is still a voter
+        old.resume()  # its disk is intact and it is still a voter
         status = await machines.wait_until_replicated()
         assert len(machines_of(status, LIST_GROUP)) == 3 and old.name not in machines_of(status, LIST_GROUP)
         assert await listed(spare) == names
@@ -239,13 +239,13 @@
             names.add(f"server-with-a-long-name-{i:04}")
             await register(client, f"server-with-a-long-name-{i:04}")
         full_machine = machines.all[0]
-        full_machine.fill(100)
+        full_machine.fill_disk(100)
         for i in range(30, 160):  # each snapshot is longer than the one before
             names.add(f"server-with-a-long-name-{i:04}")
             await register(client, f"server-with-a-long-name-{i:04}")
         while not any("nothing can be made durable here" in line for line in full_machine.lines):
             await asyncio.sleep(0.02)
-        full_machine.make_room()
+        full_machine.free_disk()
         await machines.wait_until_replicated()
         while await listed(full_machine) != names:
             await asyncio.sleep(0.02)
@@ -264,13 +264,13 @@
         leader = await machines.leader("keys-1")
         faulty = next(m for m in machines.all if m is not leader)
         await faulty.kill()
-        faulty.forget("keys-1")
+        faulty.lose_last_record("keys-1")
         await machines.start(faulty)
         await machines.wait_until_replicated()
         done = await plumwall(machines, "status")
         assert "replace the disk of" in done.stdout and "forgets what" in done.stdout, done.stdout
         assert any("replace the disk" in line and faulty.name in line for line in leader.lines)
-        await leader.kill(disk_too=True)  # the lost entries have been copied again
+        await leader.kill(delete_state=True)  # the lost entries have been copied again
         assert await claim(client, key, "g2/r9") == "begun"
         client.close()
 
@@ -291,7 +291,7 @@
         revision = (await client.call("GET", "/v1/endpoints")).body["generation"]
         path = f"/v1/endpoints?after={revision}&wait_ms=20000"
         watch = asyncio.create_task(client.call("GET", path, None, 20.0))
-        await (list_holders[0]).kill(disk_too=True)  # another replica continues a watch held there
+        await (list_holders[0]).kill(delete_state=True)  # another replica continues a watch held there
         await register(writer, "s5")
         reply = await watch
         assert [row["instanceId"] for row in reply.body["instances"]] == ["s5"] and reply.age_ms <= AGE_MS
@@ -302,20 +302,20 @@
         paused_read = asyncio.create_task(client.call("GET", "/v1/endpoints?after=0&wait_ms=50", None, 20.0))
         spare.pause()  # a process paused before it answers must not report the answer as fresh
         await asyncio.sleep(AGE_MS / 1000 * 1.5)
-        spare.wake()
+        spare.resume()
         late = await paused_read
         assert late.status == 503 or late.age_ms <= AGE_MS
 
         for machine in machines.all:
-            if machine is not spare and machine.up():
+            if machine is not spare and machine.is_up():
                 machine.pause()
         answer = await client.call("GET", "/v1/endpoints")
         while answer.status == 200:
             answer = await client.call("GET", "/v1/endpoints")
         assert answer.status == 503  # no replica answers, so no list is given
         for machine in machines.all:
-            if machine.up():
-                machine.wake()
+            if machine.is_up():
+                machine.resume()
         await machines.start(list_holders[0])
         await wait_until_listed(spare, names | {"s5"})
         client.close()
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -324,7 +324,7 @@
 def test_no_request_runs_twice_while_gateways_are_lost_with_their_disks(tmp_path: Path) -> None:
     outcome = play_rounds(keyed_plan(), 3, tmp_path).outcome
     assert not outcome.breach and outcome.twice == 0 and outcome.rounds == 3
-    assert outcome.served > 30 and outcome.recalled > 0
+    assert outcome.served > 30 and outcome.repeated_answers > 0
 
 
 def test_without_the_record_the_same_rounds_run_requests_twice(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -221,7 +221,7 @@
 ) -> None:
     async def run_scenario() -> None:
         async with Fleet(folder, size, keys) as fleet:
-            await fleet.until(fleet.names, dict.fromkeys(fleet.names, "alive"))
+            await fleet.wait_for_states(fleet.names, dict.fromkeys(fleet.names, "alive"))
             await scenario(fleet)
 
     on_loop(run_scenario, 100)
@@ -232,30 +232,30 @@
         names = fleet.names
         await fleet.gateways["g1"].kill()
         rest = [name for name in names if name != "g1"]
-        await fleet.until(rest, {"g1": "dead"})
+        await fleet.wait_for_states(rest, {"g1": "dead"})
         await fleet.start("g1")
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
         fleet.gateways["g2"].pause()
         rest = [name for name in names if name != "g2"]
-        await fleet.until(rest, {"g2": "dead"})
-        fleet.gateways["g2"].wake()
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(rest, {"g2": "dead"})
+        fleet.gateways["g2"].resume()
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
         inside = [name for name in names if fleet.zone[name] == "a"]
         outside = [name for name in names if name not in inside]
-        fleet.split(inside)
-        await fleet.until(inside, dict.fromkeys(outside, "dead") | dict.fromkeys(inside, "alive"))
-        await fleet.until(outside, dict.fromkeys(inside, "dead") | dict.fromkeys(outside, "alive"))
+        fleet.partition(inside)
+        await fleet.wait_for_states(inside, dict.fromkeys(outside, "dead") | dict.fromkeys(inside, "alive"))
+        await fleet.wait_for_states(outside, dict.fromkeys(inside, "dead") | dict.fromkeys(outside, "alive"))
         ops = ",".join(f"{HOST}:{fleet.gateways[name].ops}" for name in names)
         done = await asyncio.to_thread(run, "plumwall", "members", "--at", ops)
         assert done.returncode == 1 and "seen otherwise by" in done.stdout and "dead" in done.stdout
         fleet.heal()
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
-        assert await fleet.gateways["g5"].end() == 0  # announces that it leaves: no member suspects it
+        assert await fleet.gateways["g5"].terminate() == 0  # announces that it leaves: no member suspects it
         rest = [name for name in names if name != "g5"]
-        await fleet.until(rest, dict.fromkeys(rest, "alive") | {"g5": "left"})
+        await fleet.wait_for_states(rest, dict.fromkeys(rest, "alive") | {"g5": "left"})
         statuses = [await fleet.status(name) for name in rest]
         assert not any(status["contested"] for status in statuses)
         ops = ",".join(f"{HOST}:{fleet.gateways[name].ops}" for name in rest)
@@ -270,12 +270,12 @@
         names, down = fleet.names, "g3"
         await fleet.gateways[down].kill()
         rest = [name for name in names if name != down]
-        await fleet.until(rest, {down: "dead"})
+        await fleet.wait_for_states(rest, {down: "dead"})
         # every gateway accepts a key before any signs with it
         for keys in ([OLD_KEY, NEW_KEY], [NEW_KEY, OLD_KEY], [NEW_KEY]):
             for name in rest:
                 accepted = await metric_value(fleet, name, "gateway_cfg_accepted_total")
-                fleet.rekey(name, keys)
+                fleet.set_keys(name, keys)
                 while await metric_value(fleet, name, "gateway_cfg_accepted_total") == accepted:
                     await asyncio.sleep(0.02)
             assert "dead" not in [(await fleet.states(rest[0]))[name] for name in rest]
@@ -283,8 +283,8 @@
         while not (await fleet.status(rest[0]))["dropped"].get("forged"):
             await asyncio.sleep(0.02)
         assert (await fleet.states(rest[0]))[down] == "dead"
-        fleet.rekey(down, [NEW_KEY])
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        fleet.set_keys(down, [NEW_KEY])
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             foreign = seal(Datagram("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW_KEY))
             for data in (b"\xff" * 64, b"x" * 3000, foreign):
@@ -330,7 +330,7 @@
         done = await asyncio.to_thread(run, "plumwall", "verdicts", "--at", at)
         assert done.returncode == 0 and "s0" in done.stdout and f"{finder} (1)" in done.stdout, done
 
-        fleet.split([finder])
+        fleet.partition([finder])
         rest = [name for name in names if name != finder]
         for name in rest:
             while await failing_servers(fleet, name):
@@ -364,7 +364,7 @@
 
     on_loop(run_rounds, 240)
     assert not outcome.breach and outcome.rounds == 5 and outcome.false_dead == 0, outcome
-    assert len(outcome.agreed_s) == 5 and outcome.first_s and 0 < outcome.oldest_ms <= 10_000
+    assert len(outcome.agreed_s) == 5 and outcome.first_detected_s and 0 < outcome.max_age_ms <= 10_000
 
 
 def test_invalid_members_plan_names_its_field(tmp_path: Path) -> None:
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -210,14 +210,14 @@
     tmp_path: Path,
 ) -> None:
     outcome = run_faults(tmp_path, 1, ["leader_cut", "gateway_stopped", "leader_lost"])
-    assert outcome.beyond == 0.0 and outcome.floors == 0.0 and outcome.served > 60
+    assert outcome.max_beyond_quota == 0.0 and outcome.allowed_floors == 0.0 and outcome.served > 60
 
 
 def test_bounded_shares_stay_within_the_bound_while_the_holding_is_down(
     tmp_path: Path,
 ) -> None:
     outcome = run_faults(tmp_path, 2, ["holding_down"], mode="bounded", floor=5.0, floor_ms=5000.0)
-    assert outcome.over <= 0.0 and outcome.floors == 15.0
+    assert outcome.max_excess <= 0.0 and outcome.allowed_floors == 15.0
 
 
 def test_the_same_without_shares_is_found_to_be_over(tmp_path: Path) -> None:
