--- a/benchmarks/beside.py
+++ b/benchmarks/beside.py
@@ -20,7 +20,7 @@
 
 import numpy as np
 
-from plumwall.emulator.process import ROOT, kill, spawn
+from plumwall.emulator.process import PROJECT_ROOT, kill, spawn
 from plumwall.faults.gateways import GatewayProcess
 from plumwall.faults.machines import HOST, Machines
 
@@ -88,8 +88,8 @@
     async def _spawn(self, core: int, *arguments: str) -> asyncio.subprocess.Process:
         child = await spawn(
             [sys.executable, "-m", "benchmarks.beside", *arguments],
-            ROOT,
-            {**os.environ, "PYTHONPATH": str(ROOT)},
+            PROJECT_ROOT,
+            {**os.environ, "PYTHONPATH": str(PROJECT_ROOT)},
             stdout=asyncio.subprocess.PIPE,
         )
         os.sched_setaffinity(child.pid, {core})
--- a/benchmarks/holding.py
+++ b/benchmarks/holding.py
@@ -18,7 +18,7 @@
 
 import numpy as np
 
-from plumwall.emulator.process import kill, raise_descriptors, spawn_module
+from plumwall.emulator.process import kill, raise_descriptor_limit, spawn_module
 from plumwall.faults.machines import HOST, Machines, impaired_command
 from yewstage.holding.group_names import LIST_GROUP, group_of
 from yewstage.registry.client import ServiceClient, ServiceReply
@@ -224,7 +224,7 @@
         "--writes", type=int, default=0, help="Writes to one group; nothing else is measured."
     )
     options = parser.parse_args()
-    raise_descriptors()
+    raise_descriptor_limit()
     assert resource.getrlimit(resource.RLIMIT_NOFILE)[0] > options.watches + 1000
     with tempfile.TemporaryDirectory() as folder:
         if options.writes:
--- a/plumwall/cli/play.py
+++ b/plumwall/cli/play.py
@@ -30,7 +30,7 @@
 from plumwall.cli.service import log_format
 from plumwall.emulator.fleet import StartError
 from plumwall.emulator.metrics import Exporter
-from plumwall.emulator.run import DEPLOY, Options, Run, RunOutcome, RunStatus
+from plumwall.emulator.run import DEFAULT_DEPLOY_FILE, Options, Run, RunOutcome, RunStatus
 from yewstage.log import TEXT
 from yewstage.net.config import Address
 
@@ -246,7 +246,7 @@
 @click.option(
     "--deploy",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    default=DEPLOY,
+    default=DEFAULT_DEPLOY_FILE,
     help="The deploy file whose `run` starts a gateway.",
     show_default="the project's own",
 )
@@ -306,9 +306,9 @@
 
 async def _hold(run: Run, screen: Screen) -> None:
     task = asyncio.ensure_future(run.serve_until_cancelled())
-    while not task.done() and not run.t0:
+    while not task.done() and not run.load_start_ms:
         await asyncio.sleep(0.1)
-    if run.t0:
+    if run.load_start_ms:
         at = ",".join(gateway.listen for gateway in run.gateways.values())
         screen.say(
             f"gateways are up; to try them: plumwall load --at {at} --scenario {run.scenario.name} "
--- a/plumwall/cli/scenario.py
+++ b/plumwall/cli/scenario.py
@@ -11,7 +11,7 @@
 def found(name: str) -> scenarios.Scenario:
     """A scenario by its name or file; bad ones end the command with the path of the field."""
     try:
-        return scenarios.load(scenarios.find(name))
+        return scenarios.load(scenarios.find_path(name))
     except scenarios.ScenarioError as error:
         raise BadFileError(str(error)) from None
 
@@ -70,7 +70,7 @@
     """
     say_table(
         ("field", "unit", "default", "meaning"),
-        [(f.path, f.unit, f.default, f.meaning) for f in scenarios.describe()],
+        [(f.path, f.unit, f.default, f.meaning) for f in scenarios.describe_fields()],
         json_=json_,
     )
 
@@ -99,15 +99,15 @@
             {
                 "servers": len(day.servers),
                 "customers": len(day.customers),
-                "first_tries": len(day.tries),
-                "changes": day.changes,
+                "first_tries": len(day.first_tries),
+                "changes": day.fault_events,
             }
         )
     else:
         click.echo(
-            f"{len(day.servers)} servers, {len(day.customers)} customers, {len(day.tries)} first tries"
+            f"{len(day.servers)} servers, {len(day.customers)} customers, {len(day.first_tries)} first tries"
         )
         say_table(
             ("at_s", "change", "target", "size"),
-            [(c.at_ms / 1000, c.kind, c.target, c.size) for c in day.changes],
+            [(c.at_ms / 1000, c.kind, c.target, c.size) for c in day.fault_events],
         )
--- a/plumwall/cli/simulate.py
+++ b/plumwall/cli/simulate.py
@@ -9,7 +9,7 @@
 from plumwall.cli.console import BadFileError, waiting
 from plumwall.cli.play import changed, report, run_folder
 from plumwall.cli.scenario import found
-from plumwall.simulate.run import Simulation, UnplayableError
+from plumwall.simulate.run import NotSimulatedError, Simulation
 
 
 @click.command()
@@ -50,7 +50,7 @@
     with waiting("simulation", json_) as say:
         try:
             simulation = Simulation(made, seed, say)
-        except UnplayableError as error:
+        except NotSimulatedError as error:
             raise BadFileError(str(error)) from None
         simulation.play()
         outcome = simulation.outcome(out)
--- a/plumwall/emulator/backing.py
+++ b/plumwall/emulator/backing.py
@@ -77,7 +77,7 @@
         elif event.kind == "zone_joined":
             partitioned, self._partitioned = self._partitioned, frozenset()
             for name in partitioned:
-                if not self.model.down:
+                if not self.model.is_down:
                     self.listeners[name].resume()
 
     def move(self, gateway: GatewaySpec) -> None:
@@ -303,7 +303,7 @@
         """Apply a fault event to the lists and the counter."""
         self.counter.apply_fault(event)
         if event.kind == "list_late":
-            self._directory.late = event.size
+            self._directory.delay_factor = event.size
         elif event.kind in ("list_down", "list_up"):
             for agent_service in self.agents.values():
                 agent_service.set_outage(event.kind == "list_down")
@@ -339,7 +339,7 @@
         if lifecycle == READY:
             self._started_at_ms[event.target] = round(time.time() * 1000, 3)
         entry = Entry(self._specs[event.target], lifecycle, self._started_at_ms.get(event.target, 0.0))
-        arrivals = self._directory.arrivals(self.now(), kind, len(self.agents))
+        arrivals = self._directory.draw_arrival_times(self.now(), kind, len(self.agents))
         for agent_service, at_ms in zip(self.agents.values(), arrivals, strict=True):
             self._loop.call_later(max(0.0, at_ms - self.now()) / 1000, agent_service.learn, entry)
 
--- a/plumwall/emulator/clients.py
+++ b/plumwall/emulator/clients.py
@@ -28,14 +28,14 @@
 
 
 class PendingTry:
-    """A try in progress. `due` is in milliseconds since the load began."""
+    """A try in progress. `due_ms` is in milliseconds since the load began."""
 
     __slots__ = (
         "first",
         "number",
         "id",
         "gateway",
-        "due",
+        "due_ms",
         "on_new_connection",
         "connection",
         "timer",
@@ -43,8 +43,8 @@
         "is_late",
     )
 
-    def __init__(self, first: FirstTry, number: int, try_id: str, gateway: str, due: float) -> None:
-        self.first, self.number, self.id, self.gateway, self.due = first, number, try_id, gateway, due
+    def __init__(self, first: FirstTry, number: int, try_id: str, gateway: str, due_ms: float) -> None:
+        self.first, self.number, self.id, self.gateway, self.due_ms = first, number, try_id, gateway, due_ms
         self.on_new_connection = self.is_ended = self.is_late = False
         self.connection: ClientConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -109,7 +109,7 @@
         if self._parser.get_status_code() < 200:
             return
         keep = self._parser.should_keep_alive()
-        self._on_end(r.WHOLE, self._parser.get_status_code(), keep)
+        self._on_end(r.COMPLETE, self._parser.get_status_code(), keep)
 
     def _on_end(self, how: str, status: int = 0, keep: bool = False) -> None:
         pending, self.pending = self.pending, None
@@ -118,7 +118,7 @@
         if not keep and not self.is_closed:
             self.transport.abort()
         if status == 200 and not self._target.is_server_answer(pending, self._body):
-            how = r.WRONG
+            how = r.WRONG_BODY
         if keep:
             self._target.release(self)
         self._target.on_ended(pending, how, status, self._retry_after_s)
@@ -177,7 +177,7 @@
 
     def _write(self, connection: ClientConnection, pending: PendingTry) -> None:
         pending.connection = connection
-        left_ms = pending.due + pending.first.try_ms - self._generator.now()
+        left_ms = pending.due_ms + pending.first.try_ms - self._generator.now()
         if left_ms < 1:
             self.release(connection)
             self._generator.on_ended(pending, r.NOT_SENT, 0, 0.0)
@@ -255,7 +255,7 @@
         self.verifies_answers = verifies_answers  # a 200 must carry the id of its request
         self._names = [g.name for g in world.gateways]
         self.targets = {name: Target(self, name, gateways[name]) for name in self._names}
-        self._first_tries: deque[FirstTry] = deque(t for t in world.tries if t.index % shards == shard)
+        self._first_tries: deque[FirstTry] = deque(t for t in world.first_tries if t.index % shards == shard)
         self._retries: list[tuple[float, int, int, FirstTry]] = []
         self.open_count = 0
         self._id_salt = world.seed
@@ -358,7 +358,7 @@
                 pending.number,
                 pending.gateway,
                 round(left_ms, 3),
-                pending.due,
+                pending.due_ms,
                 pending.on_new_connection,
             )
         )
@@ -380,14 +380,14 @@
 
     def on_unsolicited_data(self, gateway: str) -> None:
         """Record bytes from a gateway on a connection without an open request."""
-        self._write(r.Answered(self.now(), "", gateway, r.DOUBLE))
+        self._write(r.Answered(self.now(), "", gateway, r.EXTRA_BYTES))
 
     # --- Ends ---------------------------------------------------------------------------------------------
 
     def _on_client_left(self, pending: PendingTry) -> None:
         pending.connection.pending = None
         pending.connection.abort()
-        self.on_ended(pending, r.LEFT, 0, 0.0)
+        self.on_ended(pending, r.CLIENT_LEFT, 0, 0.0)
 
     def _on_deadline(self, pending: PendingTry) -> None:
         """Handle a try whose deadline has passed. Its client may retry, and the connection stays open for a
@@ -412,7 +412,7 @@
         now = self.now()
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
         self.tally.record_end(pending, how, status, now)
-        if not pending.is_late and how != r.LEFT and not (how == r.WHOLE and status == 200):
+        if not pending.is_late and how != r.CLIENT_LEFT and not (how == r.COMPLETE and status == 200):
             self._retry(
                 pending, retry_s * 1000, refused=status in (429, 503) or how in (r.REFUSED, r.NOT_SENT)
             )
--- a/plumwall/emulator/hosts.py
+++ b/plumwall/emulator/hosts.py
@@ -127,7 +127,7 @@
     def drain(self) -> None:
         """Start draining: requests it already holds are finished."""
         if self.model is not None:
-            self.model.draining = True
+            self.model.is_draining = True
             self._shard.write(r.ServerIs(self._shard.now(), self.spec.name, "draining"))
 
     def set_partitioned(self, gateways: frozenset[str], active: bool) -> None:
@@ -206,7 +206,7 @@
                 )
             )
         self._open_jobs[exchange] = job
-        job.done = (exchange, gateway)
+        job.completion_handle = (exchange, gateway)
         connections = sum(len(listener.connections) for listener in set(self.listeners.values()))
         was_up = not model.has_collapsed
         if connections > self.spec.connections:
@@ -262,7 +262,7 @@
 
     def _finish(self, job: Job) -> None:
         """Send the result of a job after the round trip time of the network."""
-        exchange, gateway = job.done
+        exchange, gateway = job.completion_handle
         if exchange not in self._open_jobs:
             return  # its connection has closed: there is nobody to answer
         delay_ms = self._round_trips_ms.get(gateway, 0.0)
@@ -309,9 +309,9 @@
             self._record_end(exchange, job, "closed", False)
 
     def _record_end(self, exchange: Exchange, job: Job, result: str, answered: bool) -> None:
-        _, gateway = job.done
+        _, gateway = job.completion_handle
         self._shard.write(
-            r.Ended(self._shard.now(), job.id, self.spec.name, gateway, result, job.begun, answered)
+            r.Ended(self._shard.now(), job.id, self.spec.name, gateway, result, job.was_started, answered)
         )
 
 
@@ -332,7 +332,7 @@
         self._registrar: Registrar | None = None
         self.t0 = 0.0  # when the load begins: ms of the monotonic clock
         self.dedup_windows_ms = {c.name: c.window_ms for c in world.scenario.classes}
-        self._units = [first.units for first in world.tries]
+        self._units = [first.units for first in world.first_tries]
         self._lost_share, self._loss_rng = 0.0, world.random_streams.stream("lost", shard)
         network, rng = world.scenario.network, world.random_streams.stream("network")
         self._same_zone_ms = float(rng.uniform(network.same_ms.least, network.same_ms.most))
@@ -436,9 +436,9 @@
         elif event.kind == "server_drain":
             host.drain()
         elif host.model is not None and event.kind == "server_fails":
-            host.model.fails = event.size
+            host.model.failure_rate = event.size
         elif host.model is not None and event.kind == "server_slow":
-            host.model.slow = event.size
+            host.model.slowdown = event.size
 
     def _close_idle(self) -> None:
         before_ms = time.monotonic() * 1000 - self.world.scenario.servers.idle_ms
--- a/plumwall/emulator/process.py
+++ b/plumwall/emulator/process.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-ROOT = Path(__file__).resolve().parents[2]
+PROJECT_ROOT = Path(__file__).resolve().parents[2]
 PR_SET_PDEATHSIG = 1
 LIBC = ctypes.CDLL(None, use_errno=True)
 
@@ -33,7 +33,7 @@
     return apply
 
 
-def raise_descriptors() -> None:
+def raise_descriptor_limit() -> None:
     """Raise the limit on file descriptors of this process and its children to the hard limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < hard:
@@ -58,8 +58,8 @@
 
 async def spawn_module(module: str, *args: str, **streams: object) -> asyncio.subprocess.Process:
     """Run a module of the project with this interpreter."""
-    environ = {**os.environ, "PYTHONPATH": str(ROOT)}
-    return await spawn([sys.executable, "-m", module, *args], ROOT, environ, **streams)
+    environ = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT)}
+    return await spawn([sys.executable, "-m", module, *args], PROJECT_ROOT, environ, **streams)
 
 
 async def is_ready(host: str, port: int) -> bool:
--- a/plumwall/emulator/run.py
+++ b/plumwall/emulator/run.py
@@ -21,13 +21,13 @@
 from plumwall.emulator.identity import host_of
 from plumwall.emulator.listservice import ListService, ReplicatedListService
 from plumwall.emulator.metrics import Exporter
-from plumwall.emulator.process import ROOT, JsonLinesWorker, raise_descriptors, spawn_module
+from plumwall.emulator.process import PROJECT_ROOT, JsonLinesWorker, raise_descriptor_limit, spawn_module
 from plumwall.emulator.tally import Row, Second, Tally
 from plumwall.emulator.timing import call_not_before
 from plumwall.judge import Judge, Verdict
 from plumwall.world.generator import FaultEvent, GeneratedWorld
 
-DEPLOY = ROOT / "deploy" / "balancer.toml"
+DEFAULT_DEPLOY_FILE = PROJECT_ROOT / "deploy" / "balancer.toml"
 START_DELAY_S = 0.5  # from the start message to the start of the load, so that every worker has it in time
 WORKER_REPLY_TIMEOUT_S = 30.0  # time for a worker to generate its world and listen
 # After the load and the longest deadline. Clients that have not finished by then fail the run.
@@ -42,7 +42,7 @@
     scenario: scenarios.Scenario
     seed: int = 1
     folder: Path
-    deploy: Path = DEPLOY
+    deploy: Path = DEFAULT_DEPLOY_FILE
     log_format: str = "text"  # of the gateways
     client_workers: int = 1
     host_workers: int = 1
@@ -92,7 +92,7 @@
         self.scenario = options.scenario
         self.world = GeneratedWorld(self.scenario, options.seed)
         self.folder = options.folder
-        self.t0 = 0.0
+        self.load_start_ms = 0.0
         self._network = (
             f"127.{random.SystemRandom().randint(16, 250)}.{random.SystemRandom().randint(0, 250)}"
         )
@@ -137,7 +137,7 @@
 
     async def set_up(self) -> None:
         """Start workers and gateways; return when the workers listen and the gateways are ready."""
-        raise_descriptors()
+        raise_descriptor_limit()
         self.folder.mkdir(parents=True, exist_ok=True)
         (self.folder / "scenario.json").write_text(scenarios.encode(self.scenario), encoding="utf-8")
         self._records_file = (self.folder / "run.jsonl").open("wb")
@@ -153,7 +153,7 @@
         command = run_command(self.options.deploy)
         self._report_progress(
             f"{len(self.world.servers)} servers, {len(self.world.gateways)} gateways, "
-            f"{len(self.world.tries)} requests, seed {self.options.seed}"
+            f"{len(self.world.first_tries)} requests, seed {self.options.seed}"
         )
         backing = await self._start_world()
         if self.scenario.listing.source != "agent":
@@ -317,7 +317,7 @@
 
     def _announce_start(self) -> None:
         """Send the start time of the load to all workers and schedule the faults."""
-        self.t0 = (time.monotonic() + START_DELAY_S) * 1000
+        self.load_start_ms = (time.monotonic() + START_DELAY_S) * 1000
         addresses = {name: gateway.listen for name, gateway in self.gateways.items()} or {
             spec.name: address
             for spec, address in zip(self.world.gateways, self.options.gateways, strict=True)
@@ -325,10 +325,10 @@
         for name, worker in self._workers.items():
             if name.startswith("clients"):
                 worker.send({"gateways": addresses})
-            worker.send({"go": self.t0})
+            worker.send({"go": self.load_start_ms})
         loop = asyncio.get_running_loop()
-        for event in self.world.changes:
-            call_not_before(loop, self.t0 + event.at_ms, self._apply_fault, event)
+        for event in self.world.fault_events:
+            call_not_before(loop, self.load_start_ms + event.at_ms, self._apply_fault, event)
         self._spawn(self._poll_status())
         if self.list_service is not None:
             self._spawn(self.list_service.start_checkers())
@@ -347,7 +347,7 @@
         await self._poll_metrics()
 
     def _now_ms(self) -> float:
-        return time.monotonic() * 1000 - self.t0
+        return time.monotonic() * 1000 - self.load_start_ms
 
     def _apply_fault(self, event: FaultEvent) -> None:
         """Record a fault event, and apply it if it concerns a gateway or a replica of the list service."""
@@ -385,7 +385,7 @@
     def _on_gateway_state(self, name: str, state: str, why: str) -> None:
         self._states[name] = state
         self._exporter.record_state(name, state)
-        self._writer.write(r.GatewayIs(self._now_ms() if self.t0 else 0.0, name, state, why))
+        self._writer.write(r.GatewayIs(self._now_ms() if self.load_start_ms else 0.0, name, state, why))
 
     async def _poll_status(self) -> None:
         """Report the status of the run once a second."""
--- a/plumwall/emulator/tally.py
+++ b/plumwall/emulator/tally.py
@@ -27,9 +27,9 @@
 
 def result_of(how: str, status: int) -> str:
     """The result of a try as it is reported."""
-    if how == r.WHOLE and status == 200:
+    if how == r.COMPLETE and status == 200:
         return SERVED
-    return REFUSED if how == r.WHOLE and status in (429, 503) else FAILED
+    return REFUSED if how == r.COMPLETE and status in (429, 503) else FAILED
 
 
 class Row(Struct, frozen=True):
@@ -82,16 +82,16 @@
         self.lateness.record_value(_to_us(now - due))
 
     def record_end(self, pending: object, how: str, status: int, now: float) -> None:
-        """Count the end of a try. `pending` has its `first` try, `gateway` and `due` time."""
+        """Count the end of a try. `pending` has its `first` try, `gateway` and `due_ms`."""
         result, first = result_of(how, status), pending.first
-        latency_us = _to_us(now - pending.due)
+        latency_us = _to_us(now - pending.due_ms)
         if result == SERVED:
             self._by_second[SERVED][int(now // 1000)] += 1
         for group in (
             ("gateway", pending.gateway),
             ("class", self._classes[first.cls]),
             ("plan", self._plans[first.customer]),
-            ("status", str(status) if how == r.WHOLE else how),
+            ("status", str(status) if how == r.COMPLETE else how),
         ):
             self._counts[group][result] += 1
             if result == SERVED or group[0] == "status":
--- a/plumwall/emulator/worker.py
+++ b/plumwall/emulator/worker.py
@@ -78,7 +78,7 @@
 
     def start_load(self, t0: float) -> None:
         """Schedule the faults. The load begins at `t0`, in milliseconds of the monotonic clock."""
-        for event in self.world.changes:
+        for event in self.world.fault_events:
             call_not_before(self.loop, t0 + event.at_ms, self.role.apply_fault, event)
         self.loop.call_later(FLUSH_S, self._flush)
 
--- a/plumwall/faults/gateways.py
+++ b/plumwall/faults/gateways.py
@@ -11,7 +11,7 @@
 import msgspec
 import numpy as np
 
-from plumwall.emulator.process import ROOT, is_ready, kill, spawn
+from plumwall.emulator.process import PROJECT_ROOT, is_ready, kill, spawn
 from plumwall.faults.child import Child
 from plumwall.faults.machines import HOST
 
@@ -32,10 +32,10 @@
         """Start the process; returns once it is ready. Raises RuntimeError if it ends before it listens."""
         self._paused = False
         path = self._write_config()
-        environ = {**os.environ, "PYTHONPATH": str(ROOT), "ROUTER_CONFIG": str(path.resolve())}
+        environ = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT), "ROUTER_CONFIG": str(path.resolve())}
         environ["TMPDIR"] = str(self.folder.resolve())
         self.process = await spawn(
-            [sys.executable, "-m", "yewstage"], ROOT, environ, stderr=asyncio.subprocess.PIPE
+            [sys.executable, "-m", "yewstage"], PROJECT_ROOT, environ, stderr=asyncio.subprocess.PIPE
         )
         while line := (await self.process.stderr.readline()).decode():
             self.lines.append(line)
--- a/plumwall/judge.py
+++ b/plumwall/judge.py
@@ -112,7 +112,7 @@
 
     def status(self) -> int:
         """HTTP status of its answer; 0 if it had no complete one."""
-        whole = self.answered is not None and self.answered.how == r.WHOLE
+        whole = self.answered is not None and self.answered.how == r.COMPLETE
         return self.answered.status if whole else 0
 
     def served(self) -> bool:
@@ -181,13 +181,13 @@
             if asked.id in self.tries:
                 self._resent.append(asked)
             else:
-                self.tries[asked.id] = Try(asked, self._world.tries[asked.first])
+                self.tries[asked.id] = Try(asked, self._world.first_tries[asked.first])
         for answered in self._records[r.Answered]:
             if answered.id in self.tries:
                 self.tries[answered.id].answered = answered
             elif answered.how in (r.REFUSED, r.NOT_SENT):
                 self._not_accepted.append(answered)
-            elif answered.how == r.DOUBLE:
+            elif answered.how == r.EXTRA_BYTES:
                 self.findings.add(
                     REQUESTS,
                     answered.at,
@@ -223,14 +223,14 @@
         overdue_ms = self._scenario.rules.overdue_ms + self._tolerance_ms
         for client_try in self.tries.values():
             asked, end = client_try.asked, client_try.answered
-            if end is None or end.how in (r.LEFT, r.REFUSED):
+            if end is None or end.how in (r.CLIENT_LEFT, r.REFUSED):
                 continue
             was_killed = kills.killed_between(asked.gateway, asked.at, end.at)
             late_ms = end.at - asked.at - asked.left_ms
-            if end.how == r.WHOLE:
+            if end.how == r.COMPLETE:
                 if late_ms > overdue_ms:
                     self._add_request_finding(client_try, f"was answered {late_ms:.0f} ms after its deadline")
-            elif end.how == r.WRONG:
+            elif end.how == r.WRONG_BODY:
                 self._add_request_finding(client_try, "was answered 200 with a body that no server sent")
             elif end.how == r.CLOSED and not was_killed and (client_try.attempts or not asked.fresh):
                 self._add_request_finding(client_try, "lost its connection without an answer")
@@ -365,7 +365,7 @@
                 continue
             bucket = buckets.setdefault(customer, TokenBucket.full(plan.ceiling_rate, plan.ceiling_burst))
             now = _first_sent_ms(client_try)
-            bucket.adjust(now, client_try.first.guess)
+            bucket.charge_difference(now, client_try.first.guess)
             slack = plan.ceiling_slack + plan.ceiling_rate * 3 * self._tolerance_ms / 1000
             if bucket.units < -slack:
                 self.findings.add(
@@ -398,7 +398,9 @@
             "tries": len(tries),
             "served": sum(t.served() for t in tries),
             "refused": sum(t.status() in REFUSED_STATUS for t in tries),
-            "failed": sum(e.how != r.WHOLE or e.status not in SERVED_STATUS | REFUSED_STATUS for e in ends),
+            "failed": sum(
+                e.how != r.COMPLETE or e.status not in SERVED_STATUS | REFUSED_STATUS for e in ends
+            ),
             "attempts": attempts,
             "attempts_per_try": round(attempts / max(1, sum(bool(t.attempts) for t in tries)), 4),
             "dials": len(self._records[r.Dialled]),
@@ -496,7 +498,7 @@
 
     def _chain_of(self, index: int) -> RequestChain:
         if index not in self._chains:
-            self._chains[index] = RequestChain(self._world.tries[index])
+            self._chains[index] = RequestChain(self._world.first_tries[index])
         return self._chains[index]
 
     def service(self) -> Service:
@@ -590,7 +592,7 @@
             elif what == SENT:
                 client_try.within_quota = bucket.take(at, client_try.first.guess)
             elif client_try.within_quota:
-                bucket.adjust(at, client_try.first.units - client_try.first.guess)
+                bucket.charge_difference(at, client_try.first.units - client_try.first.guess)
 
     def _compute_offered_worth(self) -> None:
         """Compute what a gateway that sees all first tries would admit within the quotas."""
--- a/plumwall/records.py
+++ b/plumwall/records.py
@@ -33,7 +33,7 @@
 
 
 # How a try ended at its client; Answered explains the words.
-WHOLE, TRUNCATED, NOT_SENT, REFUSED, CLOSED, TIMED_OUT, LEFT, SHORT, WRONG, DOUBLE = (
+COMPLETE, TRUNCATED, NOT_SENT, REFUSED, CLOSED, TIMED_OUT, CLIENT_LEFT, SHORT, WRONG_BODY, EXTRA_BYTES = (
     "whole",
     "cut",
     "untold",
--- a/plumwall/scenario.py
+++ b/plumwall/scenario.py
@@ -504,7 +504,7 @@
     return sorted(path.stem for path in BUILT_IN.glob("*.toml"))
 
 
-def find(name: str) -> Path:
+def find_path(name: str) -> Path:
     """Find a scenario by the name of a built-in one or the path of a file; ScenarioError if there is none."""
     path = BUILT_IN / f"{name}.toml"
     if re.fullmatch(r"[a-z0-9-]+", name) and path.is_file():
@@ -641,7 +641,7 @@
     default: str
 
 
-def describe(part: type[_Table] = Scenario, path: str = "") -> Iterator[Field]:
+def describe_fields(part: type[_Table] = Scenario, path: str = "") -> Iterator[Field]:
     """Describe all fields, in the order of the file."""
     hints = typing.get_type_hints(part, include_extras=True)
     for info in msgspec.structs.fields(part):
@@ -649,7 +649,7 @@
         bare = _table_type(typing.get_type_hints(part)[info.name])
         if isinstance(bare, type) and issubclass(bare, _Table):
             is_list = typing.get_origin(_bare_type(hints[info.name])) is list
-            yield from describe(bare, f"{field_path}[]" if is_list else field_path)
+            yield from describe_fields(bare, f"{field_path}[]" if is_list else field_path)
             continue
         meta = next(item for item in reversed(hints[info.name].__metadata__) if item.description)
         yield Field(field_path, meta.description, _unit(info.name, hints[info.name]), _default(info))
--- a/plumwall/simulate/clients.py
+++ b/plumwall/simulate/clients.py
@@ -17,19 +17,19 @@
 class PendingTry:
     """A try that has been sent and has no result yet."""
 
-    __slots__ = ("clients", "first", "number", "id", "gateway", "due", "timer", "is_over", "is_late")
+    __slots__ = ("clients", "first", "number", "id", "gateway", "due_ms", "timer", "is_over", "is_late")
 
     def __init__(
-        self, clients: SimClients, first: FirstTry, number: int, rid: str, gateway: str, due: float
+        self, clients: SimClients, first: FirstTry, number: int, rid: str, gateway: str, due_ms: float
     ) -> None:
         self.clients, self.first, self.number, self.id = clients, first, number, rid
-        self.gateway, self.due = gateway, due
+        self.gateway, self.due_ms = gateway, due_ms
         self.is_over = self.is_late = False
         self.timer: Timer | None = None
 
     def on_answer(self, status: int, retry_ms: float) -> None:
         """Receive the final answer; `retry_ms` is the Retry-After time, 0 for none."""
-        self.clients.ended(self, r.WHOLE, status, retry_ms)
+        self.clients.ended(self, r.COMPLETE, status, retry_ms)
 
     def on_connection_lost(self) -> None:
         """Handle a connection that ended without an answer; a new one to the gateway is refused."""
@@ -57,11 +57,11 @@
         self._detection_delay_ms = (
             draw_between(world.random_streams.stream("notice"), world.scenario.clients.notice_s) * 1000
         )
-        self.remaining = len(world.tries)  # tries that are pending or not yet sent
+        self.remaining = len(world.first_tries)  # tries that are pending or not yet sent
 
     def start(self) -> None:
         """Start sending the tries in the order of their times."""
-        self._send_and_schedule(iter(self.world.tries))
+        self._send_and_schedule(iter(self.world.first_tries))
 
     def _send_and_schedule(self, tries: object, first: FirstTry | None = None) -> None:
         """Send a try and schedule the next one; a single timer, as there may be millions of tries."""
@@ -130,7 +130,7 @@
 
     def _disconnect(self, pending: PendingTry) -> None:
         self._gateways[pending.gateway].on_client_left(pending.id)
-        self.ended(pending, r.LEFT, 0, 0.0)
+        self.ended(pending, r.CLIENT_LEFT, 0, 0.0)
 
     def _on_timeout(self, pending: PendingTry) -> None:
         pending.is_late = True
@@ -151,8 +151,8 @@
         now = self._clock.now
         self._write(r.Answered(now, pending.id, pending.gateway, how, status))
         self.tally.record_end(pending, how, status, now)
-        was_served = how == r.WHOLE and status == 200
-        if not pending.is_late and how != r.LEFT and not was_served:
+        was_served = how == r.COMPLETE and status == 200
+        if not pending.is_late and how != r.CLIENT_LEFT and not was_served:
             self._retry(pending, retry_ms, refused=status in (429, 503) or how == r.REFUSED)
         self.remaining -= 1
 
--- a/plumwall/simulate/hosts.py
+++ b/plumwall/simulate/hosts.py
@@ -107,7 +107,7 @@
             r.Arrived(now, attempt.rid, self.spec.name, attempt.gateway, now, round(job.work_ms, 3))
         )
         self._open[attempt] = job
-        job.done = attempt
+        job.completion_handle = attempt
         was_standing = not model.has_collapsed
         result = "full" if self.connections > self.spec.connections else model.offer(now, job)
         if model.has_collapsed and was_standing:
@@ -138,11 +138,13 @@
         self._schedule()
 
     def _finish(self, job: Job) -> None:
-        if job.done in self._open:
-            self._clock.after(self._servers.round_trip_ms(job.done.gateway, self.spec), self._deliver, job)
+        if job.completion_handle in self._open:
+            self._clock.after(
+                self._servers.round_trip_ms(job.completion_handle.gateway, self.spec), self._deliver, job
+            )
 
     def _deliver(self, job: Job) -> None:
-        attempt = job.done
+        attempt = job.completion_handle
         if attempt not in self._open or attempt.gateway in self.unreachable_from:
             return
         del self._open[attempt]
@@ -158,7 +160,7 @@
     def _record_end(self, attempt: SentAttempt, job: Job, result: str, was_delivered: bool) -> None:
         now = self._clock.now
         self._servers.write(
-            r.Ended(now, job.id, self.spec.name, attempt.gateway, result, job.begun, was_delivered)
+            r.Ended(now, job.id, self.spec.name, attempt.gateway, result, job.was_started, was_delivered)
         )
 
 
@@ -197,7 +199,7 @@
 
     def units(self, rid: str) -> float:
         """Return the actual units of a request."""
-        return float(self.world.tries[int(rid[:8], 16)].units)
+        return float(self.world.first_tries[int(rid[:8], 16)].units)
 
     def draw_answer_loss(self) -> bool:
         """Draw whether the connection is lost before this answer arrives."""
@@ -205,7 +207,7 @@
 
     def make_job(self, attempt: SentAttempt, spec: ServerSpec) -> Job:
         """Return the job of a request at a server, with the handshake if the connection is new."""
-        first = self.world.tries[int(attempt.rid[:8], 16)]
+        first = self.world.first_tries[int(attempt.rid[:8], 16)]
         is_keyed = self.world.scenario.classes[first.cls].effect == "keyed"
         work_ms = first.work_ms + (spec.handshake_ms if attempt.is_new_connection else 0.0)
         key = f"{first.index:016x}" if is_keyed else ""
@@ -238,12 +240,12 @@
             case "server_silent":
                 server.vanish()
             case "server_drain" if server.model is not None:
-                server.model.draining = True
+                server.model.is_draining = True
                 self.write(r.ServerIs(self.clock.now, server.spec.name, "draining"))
             case "server_fails" if server.model is not None:
-                server.model.fails = event.size
+                server.model.failure_rate = event.size
             case "server_slow" if server.model is not None:
-                server.model.slow = event.size
+                server.model.slowdown = event.size
 
 
 class SimCounter:
@@ -376,7 +378,7 @@
     def apply(self, event: FaultEvent) -> None:
         """Apply a fault event to the list of servers or to discovery."""
         if event.kind == "list_late":
-            self._directory.late = event.size
+            self._directory.delay_factor = event.size
         elif event.kind in ("list_down", "list_up"):
             for agent in self.all.values():
                 agent.set_discovery_down(event.kind == "list_down")
@@ -385,6 +387,6 @@
             if lifecycle == READY:
                 self._started_at_ms[event.target] = round(LOAD_START_UNIX_MS + self._clock.now, 3)
             entry = Entry(self._specs[event.target], lifecycle, self._started_at_ms.get(event.target, 0.0))
-            times = self._directory.arrivals(self._clock.now, change_kind, len(self.all))
+            times = self._directory.draw_arrival_times(self._clock.now, change_kind, len(self.all))
             for agent, at_ms in zip(self.all.values(), times, strict=True):
                 self._clock.at(at_ms, agent.learn, entry)
--- a/plumwall/simulate/run.py
+++ b/plumwall/simulate/run.py
@@ -25,7 +25,7 @@
 MAX_TAIL_MS = 15_000.0  # upper bound of the time after the load and the longest deadline
 
 
-class UnplayableError(ValueError):
+class NotSimulatedError(ValueError):
     """A scenario with a part that is not simulated; the message names its field."""
 
 
@@ -41,7 +41,7 @@
     ) -> None:
         """`make_module` makes the decision module of a gateway: the real one or one to compare with it."""
         if scenario.listing.source != "agent":
-            raise UnplayableError(
+            raise NotSimulatedError(
                 f"listing.source: {scenario.listing.source!r} needs processes: use plumwall up"
             )
         self.scenario, self.seed, self._report_progress = scenario, seed, report_progress
@@ -74,7 +74,7 @@
         for gateway in self.gateways.values():
             gateway.start(immediately=True)
         self._clients.start()
-        for event in self.world.changes:
+        for event in self.world.fault_events:
             self.clock.at(event.at_ms, self._apply, event)
         self.clock.after(SAMPLE_INTERVAL_MS, self._sample, time.monotonic())
         max_deadline_ms = max(cls.deadline_ms for cls in self.scenario.classes)
--- a/plumwall/world/counter.py
+++ b/plumwall/world/counter.py
@@ -27,12 +27,12 @@
         self._service_ms, self._call_ms, self._queue_ms = 1000.0 * partitions / calls_per_s, call_ms, queue_ms
         self._free_at_ms = [0.0] * partitions
         self._totals: dict[str, tuple[float, float]] = {}  # by name: total, expiry time
-        self.down = False
+        self.is_down = False
         self.answered_count = self.rejected_count = self.unanswered_count = 0
 
     def add(self, now: float, name: str, amount: float, ttl_ms: float) -> Counted | None:
         """Add to a total, which expires `ttl_ms` after its first call; None (no answer) while it is down."""
-        if self.down:
+        if self.is_down:
             self.unanswered_count += 1
             return None
         partition = zlib.crc32(name.encode()) % len(self._free_at_ms)
@@ -53,10 +53,10 @@
 
     def fail(self) -> None:
         """Stop answering and lose all totals."""
-        self.down = True
+        self.is_down = True
         self._totals.clear()
 
     def recover(self, now: float) -> None:
         """Answer again, with no totals, as a service started on another machine does."""
-        self.down = False
+        self.is_down = False
         self._free_at_ms = [now] * len(self._free_at_ms)
--- a/plumwall/world/directory.py
+++ b/plumwall/world/directory.py
@@ -97,10 +97,10 @@
             "start": draw_between(rng, listing.add_s),
         }
         self._spread_ms: Span = listing.spread_ms
-        self.late = 1.0  # factor on the detection delay, set by the fault late_list
+        self.delay_factor = 1.0  # factor on the detection delay, set by the fault late_list
 
-    def arrivals(self, now: float, change_kind: str, agents: int) -> Iterator[float]:
+    def draw_arrival_times(self, now: float, change_kind: str, agents: int) -> Iterator[float]:
         """Yield the time at which each agent learns; `change_kind` is drain, gone, silent or start."""
-        delay_ms = self._detection_delay_s[change_kind] * 1000 * self.late
+        delay_ms = self._detection_delay_s[change_kind] * 1000 * self.delay_factor
         for _ in range(agents):
             yield now + delay_ms + float(self._rng.random()) * draw_between(self._rng, self._spread_ms)
--- a/plumwall/world/generator.py
+++ b/plumwall/world/generator.py
@@ -133,10 +133,12 @@
         self.class_work_ms = [
             draw_between(self.random_streams.stream("work", c.name), c.work_ms) for c in scenario.classes
         ]
-        self.changes = tuple(sorted(FaultPlan(self).changes(), key=lambda c: (c.at_ms, c.kind, c.target)))
+        self.fault_events = tuple(
+            sorted(FaultPlan(self).fault_events(), key=lambda c: (c.at_ms, c.kind, c.target))
+        )
         workload = Workload(self)
         self.customers, self.cumulative_shares = workload.customers, workload.cumulative_shares
-        self.tries = workload.tries
+        self.first_tries = workload.tries
         self.shift_period_ms = workload.shift_period_ms
 
     def settings(self, gateway: GatewaySpec) -> dict[str, object]:
@@ -208,7 +210,7 @@
 
     def lines(self) -> Iterator[bytes]:
         """Yield the world as JSON lines, equal byte for byte for equal worlds."""
-        for records in (self.servers, self.plans, self.customers, self.changes, self.tries):
+        for records in (self.servers, self.plans, self.customers, self.fault_events, self.first_tries):
             for record in records:
                 yield msgspec.json.encode(record)
 
@@ -540,7 +542,7 @@
         self._initial_servers = [server for server in world.servers if server.at_start]
         self._release_servers = [server for server in world.servers if not server.at_start]
 
-    def changes(self) -> Iterator[FaultEvent]:
+    def fault_events(self) -> Iterator[FaultEvent]:
         """Yield the events in the order of the faults in the scenario."""
         for i, fault in enumerate(self._world.scenario.faults):
             if fault.kind == "flood":
--- a/plumwall/world/quota.py
+++ b/plumwall/world/quota.py
@@ -33,6 +33,6 @@
         self.units -= units
         return True
 
-    def adjust(self, now: float, difference: float) -> None:
+    def charge_difference(self, now: float, difference: float) -> None:
         """Take a difference found later (negative: give back); the balance may become negative."""
         self.units = min(self.size, self.refill(now) - difference)
--- a/plumwall/world/server.py
+++ b/plumwall/world/server.py
@@ -34,9 +34,9 @@
     key: str = ""  # deduplication key of a request that may be repeated; empty: none
     key_window_ms: float = 0.0
     result: str = SERVED
-    begun: bool = False
+    was_started: bool = False
     left_ms: float = 0.0
-    done: object = None  # the caller's handle for the completion; the model does not use it
+    completion_handle: object = None  # the caller's handle for the completion; the model does not use it
 
 
 class DeduplicationGroup:
@@ -95,9 +95,9 @@
         self._waiting: deque[Job] = deque()
         self._ended: list[Job] = []  # ended but not yet returned by `advance`
         self._offered_work = OfferedWork()
-        self.draining = self.has_collapsed = False
-        self.fails = 0.0  # fraction of requests that it fails at once
-        self.slow = 1.0  # factor on the duration of all work
+        self.is_draining = self.has_collapsed = False
+        self.failure_rate = 0.0  # fraction of requests that it fails at once
+        self.slowdown = 1.0  # factor on the duration of all work
         self._busy_ms, self._report_from_ms = 0.0, now
         self._report = {"util": 0.0, "inflight": 0.0, "queue": 0.0}
         self._pending_report, self._report_visible_ms = self._report, now
@@ -130,12 +130,15 @@
             self._check_collapse(now, job.work_ms)
         if self.has_collapsed:
             return FULL
-        if self.draining:
+        if self.is_draining:
             return DRAINING
         spec = self.spec
         job.left_ms = job.work_ms * math.exp(spec.noise * self._rng.standard_normal() - spec.noise**2 / 2)
-        if self._rng.random() < (self.fails or spec.error_rate):
-            job.result, job.left_ms = ERROR, min(job.left_ms, TRIVIAL_WORK_MS) if self.fails else job.left_ms
+        if self._rng.random() < (self.failure_rate or spec.error_rate):
+            job.result, job.left_ms = (
+                ERROR,
+                min(job.left_ms, TRIVIAL_WORK_MS) if self.failure_rate else job.left_ms,
+            )
         if len(self._running) < spec.slots:
             self._start(now, job)
         elif len(self._waiting) < spec.queue:
@@ -225,7 +228,7 @@
         """Return the work done per millisecond for each running request; too many held requests reduce it."""
         spec = self.spec
         excess_per_core = max(0.0, self.request_count() / spec.cores - spec.thrash_at)
-        speed = spec.speed * self.warmth(now) / (1 + spec.thrash * excess_per_core) / self.slow
+        speed = spec.speed * self.warmth(now) / (1 + spec.thrash * excess_per_core) / self.slowdown
         return speed * min(1.0, spec.cores / len(self._running))
 
     def _do_work(self, until_ms: float, each_ms: float) -> None:
@@ -251,7 +254,7 @@
                 self._start(self._now_ms, job)
 
     def _start(self, now: float, job: Job) -> None:
-        job.begun = True
+        job.was_started = True
         if (
             job.key
             and job.result == SERVED
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,7 @@
 from plumwall.emulator.timing import call_not_before
 
 ROOT = Path(__file__).parent.parent
-SMALL = """
+SMALL_SCENARIO = """
 name = "small"
 length_s = 2
 [fleet]
@@ -74,7 +74,7 @@
 
 
 def test_run_keeps_the_rules_and_leaves_no_process(tmp_path: Path) -> None:
-    process, outcome = run_scenario(tmp_path, SMALL)
+    process, outcome = run_scenario(tmp_path, SMALL_SCENARIO)
     verdict = outcome["verdict"]
     assert verdict["kept"] and not verdict["findings"], process.stderr
     assert verdict["counts"]["served"] > 20 and verdict["counts"]["unended"] == 0
@@ -82,9 +82,9 @@
     assert remaining_processes(tmp_path) == []
 
 
-RELEASE = '\n[[faults]]\nkind = "release"\nat_s = 0.3\nfor_s = 0.3\npart = 0.5\n'
-AT_ONCE = "\n[listing]\nnotice_s = 0\nadd_s = 0\nspread_ms = 0\n"
-BUSY = SMALL.replace("work_ms = 20", "work_ms = 30").replace("rate_per_s = 30", "rate_per_s = 150")
+RELEASE_FAULT = '\n[[faults]]\nkind = "release"\nat_s = 0.3\nfor_s = 0.3\npart = 0.5\n'
+LIST_WITHOUT_DELAY = "\n[listing]\nnotice_s = 0\nadd_s = 0\nspread_ms = 0\n"
+BUSY = SMALL_SCENARIO.replace("work_ms = 20", "work_ms = 30").replace("rate_per_s = 30", "rate_per_s = 150")
 WITH_CEILING = """
 [[plans]]
 name = "standard"
@@ -94,12 +94,17 @@
 ceiling = 1.05
 """
 BREACHES = {
-    "effects": SMALL,
-    "requests": SMALL,
+    "effects": SMALL_SCENARIO,
+    "requests": SMALL_SCENARIO,
     # Lists learn of drains at once, so that an answer of the server is not what stops the requests.
-    "drains": SMALL.replace("length_s = 2", "length_s = 4") + AT_ONCE + "[rules]\ndrain_ms = 0\n" + RELEASE,
-    "cold": BUSY.replace("count = 4", "count = 4\ncold_from = 0.05\ncold_s = 17") + AT_ONCE + RELEASE,
-    "ceilings": SMALL.replace(
+    "drains": SMALL_SCENARIO.replace("length_s = 2", "length_s = 4")
+    + LIST_WITHOUT_DELAY
+    + "[rules]\ndrain_ms = 0\n"
+    + RELEASE_FAULT,
+    "cold": BUSY.replace("count = 4", "count = 4\ncold_from = 0.05\ncold_s = 17")
+    + LIST_WITHOUT_DELAY
+    + RELEASE_FAULT,
+    "ceilings": SMALL_SCENARIO.replace(
         "rate_per_s = 30", "rate_per_s = 60\nheavy = 1\nheavy_times = 8\nmost_excess = 9"
     ).replace("length_s = 2", "length_s = 5")
     + WITH_CEILING,
@@ -131,7 +136,7 @@
 """
         for i, kind in enumerate(("gateway_killed", "crash") * 8)
     )
-    process, outcome = run_scenario(tmp_path, SMALL.replace("length_s = 2", "length_s = 6") + faults)
+    process, outcome = run_scenario(tmp_path, SMALL_SCENARIO.replace("length_s = 2", "length_s = 6") + faults)
     records = [json.loads(line) for line in (tmp_path / "run" / "run.jsonl").read_text().splitlines()]
     kills = [
         record
@@ -143,7 +148,7 @@
 
 
 def test_interrupted_run_stops_all_its_processes(tmp_path: Path) -> None:
-    (tmp_path / "small.toml").write_text(SMALL.replace("length_s = 2", "length_s = 60"))
+    (tmp_path / "small.toml").write_text(SMALL_SCENARIO.replace("length_s = 2", "length_s = 60"))
     with subprocess.Popen(
         plumwall_command("up", str(tmp_path / "small.toml"), "--out", str(tmp_path / "run")),
         cwd=ROOT,
@@ -164,7 +169,9 @@
 def test_failed_start_of_a_gateway_is_reported_with_its_last_log_line(tmp_path: Path) -> None:
     (tmp_path / "deploy").mkdir()
     (tmp_path / "deploy" / "balancer.toml").write_text('run = "echo no luck >&2; exit 3"\n')
-    process, _ = run_scenario(tmp_path, SMALL, "--deploy", str(tmp_path / "deploy" / "balancer.toml"))
+    process, _ = run_scenario(
+        tmp_path, SMALL_SCENARIO, "--deploy", str(tmp_path / "deploy" / "balancer.toml")
+    )
     assert process.returncode == 1 and "status 3: no luck" in process.stderr
     assert remaining_processes(tmp_path) == []
 
@@ -232,13 +239,13 @@
 
 def test_late_load_tool_voids_the_run_and_counts_latency_from_due_time() -> None:
     class Pending:
-        def __init__(self, due: float) -> None:
-            self.due, self.gateway = due, "n0"
+        def __init__(self, due_ms: float) -> None:
+            self.due_ms, self.gateway = due_ms, "n0"
             self.first = type("First", (), {"cls": 0, "customer": 0})
 
     tally = Tally(["view"], ["basic"])
     for i in range(100):
-        pending = Pending(due=i)
+        pending = Pending(due_ms=i)
         tally.record_offered(i, i + 50.0)  # each 50 ms late
         tally.record_end(pending, "whole", 200, i + 60.0)
     assert "late" in tally.void_reason()
@@ -280,8 +287,8 @@
 
 
 def test_list_changes_during_an_outage_are_told_afterwards(tmp_path: Path) -> None:
-    faults = AT_ONCE + '[[faults]]\nkind = "list_down"\nat_s = 0.2\nfor_s = 1.5\n' + RELEASE
-    process, outcome = run_scenario(tmp_path, SMALL.replace("length_s = 2", "length_s = 4") + faults)
+    faults = LIST_WITHOUT_DELAY + '[[faults]]\nkind = "list_down"\nat_s = 0.2\nfor_s = 1.5\n' + RELEASE_FAULT
+    process, outcome = run_scenario(tmp_path, SMALL_SCENARIO.replace("length_s = 2", "length_s = 4") + faults)
     records = [json.loads(line) for line in (tmp_path / "run" / "backing-0.jsonl").read_text().splitlines()]
     told_at_ms = [
         record["at"] for record in records if record["t"] == "told" and record["lifecycle"] == "draining"
@@ -296,7 +303,7 @@
         '\n[listing]\nsource = "registry"\n[[faults]]\nkind = "release"\nat_s = 0.5\nfor_s = 1\npart = 0.5\n'
     )
     process, outcome = run_scenario(
-        tmp_path, SMALL.replace("length_s = 2", "length_s = 7") + faults, "--log-format", "json"
+        tmp_path, SMALL_SCENARIO.replace("length_s = 2", "length_s = 7") + faults, "--log-format", "json"
     )
     assert outcome["verdict"]["kept"] and outcome["verdict"]["counts"]["served"] > 100, process.stderr
     lines = [json.loads(line) for line in (tmp_path / "run" / "n0.log").read_text().splitlines()]
@@ -309,7 +316,7 @@
 
 
 def test_load_on_running_gateways_and_prometheus_metrics(tmp_path: Path) -> None:
-    (tmp_path / "small.toml").write_text(SMALL)
+    (tmp_path / "small.toml").write_text(SMALL_SCENARIO)
     up_args = ("up", str(tmp_path / "small.toml"), "--no-load", "--out", str(tmp_path / "run"))
     with subprocess.Popen(
         plumwall_command(*up_args), cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.PIPE, text=True
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -13,7 +13,7 @@
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 WORLD = GeneratedWorld(scenarios.decode("name = 'q'\nlength_s = 20\n[load]\nrate_per_s = 30"), 1)
-FIRST_TRIES = {cls: next(t for t in WORLD.tries if t.cls == cls) for cls in (SAFE, KEYED, UNSAFE)}
+FIRST_TRIES = {cls: next(t for t in WORLD.first_tries if t.cls == cls) for cls in (SAFE, KEYED, UNSAFE)}
 SAME_CELL_SERVER = next(
     s for s in WORLD.servers if s.cell == WORLD.servers[0].cell and s is not WORLD.servers[0]
 )
@@ -48,7 +48,7 @@
         )
         return self
 
-    def answered(self, status: int = 200, how: str = r.WHOLE, after: float = 1.0) -> RunBuilder:
+    def answered(self, status: int = 200, how: str = r.COMPLETE, after: float = 1.0) -> RunBuilder:
         self.now += after
         self.records.append(r.Answered(self.now, self.id, "n0", how, status))
         return self
@@ -94,7 +94,7 @@
     .ended("served", SAME_CELL_SERVER)
     .answered(),
     "an unsafe request failed after an error": RunBuilder(UNSAFE).asked().sent().ended("error").answered(502),
-    "the client left": RunBuilder(SAFE).asked().sent().answered(0, r.LEFT).ended("closed", told=False),
+    "the client left": RunBuilder(SAFE).asked().sent().answered(0, r.CLIENT_LEFT).ended("closed", told=False),
     "the gateway was killed": RunBuilder(SAFE)
     .asked()
     .sent()
@@ -123,8 +123,11 @@
         REQUESTS,
         RunBuilder().asked(fresh=True).sent().answered(0, r.CLOSED),
     ),
-    "an answer that no server made": (REQUESTS, RunBuilder().asked().answered(200, r.WRONG)),
-    "bytes without a request": (REQUESTS, served_run().with_records(r.Answered(5000.0, "", "n0", r.DOUBLE))),
+    "an answer that no server made": (REQUESTS, RunBuilder().asked().answered(200, r.WRONG_BODY)),
+    "bytes without a request": (
+        REQUESTS,
+        served_run().with_records(r.Answered(5000.0, "", "n0", r.EXTRA_BYTES)),
+    ),
     "an unsafe request sent twice at once": (
         EFFECTS,
         RunBuilder(UNSAFE).asked().sent().sent(OTHER_CELL_SERVER).ended("served").answered(),
@@ -237,7 +240,7 @@
 def test_gateways_together_must_not_pass_a_ceiling() -> None:
     plan = next(p for p in WORLD.plans if p.ceiling_rate)
     number = next(i for i, c in enumerate(WORLD.customers) if WORLD.plans[c.plan] is plan)
-    first = next(t for t in WORLD.tries if t.customer == number)
+    first = next(t for t in WORLD.first_tries if t.customer == number)
 
     def verdict_of(tries: int) -> Verdict:
         records: list[r.Record] = []
@@ -248,7 +251,7 @@
                 r.Asked(now, try_id, first.index, i, gateway, 4000, now),
                 r.Arrived(now + 0.1, try_id, SERVER.name, gateway, now, 1.0),
                 r.Ended(now + 0.5, try_id, SERVER.name, gateway, "served", True, True),
-                r.Answered(now + 0.6, try_id, gateway, r.WHOLE, 200),
+                r.Answered(now + 0.6, try_id, gateway, r.COMPLETE, 200),
             ]
         return Judge(WORLD, records).verdict()
 
@@ -291,7 +294,7 @@
         r.Asked(now, try_id, run.first.index, 1, "n1", 3000, now),
         r.Arrived(now + 1, try_id, SERVER.name, "n1", now, 100.0),
         r.Ended(now + 100, try_id, SERVER.name, "n1", "served", True, True),
-        r.Answered(now + 101, try_id, "n1", r.WHOLE, 200),
+        r.Answered(now + 101, try_id, "n1", r.COMPLETE, 200),
     )
     verdict = run.verdict()
     assert (
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -30,14 +30,14 @@
 
 @pytest.mark.parametrize("name", sorted(SCENARIOS))
 def test_built_in_scenario_is_valid_and_survives_encoding(name: str) -> None:
-    scenario = scenarios.load(scenarios.find(name))
+    scenario = scenarios.load(scenarios.find_path(name))
     assert scenario.name == name and scenario.about and name in scenarios.built_in()
     encoded = scenarios.encode(scenarios.decode_json(scenarios.encode(scenario)))
     assert scenarios.encode(scenarios.decode_json(encoded)) == encoded
 
 
 def test_every_field_is_described() -> None:
-    described = list(scenarios.describe())
+    described = list(scenarios.describe_fields())
     assert len({field.path for field in described}) == len(described) > 80
     assert all(field.meaning and field.unit and field.default for field in described)
 
@@ -77,7 +77,7 @@
 
 
 def _digest(name: str, seed: int) -> str:
-    world = GeneratedWorld(scenarios.load(scenarios.find(name)), seed)
+    world = GeneratedWorld(scenarios.load(scenarios.find_path(name)), seed)
     return hashlib.sha256(b"\n".join(world.lines())).hexdigest()
 
 
@@ -106,10 +106,11 @@
         "most_excess = 0\nswing = 0"
     )
     world = GeneratedWorld(scenario, 3)
-    assert 0.95 < len(world.tries) / (50 * 300) < 1.05  # no customer asks beyond its quota, so all is within
-    shares = [sum(t.cls == i for t in world.tries) / len(world.tries) for i in range(3)]
+    # no customer asks beyond its quota, so all is within
+    assert 0.95 < len(world.first_tries) / (50 * 300) < 1.05
+    shares = [sum(t.cls == i for t in world.first_tries) / len(world.first_tries) for i in range(3)]
     assert all(abs(a - b) < 0.02 for a, b in zip(shares, (0.59, 0.21, 0.2), strict=True))
-    for first in world.tries[::97]:
+    for first in world.first_tries[::97]:
         customer = world.customers[first.customer]
         gateway = world.gateway_of(first, 0, first.due_ms)
         assert (gateway - customer.first) % len(world.gateways) < customer.width
--- a/tests/test_simulate.py
+++ b/tests/test_simulate.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 
 import pytest
-from test_emulator import AT_ONCE, BREACHES, RELEASE, ROOT, SMALL
+from test_emulator import BREACHES, LIST_WITHOUT_DELAY, RELEASE_FAULT, ROOT, SMALL_SCENARIO
 
 from plumwall import records as r
 from plumwall import scenario as scenarios
 from plumwall.emulator.run import RunOutcome
 from plumwall.simulate.clock import Clock
-from plumwall.simulate.run import Simulation, UnplayableError
+from plumwall.simulate.run import NotSimulatedError, Simulation
 from yewstage import interface as api
 from yewstage.policy import Gateway
 
@@ -24,8 +24,8 @@
 COUNTER_DOWN = '[[faults]]\nkind = "counter_down"\nat_s = 0.5\nfor_s = 0.8\n'
 ZONE_LOST = '[[faults]]\nkind = "zone_lost"\nat_s = 0.6\nfor_s = 0.9\n'
 GATEWAYS_RESTARTED = '[[faults]]\nkind = "gateway_restarted"\nat_s = 0.6\npart = 1\n'
-LIST_DOWN = AT_ONCE + '[[faults]]\nkind = "list_down"\nat_s = 0.2\nfor_s = 1.5\n' + RELEASE
-FOUR_SECONDS = SMALL.replace("length_s = 2", "length_s = 4")
+LIST_DOWN = LIST_WITHOUT_DELAY + '[[faults]]\nkind = "list_down"\nat_s = 0.2\nfor_s = 1.5\n' + RELEASE_FAULT
+FOUR_SECONDS = SMALL_SCENARIO.replace("length_s = 2", "length_s = 4")
 
 
 def simulate(
@@ -65,7 +65,7 @@
         ZONE_LOST,
         GATEWAYS_RESTARTED,
         LIST_DOWN,
-        GATEWAY_KILLED + COUNTER_DOWN + RELEASE,
+        GATEWAY_KILLED + COUNTER_DOWN + RELEASE_FAULT,
     ],
 )
 def test_under_faults_every_try_ends_rules_are_kept_and_no_connection_leaks(
@@ -164,5 +164,5 @@
 
 
 def test_a_scenario_that_cannot_be_simulated_is_rejected(tmp_path: Path) -> None:
-    with pytest.raises(UnplayableError, match="listing.source: 'registry'"):
-        simulate(tmp_path, SMALL + '[listing]\nsource = "registry"\n')
+    with pytest.raises(NotSimulatedError, match="listing.source: 'registry'"):
+        simulate(tmp_path, SMALL_SCENARIO + '[listing]\nsource = "registry"\n')
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -90,7 +90,7 @@
 def test_a_full_server_rejects_requests_and_a_draining_one_finishes_those_it_holds() -> None:
     one = server()
     assert [one.offer(0, job(str(i))) for i in range(9)] == [SERVED] * 8 + [FULL]
-    one.draining = True
+    one.is_draining = True
     assert one.offer(1, job("late")) == REJECTED_AS_DRAINING
     assert len(run_until(one, 10_000)) == 8
 
@@ -205,7 +205,7 @@
 def test_a_token_bucket_fills_to_its_size_and_may_be_adjusted_below_zero() -> None:
     bucket = TokenBucket.full(2, 10)
     assert bucket.take(0, 10) and not bucket.take(400, 1) and bucket.take(500, 1)
-    bucket.adjust(500, 4)
+    bucket.charge_difference(500, 4)
     assert bucket.refill(500) == -4 and bucket.refill(60_000) == 10
     assert dataclasses.replace(bucket).units == 10
 
@@ -216,13 +216,13 @@
         "at_s = 5\nfor_s = 2\n[[faults]]\nkind = 'release'\npart = 0.5\nat_s = 10\nfor_s = 4"
     )
     world = GeneratedWorld(scenario, 1)
-    lost = {event.target for event in world.changes if event.kind == "server_silent"}
+    lost = {event.target for event in world.fault_events if event.kind == "server_silent"}
     assert lost == {spec.name for spec in world.servers if spec.zone == "hall-a" and spec.at_start}
-    assert {event.kind for event in world.changes if event.at_ms == 5000} == {
+    assert {event.kind for event in world.fault_events if event.at_ms == 5000} == {
         "server_silent",
         "gateway_kill",
         "counter_down",
     }
     new = {spec.name for spec in world.servers if not spec.at_start}
-    assert len(new) == 4 == len([event for event in world.changes if event.kind == "server_drain"])
-    assert new <= {event.target for event in world.changes if event.kind == "server_start"}
+    assert len(new) == 4 == len([event for event in world.fault_events if event.kind == "server_drain"])
+    assert new <= {event.target for event in world.fault_events if event.kind == "server_start"}
