--- a/plumwall/cli/scenario.py
+++ b/plumwall/cli/scenario.py
@@ -11,7 +11,7 @@
 def load_scenario(name: str) -> scenarios.Scenario:
     """Load a scenario by name or file; raises BadInputError, which names the invalid field."""
     try:
-        return scenarios.load(scenarios.find(name))
+        return scenarios.load(scenarios.find_path(name))
     except scenarios.ScenarioError as error:
         raise BadInputError(str(error)) from None
 
@@ -74,7 +74,7 @@
     """
     print_table(
         ("field", "unit", "default", "meaning"),
-        [(field.path, field.unit, field.default, field.meaning) for field in scenarios.describe()],
+        [(field.path, field.unit, field.default, field.meaning) for field in scenarios.describe_fields()],
         json_=json_,
     )
 
@@ -111,15 +111,15 @@
             {
                 "servers": len(world.servers),
                 "customers": len(world.customers),
-                "first_tries": len(world.tries),
-                "changes": world.changes,
+                "first_tries": len(world.first_tries),
+                "changes": world.fault_events,
             }
         )
     else:
         click.echo(
-            f"{len(world.servers)} servers, {len(world.customers)} customers, {len(world.tries)} first tries"
+            f"{len(world.servers)} servers, {len(world.customers)} customers, {len(world.first_tries)} first tries"
         )
         print_table(
             ("at_s", "change", "target", "size"),
-            [(change.at_ms / 1000, change.kind, change.target, change.size) for change in world.changes],
+            [(change.at_ms / 1000, change.kind, change.target, change.size) for change in world.fault_events],
         )
--- a/plumwall/cli/simulate.py
+++ b/plumwall/cli/simulate.py
@@ -9,7 +9,7 @@
 from plumwall.cli.console import BadInputError, show_progress
 from plumwall.cli.play import report_outcome, run_folder, with_overrides
 from plumwall.cli.scenario import load_scenario
-from plumwall.simulate.run import Simulation, UnplayableError
+from plumwall.simulate.run import NotSimulatedError, Simulation
 
 
 @click.command()
@@ -56,7 +56,7 @@
     with show_progress("simulation", json_) as report:
         try:
             simulation = Simulation(scenario, seed, report)
-        except UnplayableError as error:
+        except NotSimulatedError as error:
             raise BadInputError(str(error)) from None
         simulation.play()
         outcome = simulation.outcome(run_dir)
--- a/plumwall/faults/gateways.py
+++ b/plumwall/faults/gateways.py
@@ -11,7 +11,7 @@
 import msgspec
 import numpy as np
 
-from plumwall.emulator.process import ROOT, is_ready, kill, spawn
+from plumwall.emulator.process import PROJECT_ROOT, is_ready, kill, spawn
 from plumwall.faults.child import Child
 from plumwall.faults.machines import HOST
 
@@ -32,10 +32,10 @@
         """Start the process; returns once it is ready. Raises RuntimeError if it ends before it listens."""
         self._paused = False
         path = self._write_config()
-        environ = {**os.environ, "PYTHONPATH": str(ROOT), "ROUTER_CONFIG": str(path.resolve())}
+        environ = {**os.environ, "PYTHONPATH": str(PROJECT_ROOT), "ROUTER_CONFIG": str(path.resolve())}
         environ["TMPDIR"] = str(self.folder.resolve())
         self.process = await spawn(
-            [sys.executable, "-m", "yewstage"], ROOT, environ, stderr=asyncio.subprocess.PIPE
+            [sys.executable, "-m", "yewstage"], PROJECT_ROOT, environ, stderr=asyncio.subprocess.PIPE
         )
         while line := (await self.process.stderr.readline()).decode():
             self.lines.append(line)
@@ -61,24 +61,24 @@
 
     def runs(self) -> bool:
         """Whether the process is up and not stopped by `pause`."""
-        return self.up() and not self._paused
+        return self.is_up() and not self._paused
 
     def pause(self) -> None:
         """Stop the process with SIGSTOP; it then counts as not running."""
         self._paused = True
         super().pause()
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let the process continue, with SIGCONT; it then counts as running."""
         self._paused = False
-        super().wake()
+        super().resume()
 
     def set(self, **changes: object) -> None:
         """Change fields of the configuration file. They apply from the next start or SIGHUP on."""
         self._config = self._config | changes
         self._write_config()
 
-    async def end(self) -> int:
+    async def terminate(self) -> int:
         """Terminate the process with SIGTERM; returns the exit status."""
         self.process.terminate()
         return await self.process.wait()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -21,7 +21,7 @@
 from plumwall.faults.machines import HOST
 from plumwall.faults.members import MembersOutcome, MembersTorture
 from plumwall.faults.torture import PLANS, read_plan
-from plumwall.model.members import KEY, Net, fleet
+from plumwall.model.members import KEY, SimulatedFleet, converged_fleet
 from yewstage.membership.config import peers
 from yewstage.membership.messages import (
     ALIVE,
@@ -48,37 +48,37 @@
 
 @pytest.mark.parametrize("size", [12, 60])
 def test_only_a_killed_member_is_declared_dead_and_within_the_time_bound(size: int) -> None:
-    net = fleet(size, 5)
-    began = net.now
+    net = converged_fleet(size, 5)
+    began = net.now_ms
     net.kill(5)
     net.run(40_000)
-    detected_at = net.told(5, since=began)
-    period, timeout_ms = net.settings.period_ms, net.seats[0].swim.suspicion_timeout_ms(0)
-    assert len(detected_at) == size - 1 and net.false({5}) == 0
+    detected_at = net.detection_times_ms(5, since=began)
+    period, timeout_ms = net.settings.period_ms, net.machines[0].swim.suspicion_timeout_ms(0)
+    assert len(detected_at) == size - 1 and net.false_detections({5}) == 0
     assert detected_at[0] - began <= 2 * size * period + timeout_ms  # each probes all others in turn
     net.start(5)
     net.until_agreed(40_000)
-    assert net.false({5}) == 0
+    assert net.false_detections({5}) == 0
 
 
 def test_paused_members_declare_nobody_dead_and_are_alive_again_after_the_pause() -> None:
-    net = fleet(40, 6)
+    net = converged_fleet(40, 6)
     paused = set(range(0, 40, 20))
     for i in paused:
-        net.stall(i, 30_000)
+        net.pause(i, 30_000)
     net.run(29_000)
-    assert net.false(paused) == 0
-    assert all(net.told(i) for i in paused)
+    assert net.false_detections(paused) == 0
+    assert all(net.detection_times_ms(i) for i in paused)
     net.run(1_500)
     net.until_agreed(60_000)
-    assert net.false(paused) == 0
+    assert net.false_detections(paused) == 0
 
 
 def test_partitions_merge_again_after_each_declared_the_other_dead() -> None:
-    net = fleet(16, 7)
+    net = converged_fleet(16, 7)
     net.split(range(8), range(8, 16))
     net.run(120_000)
-    for seat in net.seats:
+    for seat in net.machines:
         seen = {row.name: row.state for row in seat.swim.rows()}
         assert sum(state == ALIVE for state in seen.values()) == 8
     net.links.cut.clear()
@@ -87,18 +87,18 @@
 
 @pytest.mark.parametrize(("loss", "repeat"), [(0.05, 0.1), (0.2, 0.0)])
 def test_lost_and_repeated_datagrams_cause_no_false_deaths(loss: float, repeat: float) -> None:
-    net = fleet(20, 8)
+    net = converged_fleet(20, 8)
     net.links.loss, net.links.repeat, net.links.delay_ms = loss, repeat, (0.1, 120.0)
     net.run(120_000)
-    assert net.false(set()) == 0
-    assert sum(seat.swim.dropped["repeated"] for seat in net.seats) > 0 or not repeat
+    assert net.false_detections(set()) == 0
+    assert sum(seat.swim.dropped["repeated"] for seat in net.machines) > 0 or not repeat
 
 
 def test_member_that_receives_nothing_does_not_make_others_declare_members_dead() -> None:
-    net = fleet(12, 9)
+    net = converged_fleet(12, 9)
     net.links.cut |= {(i, 3) for i in range(12) if i != 3}
     net.run(60_000)
-    others = [seat.swim for seat in net.seats if seat.number != 3]
+    others = [seat.swim for seat in net.machines if seat.number != 3]
     for swim in others:  # it reports them as dead, and each of them refutes that
         states = {row.name: row.state for row in swim.rows() if row.name != "g3"}
         assert sum(state in (ALIVE, SUSPECT) for state in states.values()) == 11
@@ -107,31 +107,31 @@
 
 
 def test_datagrams_of_an_earlier_process_are_dropped_after_a_restart() -> None:
-    net = fleet(6, 10)
-    old = net.seats[4].swim
-    old_datagram = seal(Datagram("fleet", old.own_row, 99, Page((net.seats[1].swim.own_row,))), KEY)
+    net = converged_fleet(6, 10)
+    old = net.machines[4].swim
+    old_datagram = seal(Datagram("fleet", old.own_row, 99, Page((net.machines[1].swim.own_row,))), KEY)
     net.kill(4)
     net.start(4)  # before any member suspects it
     net.until_agreed(20_000)
-    swim = net.seats[0].swim
+    swim = net.machines[0].swim
     held = next(row for row in swim.rows() if row.name == "g4")
-    assert held.start_id == net.seats[4].swim.own_row.start_id != old.own_row.start_id
+    assert held.start_id == net.machines[4].swim.own_row.start_id != old.own_row.start_id
     before = swim.dropped["earlier life"]
-    swim.handle(net._clock(0), unseal(old_datagram, "fleet", (KEY,)))
+    swim.handle(net.local_clock_ms(0), unseal(old_datagram, "fleet", (KEY,)))
     assert swim.dropped["earlier life"] == before + 1
-    assert not any(seat.swim.contested for seat in net.seats)
+    assert not any(seat.swim.contested for seat in net.machines)
 
 
 def test_process_that_gives_way_reports_a_name_used_twice_and_incarnations_stay_low() -> None:
-    net = fleet(6, 11)
-    net.seats[5].swim = None
+    net = converged_fleet(6, 11)
+    net.machines[5].swim = None
     net.start(5, name="g4")
     net.run(30_000)
-    processes = [net.seats[4].swim, net.seats[5].swim]
+    processes = [net.machines[4].swim, net.machines[5].swim]
     assert any(swim.contested for swim in processes)
     assert max(swim.own_row.incarnation for swim in processes) < 20
     winner = max(processes, key=lambda swim: swim.own_row.start_id)
-    held = {next(r for r in seat.swim.rows() if r.name == "g4").start_id for seat in net.seats[:4]}
+    held = {next(r for r in seat.swim.rows() if r.name == "g4").start_id for seat in net.machines[:4]}
     assert held == {winner.own_row.start_id}
 
 
@@ -169,7 +169,7 @@
 
 
 def test_no_datagram_exceeds_the_maximum_size() -> None:
-    net = Net(300, 3)
+    net = SimulatedFleet(300, 3)
     for i in range(300):
         net.start(i)
     max_bytes = [0]
@@ -221,7 +221,7 @@
 ) -> None:
     async def run_scenario() -> None:
         async with Fleet(folder, size, keys) as fleet:
-            await fleet.until(fleet.names, dict.fromkeys(fleet.names, "alive"))
+            await fleet.wait_for_states(fleet.names, dict.fromkeys(fleet.names, "alive"))
             await scenario(fleet)
 
     on_loop(run_scenario, 100)
@@ -232,30 +232,30 @@
         names = fleet.names
         await fleet.gateways["g1"].kill()
         rest = [name for name in names if name != "g1"]
-        await fleet.until(rest, {"g1": "dead"})
+        await fleet.wait_for_states(rest, {"g1": "dead"})
         await fleet.start("g1")
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
         fleet.gateways["g2"].pause()
         rest = [name for name in names if name != "g2"]
-        await fleet.until(rest, {"g2": "dead"})
-        fleet.gateways["g2"].wake()
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(rest, {"g2": "dead"})
+        fleet.gateways["g2"].resume()
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
         inside = [name for name in names if fleet.zone[name] == "a"]
         outside = [name for name in names if name not in inside]
-        fleet.split(inside)
-        await fleet.until(inside, dict.fromkeys(outside, "dead") | dict.fromkeys(inside, "alive"))
-        await fleet.until(outside, dict.fromkeys(inside, "dead") | dict.fromkeys(outside, "alive"))
+        fleet.partition(inside)
+        await fleet.wait_for_states(inside, dict.fromkeys(outside, "dead") | dict.fromkeys(inside, "alive"))
+        await fleet.wait_for_states(outside, dict.fromkeys(inside, "dead") | dict.fromkeys(outside, "alive"))
         ops = ",".join(f"{HOST}:{fleet.gateways[name].ops}" for name in names)
         done = await asyncio.to_thread(run, "plumwall", "members", "--at", ops)
         assert done.returncode == 1 and "seen otherwise by" in done.stdout and "dead" in done.stdout
         fleet.heal()
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
 
-        assert await fleet.gateways["g5"].end() == 0  # announces that it leaves: no member suspects it
+        assert await fleet.gateways["g5"].terminate() == 0  # announces that it leaves: no member suspects it
         rest = [name for name in names if name != "g5"]
-        await fleet.until(rest, dict.fromkeys(rest, "alive") | {"g5": "left"})
+        await fleet.wait_for_states(rest, dict.fromkeys(rest, "alive") | {"g5": "left"})
         statuses = [await fleet.status(name) for name in rest]
         assert not any(status["contested"] for status in statuses)
         ops = ",".join(f"{HOST}:{fleet.gateways[name].ops}" for name in rest)
@@ -270,12 +270,12 @@
         names, down = fleet.names, "g3"
         await fleet.gateways[down].kill()
         rest = [name for name in names if name != down]
-        await fleet.until(rest, {down: "dead"})
+        await fleet.wait_for_states(rest, {down: "dead"})
         # every gateway accepts a key before any signs with it
         for keys in ([OLD_KEY, NEW_KEY], [NEW_KEY, OLD_KEY], [NEW_KEY]):
             for name in rest:
                 accepted = await metric_value(fleet, name, "gateway_cfg_accepted_total")
-                fleet.rekey(name, keys)
+                fleet.set_keys(name, keys)
                 while await metric_value(fleet, name, "gateway_cfg_accepted_total") == accepted:
                     await asyncio.sleep(0.02)
             assert "dead" not in [(await fleet.states(rest[0]))[name] for name in rest]
@@ -283,8 +283,8 @@
         while not (await fleet.status(rest[0]))["dropped"].get("forged"):
             await asyncio.sleep(0.02)
         assert (await fleet.states(rest[0]))[down] == "dead"
-        fleet.rekey(down, [NEW_KEY])
-        await fleet.until(names, dict.fromkeys(names, "alive"))
+        fleet.set_keys(down, [NEW_KEY])
+        await fleet.wait_for_states(names, dict.fromkeys(names, "alive"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             foreign = seal(Datagram("other", ROW, 1, Ping(1, 2)), bytes.fromhex(NEW_KEY))
             for data in (b"\xff" * 64, b"x" * 3000, foreign):
@@ -330,7 +330,7 @@
         done = await asyncio.to_thread(run, "plumwall", "verdicts", "--at", at)
         assert done.returncode == 0 and "s0" in done.stdout and f"{finder} (1)" in done.stdout, done
 
-        fleet.split([finder])
+        fleet.partition([finder])
         rest = [name for name in names if name != finder]
         for name in rest:
             while await failing_servers(fleet, name):
@@ -364,7 +364,7 @@
 
     on_loop(run_rounds, 240)
     assert not outcome.breach and outcome.rounds == 5 and outcome.false_dead == 0, outcome
-    assert len(outcome.agreed_s) == 5 and outcome.first_s and 0 < outcome.oldest_ms <= 10_000
+    assert len(outcome.agreed_s) == 5 and outcome.first_detected_s and 0 < outcome.max_age_ms <= 10_000
 
 
 def test_invalid_members_plan_names_its_field(tmp_path: Path) -> None:
