--- a/plumwall/emulator/fleet.py
+++ b/plumwall/emulator/fleet.py
@@ -165,7 +165,7 @@
         self.earlier_cpu_s += cpu_s(self.process.pid)
         longest_deadline_s = max(c.deadline_ms for c in self._world.scenario.classes) / 1000
         exited = await terminate(self.process, max(longest_deadline_s, 3.0) + KILL_GRACE_S)
-        self._on_state(self.spec.name, "ended", "" if exited else "by SIGKILL: still running after SIGTERM")
+        self._on_state(self.spec.name, "ended", "" if exited else "by SIGKILL: it stayed after SIGTERM")
 
     async def restart(self) -> None:
         """Terminate the process, wait for its end and start a new one."""
@@ -206,7 +206,7 @@
     def last_log_line(self) -> str:
         """The last line of its log."""
         lines = self._log_path().read_text(encoding="utf-8", errors="replace").splitlines()
-        return lines[-1] if lines else "its log is empty"
+        return lines[-1] if lines else "it said nothing"
 
     async def close(self) -> None:
         """Kill the process if it still runs, and stop watching it."""
@@ -262,7 +262,7 @@
                 self._stopped_pids.add(process.pid)
                 kill(process)
                 self._on_state(
-                    self.spec.name, "crashed", f"used {used_mb:.0f} MiB of memory, {limit_mb:g} MiB allowed"
+                    self.spec.name, "crashed", f"took {used_mb:.0f} MiB of memory, {limit_mb:g} allowed"
                 )
                 return
             try:
@@ -274,5 +274,5 @@
             self._on_state(
                 self.spec.name,
                 "crashed",
-                f"exited unexpectedly with status {process.returncode}: {self.last_log_line()}",
+                f"ended by itself, status {process.returncode}: {self.last_log_line()}",
             )
--- a/plumwall/emulator/hosts.py
+++ b/plumwall/emulator/hosts.py
@@ -172,9 +172,7 @@
 
     def _invalid_data_handler(self, gateway: str) -> Callable[[ServerConnection, bytes], None]:
         return lambda connection, data: self._shard.write(
-            r.Unknown(
-                self._shard.now(), self.spec.name, gateway, f"sent data that is not an HTTP request: {data!r}"
-            )
+            r.Unknown(self._shard.now(), self.spec.name, gateway, f"sent what is no request: {data!r}")
         )
 
     def _on_request(self, exchange: Exchange, gateway: str) -> None:
@@ -201,9 +199,7 @@
         )
         if gateway_of(request_id) is None:
             self._shard.write(
-                r.Unknown(
-                    now, self.spec.name, gateway, f"a request id that no client made: {request_id[:64]}"
-                )
+                r.Unknown(now, self.spec.name, gateway, f"an id that no client made: {request_id[:64]}")
             )
         self._open_jobs[exchange] = job
         job.done = (exchange, gateway)
--- a/plumwall/emulator/metrics.py
+++ b/plumwall/emulator/metrics.py
@@ -16,25 +16,23 @@
         self.registry = CollectorRegistry()
         self._tries = Counter(
             "emulator_tries",
-            "tries of clients that have ended",
+            "of clients that have ended",
             ["gateway", "result"],
             registry=self.registry,
         )
         self._latency = Gauge(
             "emulator_latency_seconds",
-            "latency of the tries served in the last second, from when they were due",
+            "of what was served in the last second, since due",
             ["gateway", "quantile"],
             registry=self.registry,
         )
         self._states = Gauge(
             "emulator_gateway_state",
-            "1 for the current state of a gateway, else 0",
+            "1 for the state that a gateway is in",
             ["gateway", "state"],
             registry=self.registry,
         )
-        self._faults = Counter(
-            "emulator_faults", "fault events that were applied", ["kind"], registry=self.registry
-        )
+        self._faults = Counter("emulator_faults", "carried out", ["kind"], registry=self.registry)
         self._server = None
 
     def serve(self, address: tuple[str, int]) -> int:
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -177,21 +177,18 @@
         if not 0 <= init.keyed <= MAX_KEY_GROUPS:
             return error_response(400, f"must be from 0 to {MAX_KEY_GROUPS}", "keyed")
         if len({m.name for m in members}) < len(members) or len({m.id for m in members}) < len(members):
-            return error_response(400, "a name or an id occurs twice", "members")
+            return error_response(400, "a name or an id stands twice", "members")
         if not members or founder(members, PLACEMENT_GROUP, copies).id != replicas.me.id:
             return error_response(
                 409,
-                "another process accepts this call: the member with the least id of those that get the "
-                "placement group",
+                "another member begins: the least id of those that hold places",
                 "members",
             )
         if replicas.has_state(PLACEMENT_GROUP):
-            return error_response(409, "this process holds a placement group already")
+            return error_response(409, "this process holds something already")
         left_out = sorted({m.name for m in replicas.present_members()} - {m.name for m in members})
         if left_out:  # two operators who name different members could otherwise initialise two clusters
-            return error_response(
-                409, f"{', '.join(left_out)} is running, too: name all running processes", "members"
-            )
+            return error_response(409, f"{', '.join(left_out)} is there, too: name all that are", "members")
         existing_homes = {}
         list_report = replicas.peer_reports.leader_reports.get(LIST_GROUP)
         if replicas.has_state(LIST_GROUP):
@@ -324,7 +321,7 @@
                 400, "must be 1 to 64 letters, digits, dots, colons, dashes and underlines", "key"
             )
         if not key_group_count:
-            return error_response(503, "no groups for keys are known here")
+            return error_response(503, "no places for keys are known here")
         group = group_of(key, key_group_count)
         backend = self._replicas.backends.get(group)
         if backend is None or not backend.group.is_leader():
--- a/yewstage/holding/keys.py
+++ b/yewstage/holding/keys.py
@@ -75,12 +75,12 @@
         record = self.records.get(key)
         if record is not None and (record.claimant != by or record.state == DONE):
             raise RefusedError(
-                409, "is done" if record.state == DONE else "is in progress, or its end was lost"
+                409, "is done" if record.state == DONE else "is under way, or its end was lost"
             )
         if record is not None:
             return None
         if len(self.records) >= MAX_RECORDS:
-            raise RefusedError(503, f"{MAX_RECORDS} keys are recorded already")
+            raise RefusedError(503, f"{MAX_RECORDS} keys are held already")
         return {"op": "put", "key": key, "record": msgspec.to_builtins(KeyRecord(by, window_ms))}
 
     def plan_done(self, key: str, by: str, status: int, answer: str) -> Entry | None:
--- a/yewstage/holding/list_forwarder.py
+++ b/yewstage/holding/list_forwarder.py
@@ -60,7 +60,7 @@
         if not self._replica_addresses():
             return False
         if self.calls_in_flight >= self._max_calls:
-            caller.answer(self._unavailable("too many list calls are being forwarded"))
+            caller.answer(self._unavailable("too many calls for the list are passed on"))
             return True
         task = self._spawn(self._forward(after, wait_ms, caller))
         caller.on_disconnect = task.cancel
@@ -90,9 +90,7 @@
                     return HttpResponse(200, msgspec.json.encode(reply.body), b"application/json", age)
             elif self._now() >= deadline:
                 self.failed += 1
-                return self._unavailable(
-                    "no replica of the list answered, or the lists of all that did are too old"
-                )
+                return self._unavailable("no process that holds the list answers with what is new enough")
             else:
                 await asyncio.sleep(RETRY_DELAY_S)
 
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -200,72 +200,74 @@
         return [
             by_group(
                 "holding_leads",
-                "1 where this process leads the group",
+                "whether it leads",
                 {g: r.leading() for g, r in replicas_by_group.items()},
             ),
-            by_group(
-                "holding_term", "Raft term of the group", {g: r.term for g, r in replicas_by_group.items()}
-            ),
+            by_group("holding_term", "of the group", {g: r.term for g, r in replicas_by_group.items()}),
             by_group(
                 "holding_commit",
-                "commit index of the group",
+                "index",
                 {g: r.commit_index for g, r in replicas_by_group.items()},
             ),
             by_group(
                 "holding_age_seconds",
-                "upper bound on the staleness of this replica",
+                "bound on how old what is known here is",
                 {g: backend.age_ms() / 1000 for g, backend in started_backends.items()},
             ),
             by_group(
                 "holding_copies_short",
-                "live voters missing, by the leader; -1: not the leader",
+                "as the leader hears; -1: not the leader",
                 {g: replicas.missing_copies(g) for g in replicas_by_group},
             ),
-            gauge("holding_table_epoch", "epoch of the placement table known here", replicas.table.epoch),
-            gauge("holding_keys", "idempotency key records in replicas here", self.calls.key_count()),
-            gauge("holding_accounts", "quota accounts in replicas here", accounts),
-            gauge("holding_granted_units", "units in unexpired shares of accounts led here", granted),
+            gauge("holding_table_epoch", "of the places that are known here", replicas.table.epoch),
+            gauge("holding_keys", "kept here, of keyed requests", self.calls.key_count()),
+            gauge("holding_accounts", "kept here, of customers' quotas", accounts),
+            gauge("holding_granted_units", "in shares of accounts led here", granted),
             gauge(
                 "holding_disk_full",
-                "1 while writes to the disk fail",
+                "whether writes to the disk fail",
                 any(backend.broken for backend in replicas.backends.values()),
             ),
             gauge(
                 "holding_disk_bytes",
-                "size of the files",
+                "that the files take",
                 sum(backend.disk.bytes() for backend in replicas.backends.values()),
             ),
-            count("holding_elections", "elections started here", self._replica_sum("elections")),
-            count("holding_member_changes", "membership changes started here", replicas.membership_changes),
-            count(
-                "holding_copied_bytes", "sent to learners that catch up", replicas.copy_rate_limiter.copied
-            ),
+            count("holding_elections", "stood in here", self._replica_sum("elections")),
+            count("holding_member_changes", "begun here", replicas.membership_changes),
+            count("holding_copied_bytes", "sent to copies that are made", replicas.copy_rate_limiter.copied),
             count(
                 "holding_disk_forgot",
-                "times a peer's disk lost acknowledged entries",
+                "what a peer's disk had said to be durable",
                 self._replica_sum("durability_losses"),
             ),
-            count("holding_passed_on", "list calls forwarded to a replica", self.list_forwarder.forwarded),
+            count(
+                "holding_passed_on", "calls for the list, to one that holds it", self.list_forwarder.forwarded
+            ),
             count(
                 "holding_passed_on_failed",
-                "forwarded list calls without an answer in time",
+                "nobody answered in time",
                 self.list_forwarder.failed,
             ),
-            count("holding_unsure", "writes with an unknown outcome", self._backend_sum("unknown_outcomes")),
+            count(
+                "holding_unsure",
+                "writes whose result is not known here",
+                self._backend_sum("unknown_outcomes"),
+            ),
             count(
                 "holding_syncs",
-                "syncs of the disk",
+                "of the disk",
                 sum(backend.disk.syncs for backend in replicas.backends.values()),
             ),
-            count("holding_messages", "messages sent to other replicas", sum(link.sent for link in links)),
+            count("holding_messages", "sent to other replicas", sum(link.sent for link in links)),
             count(
                 "holding_dropped",
-                "messages dropped because a link was down or full",
+                "messages that links took no more of",
                 sum(link.dropped for link in links),
             ),
             count(
                 "holding_peers_refused",
-                "connections of another cluster or version, or with invalid frames",
+                "of another cluster or version, or nonsense",
                 self.refused_peers,
             ),
         ]
--- a/yewstage/holding/placement.py
+++ b/yewstage/holding/placement.py
@@ -70,9 +70,7 @@
         if table is None:
             return None
         if table.epoch != self.table.epoch + 1:
-            raise RefusedError(
-                409, f"the table is of epoch {self.table.epoch} now; read it again and repeat the change"
-            )
+            raise RefusedError(409, f"the table is of epoch {self.table.epoch} now; look again")
         return {"table": msgspec.to_builtins(table)}
 
     def apply(self, entry: Entry, now: float) -> None:
@@ -182,16 +180,14 @@
     if old not in placed.machine_names:
         raise RefusedError(409, f"{old} is none of {', '.join(placed.machine_names)}", "from")
     if new in placed.machine_names or new in view.table.removed or all(m.name != new for m in view.present):
-        raise RefusedError(
-            409, f"{new} holds a replica already, is removed, or was not heard of lately", "to"
-        )
+        raise RefusedError(409, f"{new} holds it already, is out, or is not there", "to")
     if not _is_settled(view, placed):
         raise RefusedError(409, f"{group} is being moved already", "group")
     homes = tuple(new if h == old else h for h in placed.machine_names)
     if len(_zone_counts(view, placed, list(homes))) < len(
         _zone_counts(view, placed, list(placed.machine_names))
     ):
-        raise RefusedError(409, f"with {new} the group would be in fewer zones and would be moved back", "to")
+        raise RefusedError(409, f"with {new} it would stand in fewer zones, and be moved back", "to")
     return view.table.with_homes(group, homes)
 
 
--- a/yewstage/holding/replicated_backend.py
+++ b/yewstage/holding/replicated_backend.py
@@ -120,9 +120,7 @@
         error = await future
         if isinstance(error, LeadershipLostError):
             self.unknown_outcomes += 1
-            raise OutcomeUnknownError(
-                "leadership was lost meanwhile: the call may have taken effect, repeat it"
-            )
+            raise OutcomeUnknownError("leadership passed on meanwhile: it may have been done, ask again")
         if error is not None:
             raise error
 
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -984,7 +984,7 @@
         log.warning(
             Event(
                 "clients_full",
-                "connection limit reached: {text}",
+                "no room for more clients: {text}",
                 **states,
                 text=", ".join(f"{n} {state}" for state, n in states.items()),
             )
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -180,7 +180,7 @@
                 log.warning(
                     Event(
                         "discovery_unreachable",
-                        "discovery: connecting timed out, retrying; the list of servers is kept",
+                        "discovery: cannot be reached, asking again; the list is kept",
                     )
                 )
             self._retry()
@@ -206,9 +206,7 @@
 
     def _close_silent(self) -> None:
         # Otherwise the watch would wait forever on the connection of an agent that stays silent.
-        log.warning(
-            Event("discovery_silent", "discovery: no answer in time, retrying; the list of servers is kept")
-        )
+        log.warning(Event("discovery_silent", "discovery: no answer, asking again; the list is kept"))
         if self._connection is not None:
             self._connection.abort()
 
@@ -220,7 +218,7 @@
             log.warning(
                 Event(
                     "discovery_turned_away",
-                    "discovery: request refused, retrying; the list of servers is kept",
+                    "discovery: turned away, the list is kept",
                 )
             )
             connection.abort()
@@ -235,7 +233,7 @@
             log.warning(
                 Event(
                     "discovery_bad_answer",
-                    "discovery: bad answer, the list of servers is kept: {error}",
+                    "discovery: bad answer, the list is kept: {error}",
                     error=str(error),
                 )
             )
--- a/yewstage/net/peers.py
+++ b/yewstage/net/peers.py
@@ -154,7 +154,7 @@
         if self.swim.contested != self._contested:
             self._contested = self.swim.contested
             if self._contested:
-                log.error(Event("name_used_twice", "another process uses the name {name}", name=self._name))
+                log.error(Event("name_used_twice", "another process goes by {name}", name=self._name))
         if self._timer is not None:
             self._timer.cancel()
         due_ms = min(self.swim.next_at(), self.shared.next_at()) if not self.swim.left else float("inf")
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -887,7 +887,7 @@
         self.answer_share += COUNTER_WEIGHT * (ok - self.answer_share)
         if self.answer_share < 0.5:
             self._log_limited(
-                "counter", "counter does not answer: calling it less often and estimating quotas"
+                "counter", "counter silent or crowded: calling less, quotas go by our estimates"
             )
         quota = self.customer_quotas.get(customer) if customer is not None else None
         if quota is None or quota.counter_name != reply.name or not quota.is_calling:
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -814,7 +814,7 @@
         committed at this index has the current term. Raises NotLeaderError, BusyError."""
         self._require_leadership(now)
         if self._uncommitted_bytes >= self.settings.max_uncommitted_bytes:
-            raise BusyError("too many uncommitted writes")
+            raise BusyError("too many writes are under way")
         entry = self._append_entry(DATA, data)
         for name in self.peers:
             self._replicate_to(name, now)
--- a/yewstage/registry/backend.py
+++ b/yewstage/registry/backend.py
@@ -21,7 +21,7 @@
 
     def __init__(self, leader_address: str) -> None:
         super().__init__(
-            f"not the leader; the leader is {leader_address}" if leader_address else "no leader is known"
+            f"not the leader; it is {leader_address}" if leader_address else "no leader is known"
         )
         self.leader_address = leader_address
 
--- a/yewstage/registry/config.py
+++ b/yewstage/registry/config.py
@@ -144,9 +144,7 @@
         """A name that may be used in a path of the HTTP interface."""
         value = self._take(name, None)
         if not isinstance(value, str) or not NAME.fullmatch(value):
-            raise ConfigError(
-                f"{name}: must be 1 to 64 letters, digits, dots, colons, dashes and underscores"
-            )
+            raise ConfigError(f"{name}: must be 1 to 64 letters, digits, dots, colons, dashes and underlines")
         return value
 
     def address(self, name: str) -> Address:
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -128,11 +128,11 @@
         if methods is None:
             return error_response(404, "no such path")
         if request.method not in methods:
-            answer = error_response(405, f"method not allowed: {request.method}")
+            answer = error_response(405, f"not {request.method}")
             return HttpResponse(405, answer.body, answer.kind, b"Allow: %b\r\n" % ", ".join(methods).encode())
         try:
             if name and not NAME.fullmatch(name):
-                raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underscores")
+                raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underlines")
             return methods[request.method](request, connection, name)
         except ConfigError as error:
             return malformed(error)
@@ -159,14 +159,14 @@
         age_ms = self.backend.age_ms()
         if age_ms > self.config.most_age_ms:
             self.rejected_too_old += 1
-            return self.later(f"the list here may be {age_ms / 1000:.0f} s old")
+            return self.later(f"what is known here may be {age_ms / 1000:.0f} s old")
         if after is None:
             return self._listing(None)
         changes = self.store.changes(after)
         # The client has a later revision from another replica.
         ahead = after > self.store.revision and self.backend.leader_store() is None
         if ahead and not wait_ms:
-            return self.later("the list here is at an earlier revision")
+            return self.later("not as far as that yet")
         if not ahead and (changes or changes is None or not wait_ms):
             return self._listing(after if changes is not None else None)
         if len(self._watches) >= self.config.watches:
@@ -205,7 +205,7 @@
         after, _ = self._watches.pop(connection)
         if self.backend.age_ms() > self.config.most_age_ms or after > self.store.revision:
             self.rejected_too_old += 1
-            connection.answer(self.later("the list here may be outdated"))
+            connection.answer(self.later("what is known here may be too old"))
         else:
             connection.answer(self._listing(after))
 
@@ -255,7 +255,7 @@
             connection.answer(self.later(f"writes are refused: {error}"))
         except Exception:
             log.exception(Event("write_failed", "a write failed"))
-            connection.answer(error_response(500, "internal error"))
+            connection.answer(error_response(500, "the service failed"))
 
     def _redirect_to_leader(self, error: MisdirectedError) -> HttpResponse:
         """Redirect a write to the leader, or 503 while none is known."""
@@ -374,7 +374,7 @@
         well, fence = fields.flag("well"), _fence(fields)
         fields.done()
         if fence is None:
-            raise ConfigError("lease: is missing; a verdict is written by the holder of a lease")
+            raise ConfigError("lease: a verdict is written by the holder of a duty")
         self._write_record(connection, name, fence, lambda store, now: store.plan_verdict(name, well))
 
     def _deregister(self, request: HttpRequest, connection: HttpConnection, name: str) -> None:
--- a/yewstage/registry/store.py
+++ b/yewstage/registry/store.py
@@ -143,7 +143,7 @@
         if existing is not None and record.started_at_ms < existing.started_at_ms:
             raise RefusedError(
                 409,
-                f"a later incarnation is registered, started at {existing.started_at_ms:.0f}",
+                f"a later life has registered, started at {existing.started_at_ms:.0f}",
                 "startedAtMs",
             )
         if existing is not None and record.same_registration(existing):
@@ -166,7 +166,7 @@
         full TTL."""
         record = self._existing_record(name)
         if registered is not None and registered != record.registered:
-            raise RefusedError(409, f"registered again as revision {record.registered}", "registered")
+            raise RefusedError(409, f"registered anew as {record.registered}", "registered")
         self._deadlines[name] = now + record.ttl_ms
         return record
 
@@ -188,9 +188,7 @@
             return None
         unwell = sum(not r.well for r in self.records.values())
         if not well and unwell + 1 > self.rules.max_unhealthy_share * len(self.records):
-            raise RefusedError(
-                409, f"{unwell} of {len(self.records)} servers are out of service by verdicts", "well"
-            )
+            raise RefusedError(409, f"{unwell} of {len(self.records)} servers are out by verdicts", "well")
         return self._put_entry(replace(record, well=well, revision=self.revision + 1))
 
     def plan_deregister(self, name: str, expect: int | None = None) -> Entry | None:
@@ -234,7 +232,7 @@
         record = self.records.get(name)
         revision = record.revision if record is not None else 0
         if expect is not None and expect != revision:
-            raise RefusedError(409, f"the revision is {revision}, not {expect}", "expect")
+            raise RefusedError(409, f"its revision is {revision}, not {expect}", "expect")
 
     @staticmethod
     def _put_entry(record: Record) -> Entry:
