--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -448,7 +448,7 @@
 
     def bound(self, server: str) -> int:
         """Links to one server."""
-        return max(1, self.module.links(server))
+        return max(1, self.module.connection_limit(server))
 
     def room(self) -> bool:
         """Whether another link may be dialled; the one that is idle longest gives way."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -109,7 +109,7 @@
     return dataclasses.replace(api.Server(f"h{i}", "ab"[i % 2], i % 2), **changes)
 
 
-def of(out: list[api.Action], kind: type) -> list:
+def actions_of(out: list[api.Action], kind: type) -> list:
     return [a for a in out if isinstance(a, kind)]
 
 
@@ -135,7 +135,7 @@
     {"name": "team", "refill": 500.0, "burst": 1000.0, "worth_factor": 1.0},
     {"name": "small", "refill": 1.0, "burst": 4.0, "worth_factor": 1.0, "over_cost": 1.0},
 ]
-Behave = Callable[["Seen"], bytes | None]
+Behave = Callable[["SeenMessage"], bytes | None]
 
 
 def reply(body: bytes = b"ok", status: int = 200, headers: bytes = b"") -> bytes:
@@ -176,7 +176,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class SeenMessage:
     """A message that a fake has read, with its connection."""
 
     line: str
@@ -185,33 +185,33 @@
     writer: asyncio.StreamWriter
 
 
-def serve(seen: Seen) -> bytes:
+def serve(seen: SeenMessage) -> bytes:
     """Behaviour of a server that answers at once."""
     return reply(b"served")
 
 
-def silent(seen: Seen) -> None:
+def silent(seen: SeenMessage) -> None:
     """Behaviour of a server that does not answer."""
 
 
-async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
+async def read_message(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> SeenMessage:
     """Read one whole request or answer."""
     line, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, _, v in (r.partition(": ") for r in rest if r)}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
-    return Seen(line, headers, body, writer)
+    return SeenMessage(line, headers, body, writer)
 
 
-class Fake:
+class FakeHttpServer:
     """A scripted HTTP server. `behave` returns the answer to a request, None for none, b"" for a reset."""
 
     def __init__(self, behave: Behave) -> None:
         self.behave = behave
-        self.seen: list[Seen] = []
+        self.seen: list[SeenMessage] = []
         self.closed = 0  # connections closed by the other side
         self.changed = asyncio.Event()
 
-    async def start(self) -> Fake:
+    async def start(self) -> FakeHttpServer:
         self.server = await asyncio.start_server(self._serve, LOOP, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -234,7 +234,7 @@
         finally:
             writer.close()
 
-    async def until(self, ready: Callable[[Fake], bool]) -> None:
+    async def wait_until(self, ready: Callable[[FakeHttpServer], bool]) -> None:
         """Wait for a condition on what the fake has seen; the test's own limit bounds the wait."""
         while not ready(self):
             self.changed.clear()
@@ -244,22 +244,22 @@
         self.server.close()
 
 
-def adding(seen: Seen, totals: dict[str, float]) -> bytes:
+def counter_reply(seen: SeenMessage, totals: dict[str, float]) -> bytes:
     """Behaviour of the counter: add, and answer with the total."""
     name, query = seen.line.split()[1].removeprefix("/v1/count/").split("?")
     totals[name] = totals.get(name, 0.0) + float(query.split("&")[0].removeprefix("add="))
     return reply(f"{totals[name]:g}".encode())
 
 
-class Directory:
+class FakeDiscovery:
     """A fake discovery service: lists at once, and holds each watch until `tell`."""
 
     def __init__(self, instances: list[dict]) -> None:
         self.generation, self.instances = 1, instances
-        self.waiting: list[Seen] = []
-        self.fake = Fake(self._behave)
+        self.waiting: list[SeenMessage] = []
+        self.fake = FakeHttpServer(self._behave)
 
-    def _behave(self, seen: Seen) -> bytes | None:
+    def _behave(self, seen: SeenMessage) -> bytes | None:
         if "after=" not in seen.line:
             return self.listing(self.instances, True)
         self.waiting.append(seen)
@@ -274,11 +274,11 @@
         await self.answer_watch(lambda: self.listing(instances, whole))
 
     async def answer_watch(self, data: Callable[[], bytes]) -> None:
-        await self.fake.until(lambda fake: bool(self.waiting))
+        await self.fake.wait_until(lambda fake: bool(self.waiting))
         self.generation += 1
         count = len(self.fake.seen)
         self.waiting.pop().writer.write(data())
-        await self.fake.until(lambda fake: len(fake.seen) > count)
+        await self.fake.wait_until(lambda fake: len(fake.seen) > count)
 
 
 def instance(name: str, port: int, lifecycle: str = "ready") -> dict:
@@ -299,14 +299,14 @@
     return int(re.search(r":(\d+)\D*$", line)[1])
 
 
-class Rig:
+class GatewayRig:
     """The real program with fake servers, a fake counter and a fake discovery service."""
 
     def __init__(self, folder: Path, *behaves: Behave, **limits: int) -> None:
         self.folder, self.limits = folder, limits
-        self.hosts = [Fake(b) for b in behaves]
+        self.hosts = [FakeHttpServer(b) for b in behaves]
         self.totals: dict[str, float] = {}
-        self.counter = Fake(lambda seen: adding(seen, self.totals))
+        self.counter = FakeHttpServer(lambda seen: counter_reply(seen, self.totals))
         self.held: socket.socket | None = None  # the clients' listening socket if the platform holds it
         self.process: asyncio.subprocess.Process | None = None
         self.processes: list[asyncio.subprocess.Process] = []
@@ -314,11 +314,11 @@
         self.port = self.ops_port = 0
         self.log: list[str] = []
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> GatewayRig:
         for host in self.hosts:
             await host.start()
         await self.counter.start()
-        self.directory = Directory(self.instances())
+        self.directory = FakeDiscovery(self.instances())
         await self.directory.fake.start()
         await self.launch()
         return self
@@ -389,12 +389,12 @@
         self.processes.append(self.process)
         self.reading.append(asyncio.create_task(self._read_log(self.process)))
 
-    def hold(self) -> Rig:
+    def hold(self) -> GatewayRig:
         """Open the clients' listening socket as the platform does, for every process to inherit."""
         self.held = socket.create_server((LOOP, 0))
         return self
 
-    async def logged(self, text: str) -> str:
+    async def wait_for_log(self, text: str) -> str:
         """Wait for a log line that contains a text, and return it."""
         while not (lines := [line for line in self.log if text in line]):
             await asyncio.sleep(0.01)
@@ -407,7 +407,7 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(LOOP, self.port)
 
-    async def ask(self, data: bytes) -> Seen:
+    async def ask(self, data: bytes) -> SeenMessage:
         """Send one request on a connection of its own and return the answer."""
         reader, writer = await self.connect()
         writer.write(data)
@@ -416,7 +416,7 @@
         finally:
             writer.close()
 
-    async def ops(self, path: str) -> Seen:
+    async def ops(self, path: str) -> SeenMessage:
         """One call to the operators' address."""
         reader, writer = await asyncio.open_connection(LOOP, self.ops_port)
         writer.write(f"GET {path} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
@@ -445,7 +445,7 @@
             fake.stop()
 
 
-def on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
+def run_on_loop(scenario: Callable[[], Coroutine], limit_s: float = 30.0) -> None:
     """Run a scenario on an event loop; it fails if it takes longer than `limit_s`."""
 
     async def bounded() -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import LOOP, Driver, Rig, instance, message, of, on_loop, read_message, reply
+from conftest import LOOP, Driver, GatewayRig, actions_of, instance, message, read_message, reply, run_on_loop
 
 from yewstage import interface as api
 from yewstage.net.attempts import Attempt, AttemptRunner
@@ -43,7 +43,7 @@
     return b"".join(parts)
 
 
-class Scripted(Rig):
+class Scripted(GatewayRig):
     """A rig whose only server runs a script on each of its connections."""
 
     def __init__(self, folder: Path, script: Script) -> None:
@@ -97,7 +97,7 @@
             figures = await rig.metrics()
             assert figures["gateway_relayed_total"] == 2 and figures["gateway_open_requests"] == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_streamed_body_is_held_back_by_a_server_that_reads_slowly(tmp_path: Path) -> None:
@@ -123,7 +123,7 @@
             go.set()
             assert (await read_message(reader, writer)).body.decode() == digest(long_body)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def framed(how: str, body: bytes) -> bytes:
@@ -158,7 +158,7 @@
             assert figures['gateway_fulfilled_total{priority="read"}'] == 2
             assert figures["gateway_open_requests"] == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_streamed_answer_is_held_back_by_a_client_that_reads_slowly(tmp_path: Path) -> None:
@@ -182,7 +182,7 @@
             writer.transport.resume_reading()
             assert await body_of(await reader.readuntil(b"\r\n\r\n"), reader) == BIG * 8
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def resident_mb(pid: int) -> float:
@@ -225,7 +225,7 @@
             for _, writer in clients:
                 writer.transport.abort()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("how", ["length", "chunked"])
@@ -245,7 +245,7 @@
             assert rig.connections == 1  # an answer that has begun is not retried
             assert (await rig.metrics())['gateway_faulted_total{priority="read"}'] == 1
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_answer_of_unknown_length_is_soon_streamed(tmp_path: Path) -> None:
@@ -267,7 +267,7 @@
             end.set()
             assert await body_of(head, reader) == b" last"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_long_error_answer_is_complete_with_its_head(tmp_path: Path) -> None:
@@ -280,7 +280,7 @@
         async with Scripted(tmp_path, fails) as rig:
             assert await rig.status(message("pay", key=False)) == 503
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -306,7 +306,7 @@
             assert await reader.read() == b""
             assert rig.connections == 1
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_client_that_disconnects_during_its_upload_ends_the_attempt(tmp_path: Path) -> None:
@@ -327,7 +327,7 @@
             writer.transport.abort()
             await gone.wait()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("size", [100, 3_000_000])
@@ -343,7 +343,7 @@
             answer = await read_message(reader, writer)
             assert answer.body.decode() == f"{size} {digest(b'x' * size)}"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_refused_request_with_expect_gets_no_100_continue(tmp_path: Path) -> None:
@@ -364,7 +364,7 @@
                 writer.transport.abort()
             assert b"503" in lines
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_upgrade_header_is_ignored(tmp_path: Path) -> None:
@@ -380,7 +380,7 @@
                 assert (await read_message(reader, writer)).body.decode() == f"{size} {digest(b'y' * size)}"
                 assert (await read_message(reader, writer)).body.decode() == f"0 {digest(b'')}"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_trailers_are_ignored(tmp_path: Path) -> None:
@@ -390,7 +390,7 @@
             data += in_chunks(b"abc", last=b"0\r\nX-Class: pay\r\nX-Request-Id: other\r\n\r\n")
             assert await rig.status(data) == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_body_below_the_minimum_rate_is_refused(tmp_path: Path) -> None:
@@ -406,14 +406,14 @@
             assert int((await read_message(reader, writer)).line.split()[1]) == 200
             assert (await slow_reader.readline()).split()[1] == b"408"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_the_decision_module_does_not_retry_a_streamed_body() -> None:
     d = Driver(counter_enabled=False)
     out = d.give(api.Request("r", "read", "open", "c", 4000, 1, 3, 0, False, False))
-    (send,) = of(out, api.Send)
-    assert not of(d.give(api.Outcome("r", 0, send.server, api.CONNECT_FAILED, 5, False)), api.Send)
+    (send,) = actions_of(out, api.Send)
+    assert not actions_of(d.give(api.Outcome("r", 0, send.server, api.CONNECT_FAILED, 5, False)), api.Send)
     assert any(isinstance(a, api.Refuse) and a.request == "r" for _, a in d.log)
 
 
@@ -421,10 +421,14 @@
 def test_the_decision_module_retries_a_streamed_body_of_which_nothing_was_sent(result: str) -> None:
     d = Driver()
     d.give(api.Request("u", "pay", "open", "c", 4000, 1, 3, 0, False, False))
-    first = of([act for _, act in d.log], api.Send)[0]
-    (second,) = of(d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send)
+    first = actions_of([act for _, act in d.log], api.Send)[0]
+    (second,) = actions_of(
+        d.give(api.Outcome("u", 0, first.server, result, 1, False, nothing_sent=True)), api.Send
+    )
     assert second.server != first.server and d.gateway.open_requests["u"].is_uploading
-    (refused,) = of(d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse)
+    (refused,) = actions_of(
+        d.give(api.Outcome("u", 1, second.server, api.CONNECT_FAILED, 1, False)), api.Refuse
+    )
     assert (
         refused.request == "u"
         and not d.gateway.open_requests
@@ -434,7 +438,7 @@
 
 def test_a_streamed_body_whose_dial_failed_reaches_a_second_server_complete(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"ok"), lambda seen: reply(b"ok")) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(b"ok"), lambda seen: reply(b"ok")) as rig:
             stopped, running = rig.hosts
             stopped.stop()  # it is still in the list
             body = bytes(range(256)) * 1000
@@ -444,7 +448,7 @@
             assert [seen.body for seen in running.seen] == [body] * 8 and not stopped.seen
             assert (await rig.metrics())['gateway_dials_total{result="failed"}'] >= 1
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_uploads_in_progress_do_not_refill_the_ceiling_bucket() -> None:
@@ -453,7 +457,7 @@
     d.sweep(100)  # 10 s, after which the bucket is full with 20 units
     for i in range(10):
         upload = api.Request(f"u{i}", "read", "capped", "c", 60_000, 1, 1, 0, False, False)
-        assert of(d.give(upload), api.Send)
+        assert actions_of(d.give(upload), api.Send)
     d.gateway.customer_quotas["c"].remaining = 1e6  # so that the quota does not limit
     d.sweep(100)
     assert d.gateway.customer_quotas["c"].uploading == 10
@@ -471,7 +475,7 @@
     assert server.in_flight == 1
     d.give(api.StreamStarted(rid, 0))
     assert server.in_flight == 0
-    assert not of(d.end(rid, api.RESET), api.Send)  # and it is not retried
+    assert not actions_of(d.end(rid, api.RESET), api.Send)  # and it is not retried
     assert server.in_flight == 0 and not d.gateway.open_requests
 
 
@@ -517,7 +521,7 @@
         runner.pool.stop()
         server.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 class EndRecorder:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import LOOP, on_loop
+from conftest import LOOP, run_on_loop
 
 from plumwall.emulator.listening_socket import ListeningSocket, respond
 from plumwall.emulator.tally import Tally
@@ -227,7 +227,7 @@
         (await connect())[1].close()
         listener.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_late_load_tool_voids_the_run_and_counts_latency_from_due_time() -> None:
@@ -269,7 +269,7 @@
         call, args = loop.timers.pop()
         call(*args)
         assert not calls and len(loop.timers) == 1
-    on_loop(lambda: _call_due_now(calls))
+    run_on_loop(lambda: _call_due_now(calls))
     assert calls == ["due"]
 
 
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import on_loop
+from conftest import run_on_loop
 from test_registry import run
 
 from plumwall.faults.links import TcpFaultProxy
@@ -36,7 +36,7 @@
             await machines.wait_until_replicated()
             await scenario(machines)
 
-    on_loop(run_scenario, 100)
+    run_on_loop(run_scenario, 100)
 
 
 async def register(client: ServiceClient, name: str) -> ServiceReply:
@@ -298,7 +298,7 @@
         assert not outcome.breach and outcome.rounds == 8, (outcome, seen)
         assert outcome.writes > 100 and len(outcome.gaps_s) >= 1
 
-    on_loop(run_scenario, 200)
+    run_on_loop(run_scenario, 200)
 
 
 def test_the_torture_test_detects_a_leader_that_commits_without_a_majority(tmp_path: Path) -> None:
@@ -327,7 +327,7 @@
             await load.stop()
         assert "is lost" in load.breach and len(load.shows) > 1, (load.breach, load.shows)
 
-    on_loop(run_scenario, 60)
+    run_on_loop(run_scenario, 60)
 
 
 def leader_view(members: Members, homes: str, present: tuple[Member, ...], **silent: float) -> GroupView:
@@ -468,7 +468,7 @@
         await link.stop()
         server.close()
 
-    on_loop(scenario, 20)
+    run_on_loop(scenario, 20)
 
 
 def test_an_invalid_plan_is_refused_by_field(tmp_path: Path) -> None:
--- a/tests/test_holding_groups.py
+++ b/tests/test_holding_groups.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from conftest import on_loop
+from conftest import run_on_loop
 from test_holding import listed, register, wait_until_listed
 from test_registry import run
 
@@ -29,7 +29,7 @@
             await machines.wait_until_replicated()
             await scenario(machines)
 
-    on_loop(run_scenario, 100)
+    run_on_loop(run_scenario, 100)
 
 
 async def call_until_ok(client: ServiceClient, path: str, body: dict[str, object]) -> ServiceReply:
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from conftest import KEYED, PLAN, Fake, Rig, Seen, message, on_loop, reply
+from conftest import KEYED, PLAN, FakeHttpServer, GatewayRig, SeenMessage, message, reply, run_on_loop
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
@@ -175,14 +175,14 @@
 # --- Gateways and a fake record
 
 
-class FakeRecord(Fake):
+class FakeRecord(FakeHttpServer):
     """A fake of the holding's calls about keys, with answers given by the test."""
 
     def __init__(self, answer_call: Callable[[str, dict], bytes | None]) -> None:
         self.calls: list[tuple[str, dict]] = []
         super().__init__(lambda seen: self.take(seen, answer_call))
 
-    def take(self, seen: Seen, answer_call: Callable[[str, dict], bytes | None]) -> bytes | None:
+    def take(self, seen: SeenMessage, answer_call: Callable[[str, dict], bytes | None]) -> bytes | None:
         verb, body = seen.line.split()[1].rpartition("/")[2], json.loads(seen.body)
         self.calls.append((verb, body))
         return answer_call(verb, body)
@@ -195,12 +195,12 @@
 def run_with_record(
     tmp_path: Path,
     answer_call: Callable[[str, dict], bytes | None],
-    scenario: Callable[[Rig, FakeRecord], object],
+    scenario: Callable[[GatewayRig, FakeRecord], object],
 ) -> None:
     async def run_scenario() -> None:
         fake_record = FakeRecord(answer_call)
         await fake_record.start()
-        async with Rig(tmp_path, lambda seen: reply(b"effect")) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(b"effect")) as rig:
             rig.config["holding"] = [f"127.0.0.1:{fake_record.port}"]
             rig.path.write_text(json.dumps(rig.config))
             rig.process.kill()
@@ -211,7 +211,7 @@
             await scenario(rig, fake_record)
         fake_record.stop()
 
-    on_loop(run_scenario, 30)
+    run_on_loop(run_scenario, 30)
 
 
 def put_request(deadline: str = "3000m") -> bytes:
@@ -219,10 +219,10 @@
 
 
 def test_a_key_is_claimed_before_the_request_and_settled_after_it(tmp_path: Path) -> None:
-    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+    async def scenario(rig: GatewayRig, fake_record: FakeRecord) -> None:
         answer = await rig.ask(put_request())
         assert answer.body == b"effect"
-        await fake_record.until(lambda fake: len(fake_record.calls) >= 2)
+        await fake_record.wait_until(lambda fake: len(fake_record.calls) >= 2)
         (claim, first), (done, last) = fake_record.calls
         assert (claim, done) == ("claim", "done") and first["by"] == last["by"] and last["status"] == 200
         assert base64.b64decode(last["answer"]).endswith(b"\neffect") and len(rig.hosts[0].seen) == 1
@@ -236,7 +236,7 @@
 def test_a_repeated_request_gets_the_stored_answer(tmp_path: Path) -> None:
     known = {"state": "done", "status": 200, "answer": base64.b64encode(b"text/plain\nas before").decode()}
 
-    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+    async def scenario(rig: GatewayRig, fake_record: FakeRecord) -> None:
         answer = await rig.ask(put_request())
         assert answer.body == b"as before" and not rig.hosts[0].seen
         assert answer.headers["content-type"] == "text/plain"
@@ -263,7 +263,7 @@
 def test_without_a_valid_claim_nothing_is_sent(
     tmp_path: Path, answer_call: Callable[[str, dict], bytes | None], status: int
 ) -> None:
-    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+    async def scenario(rig: GatewayRig, fake_record: FakeRecord) -> None:
         assert await rig.status(put_request("800m")) == status
         assert not rig.hosts[0].seen and fake_record.calls
 
@@ -271,9 +271,9 @@
 
 
 def test_a_claim_whose_answer_was_lost_is_released(tmp_path: Path) -> None:
-    async def scenario(rig: Rig, fake_record: FakeRecord) -> None:
+    async def scenario(rig: GatewayRig, fake_record: FakeRecord) -> None:
         assert await rig.status(put_request("800m")) == 503
-        await fake_record.until(lambda fake: any(verb == "release" for verb, _ in fake_record.calls))
+        await fake_record.wait_until(lambda fake: any(verb == "release" for verb, _ in fake_record.calls))
         (by,) = {body["by"] for _, body in fake_record.calls}
         assert by and not rig.hosts[0].seen
 
@@ -294,13 +294,13 @@
     tmp_path: Path, holding: object, expected_error: str
 ) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"")) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(b"")) as rig:
             rig.config["holding"] = holding
             rig.path.write_text(json.dumps(rig.config))
             with pytest.raises(AssertionError, match="exited at its start"):
                 await rig.spawn()
 
-    on_loop(scenario, 20)
+    run_on_loop(scenario, 20)
 
 
 # --- Real gateways and machines, lost together
@@ -317,7 +317,7 @@
     async def scenario() -> None:
         await torture.play(rounds)
 
-    on_loop(scenario, 120)
+    run_on_loop(scenario, 120)
     return torture
 
 
--- a/tests/test_linear.py
+++ b/tests/test_linear.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import replace
 
-from conftest import on_loop
+from conftest import run_on_loop
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -114,4 +114,4 @@
         far_transport.close()
         near_transport.close()
 
-    on_loop(scenario, 20)
+    run_on_loop(scenario, 20)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Rig, message, on_loop, reply
+from conftest import GatewayRig, message, reply, run_on_loop
 
 from yewstage.log import JSON, TEXT, Event, JoinedList, configure_logging
 
@@ -71,19 +71,19 @@
 
 def test_gateway_logs_json_lines_if_configured(tmp_path: Path) -> None:
     async def scenario() -> None:
-        class JsonLogRig(Rig):
+        class JsonLogRig(GatewayRig):
             async def spawn(self) -> None:
                 self.path.write_text(json.dumps({**self.config, "log": "json"}))
                 await super().spawn()
 
         async with JsonLogRig(tmp_path, lambda seen: reply(b"", 500)) as rig:
             assert await rig.status(message("pay")) == 502
-            raw = json.loads(await rig.logged('"event": "request"'))
+            raw = json.loads(await rig.wait_for_log('"event": "request"'))
             assert raw["request"] == "9b1f03aa5c7e2d41" and raw["gateway"] == "n0" and raw["class"] == "pay"
             assert raw["status"] == 502 and raw["attempts"][0]["server"] == "s-0"
             assert raw["attempts"][0]["result"] == "error"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_json_formatter_is_not_imported_by_default_and_invalid_log_format_is_refused(tmp_path: Path) -> None:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import on_loop
+from conftest import run_on_loop
 from hypothesis import given
 from hypothesis import strategies as st
 from msgspec import structs
@@ -224,7 +224,7 @@
             await fleet.until(fleet.names, dict.fromkeys(fleet.names, "alive"))
             await scenario(fleet)
 
-    on_loop(run_scenario, 100)
+    run_on_loop(run_scenario, 100)
 
 
 def test_gateways_detect_kills_pauses_partitions_departures_and_returns(tmp_path: Path) -> None:
@@ -362,7 +362,7 @@
         nonlocal outcome
         outcome = await MembersTorture(plan, tmp_path, 3, lambda text: None).play(5)
 
-    on_loop(run_rounds, 240)
+    run_on_loop(run_rounds, 240)
     assert not outcome.breach and outcome.rounds == 5 and outcome.false_dead == 0, outcome
     assert len(outcome.agreed_s) == 5 and outcome.first_s and 0 < outcome.oldest_ms <= 10_000
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -16,28 +16,28 @@
     LOOP,
     RID,
     ROOT,
-    Directory,
-    Fake,
-    Rig,
-    Seen,
-    adding,
+    FakeDiscovery,
+    FakeHttpServer,
+    GatewayRig,
+    SeenMessage,
+    counter_reply,
     instance,
     message,
-    on_loop,
     read_message,
     reply,
+    run_on_loop,
     serve,
     silent,
 )
 
 
-def reset(seen: Seen) -> bytes:
+def reset(seen: SeenMessage) -> bytes:
     return b""
 
 
 def test_requests_and_answers_are_passed_on_unchanged(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(b"\0body", headers=b"Billed-Units: 5\r\n")) as rig:
             answer = await rig.ask(message("put", body=b"x" * 3000, target="/api/v2/00000000b4d65521?a=1"))
             assert (answer.line.split()[1], answer.body) == ("200", b"\0body")
             (seen,) = rig.hosts[0].seen
@@ -47,26 +47,26 @@
             assert seen.headers["idempotency-key"] == "5c0f6e1a"
             assert 0 < int(seen.headers["x-deadline"].removesuffix("m")) <= 6000
             # The counter receives the estimated units, then those that the answer billed beyond them.
-            await rig.counter.until(lambda fake: sum(rig.totals.values()) >= 2)
+            await rig.counter.wait_until(lambda fake: sum(rig.totals.values()) >= 2)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(seen.headers["x-request-id"].encode())) as rig:
             reader, writer = await rig.connect()
             writer.write(b"".join(message(rid=b"id-%d" % i) for i in range(5)))
             bodies = [(await read_message(reader, writer)).body for _ in range(5)]
             assert bodies == [b"id-%d" % i for i in range(5)]
             assert len(rig.hosts[0].seen) == 5
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_white_space_around_a_header_value_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             data = message("put", body=b"abc")
             for line in (b"X-Request-Id", b"X-Class", b"Plan", b"X-Deadline", b"Idempotency-Key"):
                 before, _, after = data.partition(line + b": ")
@@ -75,29 +75,29 @@
             assert await rig.status(data) == 200
             assert rig.hosts[0].seen[0].headers["x-request-id"] == "9b1f03aa5c7e2d41"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_request_target_may_be_in_absolute_form(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             assert await rig.status(message(target="HTTP://origin.svc:80/api/00000000b4d65521?a=/b")) == 200
             assert rig.hosts[0].seen[0].line == "GET /api/00000000b4d65521?a=/b HTTP/1.1"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_refusal_is_immediate_and_carries_retry_after(tmp_path: Path) -> None:
     """A request refused by the policy is answered at once, not near its deadline."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             answers = [await rig.ask(message(plan="small", rid=b"id-%d" % i)) for i in range(6)]
             refused = [a for a in answers if a.line.split()[1] == "503"]
             assert refused and len(rig.hosts[0].seen) == len(answers) - len(refused)
             assert all(0 < float(a.headers["retry-after"]) <= 1 for a in refused)
 
-    on_loop(scenario, 5)  # requests held until near their deadlines of 6 s would take longer
+    run_on_loop(scenario, 5)  # requests held until near their deadlines of 6 s would take longer
 
 
 INVALID_REQUESTS = [
@@ -129,32 +129,32 @@
 
 def test_invalid_requests_reach_no_server(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             for data, status in INVALID_REQUESTS:
                 assert await rig.status(data) == status, data[:200]
             assert not rig.hosts[0].seen
             assert await rig.status(message("put", body=b"x" * 64 * 1024)) == 200  # the largest allowed
             assert rig.process.returncode is None
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("start", [b"", b"\r\n", message()[:40], message("put", body=b"12")[:-1]])
 def test_a_connection_without_a_complete_request_times_out(tmp_path: Path, start: bytes) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(start)
             got = await reader.read()  # an error answer or nothing, then the end
             assert not got or got.startswith(b"HTTP/1.1 408 ")
             assert not rig.hosts[0].seen
 
-    on_loop(scenario, 8)  # the limit is about 3 s; the rest is for a slow machine
+    run_on_loop(scenario, 8)  # the limit is about 3 s; the rest is for a slow machine
 
 
 def test_a_connection_that_only_sends_blank_lines_times_out(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             ended = asyncio.create_task(reader.read())
             while not ended.done():
@@ -163,7 +163,7 @@
             with contextlib.suppress(ConnectionError):
                 assert await ended == b""
 
-    on_loop(scenario, 8)
+    run_on_loop(scenario, 8)
 
 
 @pytest.mark.parametrize(
@@ -174,27 +174,27 @@
     tmp_path: Path, data: bytes, status: str
 ) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             writer.write(data)
             assert (await read_message(reader, writer)).line.split()[1] == status
             assert await reader.read() == b""
 
-    on_loop(scenario, 8)
+    run_on_loop(scenario, 8)
 
 
 def test_invalid_input_behind_an_open_request_is_answered_after_it(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             reader, writer = await rig.connect()
             writer.write(message() + b"nonsense\r\n\r\n")
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             rig.hosts[0].seen[0].writer.write(reply(b"first"))
             assert (await read_message(reader, writer)).body == b"first"
             assert (await read_message(reader, writer)).line.split()[1] == "400"
             assert await reader.read() == b""
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(("cls", "status", "attempts"), [("read", 200, 2), ("put", 200, 2), ("pay", 502, 1)])
@@ -203,11 +203,11 @@
 ) -> None:
     async def scenario() -> None:
         answers = iter((b"", reply(b"served")))
-        async with Rig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
+        async with GatewayRig(tmp_path, lambda _: next(answers), lambda _: next(answers)) as rig:
             assert await rig.status(message(cls)) == status
             assert sum(len(host.seen) for host in rig.hosts) == attempts
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -230,7 +230,7 @@
     async def scenario() -> None:
         answers = iter((answer, reply(b"served")))
 
-        def handler(seen: Seen) -> bytes:
+        def handler(seen: SeenMessage) -> bytes:
             data = next(answers)
             if data.endswith(b"half"):
                 seen.writer.write(data)
@@ -238,49 +238,49 @@
                 return None
             return data
 
-        async with Rig(tmp_path, handler) as rig:
+        async with GatewayRig(tmp_path, handler) as rig:
             assert await rig.status(message("pay")) == status
             assert len(rig.hosts[0].seen) == attempts
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_unsafe_request_is_retried_after_a_refused_connection(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with GatewayRig(tmp_path, serve, serve) as rig:
             rig.hosts[0].stop()  # its port refuses connections from now on
             for i in range(8):
                 assert await rig.status(message("pay", rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[1].seen) == 8
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_silent_server_times_out_and_its_connection_is_not_reused(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(
+        async with GatewayRig(
             tmp_path, lambda seen: None if seen.headers["x-request-id"] == "quiet" else serve(seen)
         ) as rig:
             assert await rig.status(message("pay", rid=b"quiet", deadline="400m")) in (502, 504)
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the close tells the server
+            await rig.hosts[0].wait_until(lambda fake: fake.closed == 1)  # the close tells the server
             assert await rig.status(message(rid=b"next")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["quiet", "next"]
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_request_is_cancelled_when_its_client_closes(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             _, writer = await rig.connect()
             writer.write(message("put"))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             writer.close()
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)
+            await rig.hosts[0].wait_until(lambda fake: fake.closed == 1)
             assert len(rig.hosts[0].seen) == 1
-            assert "client left" in await rig.logged(RID.decode())
+            assert "client left" in await rig.wait_for_log(RID.decode())
 
-    on_loop(scenario, 4)  # before the attempt's own time-out would close it
+    run_on_loop(scenario, 4)  # before the attempt's own time-out would close it
 
 
 @pytest.mark.parametrize("size", [0, 50_000])
@@ -288,57 +288,57 @@
     """This also holds where the client's FIN is unread behind all that it sent."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             _, writer = await rig.connect()
             for i in range(4):
                 writer.write(message("put", rid=b"id-%d" % i, body=b"x" * size))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             writer.close()
             await writer.wait_closed()  # the FIN is sent before the server answers
             if size:  # reading is paused: the disconnect is found before the next request
                 rig.hosts[0].seen[0].writer.write(reply(b"served"))
-            await rig.logged("id-1" if size else "id-0")
+            await rig.wait_for_log("id-1" if size else "id-0")
             assert await rig.status(message(rid=b"last", deadline="200m")) in (502, 504)
             assert [s.headers["x-request-id"] for s in rig.hosts[0].seen] == ["id-0", "last"]
 
-    on_loop(scenario, 5)  # before the attempt's own time-out would end it
+    run_on_loop(scenario, 5)  # before the attempt's own time-out would end it
 
 
 @pytest.mark.parametrize("behind", [reply(b"nobody's"), reply(b"nobody's")[:20], b"nonsense"])
 def test_bytes_behind_an_answer_are_not_taken_for_the_next_answer(tmp_path: Path, behind: bytes) -> None:
     async def scenario() -> None:
-        def handler(seen: Seen) -> bytes:
+        def handler(seen: SeenMessage) -> bytes:
             first = seen.headers["x-request-id"] == "first"
             return reply(b"first") + behind if first else reply(b"second")
 
-        async with Rig(tmp_path, handler) as rig:
+        async with GatewayRig(tmp_path, handler) as rig:
             reader, writer = await rig.connect()
             writer.write(message("pay", rid=b"first") + message("pay", rid=b"second"))
             for body in (b"first", b"second"):
                 assert (await read_message(reader, writer)).body == body
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_server_connections_are_reused(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             reader, writer = await rig.connect()
             for i in range(5):
                 writer.write(message(rid=b"id-%d" % i))
                 assert (await read_message(reader, writer)).body == b"served"
             assert len({id(s.writer) for s in rig.hosts[0].seen}) == 1
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_answer_that_arrived_during_a_stall_is_not_timed_out(tmp_path: Path) -> None:
     """After a stall of the gateway, unread answers must be read before time-outs are handled."""
 
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             status = asyncio.create_task(rig.status(message("pay")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGSTOP)
             rig.hosts[0].seen[0].writer.write(reply(b"served"))
             await rig.hosts[0].seen[0].writer.drain()
@@ -346,19 +346,19 @@
             rig.process.send_signal(signal.SIGCONT)
             assert await status == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_sigterm_accepts_for_a_grace_period_completes_requests_and_exits(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             first = asyncio.create_task(rig.ask(message(rid=b"first")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             idle_reader, _ = await rig.connect()
             rig.process.send_signal(signal.SIGTERM)
-            await rig.logged("draining")
+            await rig.wait_for_log("draining")
             late = asyncio.create_task(rig.ask(message(rid=b"late")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 2)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 2)
             assert await idle_reader.read() == b""  # closed while the others are still served
             assert rig.process.returncode is None
             for seen in rig.hosts[0].seen:
@@ -368,62 +368,64 @@
                 assert answer.headers["connection"] == "close"
             assert await rig.process.wait() == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_sigterm_answers_requests_that_cannot_complete_and_exits_before_sigkill(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, silent) as rig:
+        async with GatewayRig(tmp_path, silent) as rig:
             status = asyncio.create_task(rig.status(message("put", deadline="60000m")))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             rig.process.send_signal(signal.SIGTERM)
             assert await status == 504  # an answer, not a reset by the exit
             async with asyncio.timeout(3.7):
                 assert await rig.process.wait() == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_sighup_applies_new_addresses_of_discovery_and_counter(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with GatewayRig(tmp_path, serve, serve) as rig:
             assert await rig.status(message(rid=b"before")) == 200
-            directory = Directory([instance("s-1", rig.hosts[1].port)])
+            directory = FakeDiscovery([instance("s-1", rig.hosts[1].port)])
             await directory.fake.start()
             totals: dict[str, float] = {}
-            counter = await Fake(lambda seen: adding(seen, totals)).start()
+            counter = await FakeHttpServer(lambda seen: counter_reply(seen, totals)).start()
             moved = {"discovery": f"{LOOP}:{directory.fake.port}", "counter": f"{LOOP}:{counter.port}"}
             rig.path.write_text(json.dumps({**rig.config, **moved}))
             rig.process.send_signal(signal.SIGHUP)
-            await directory.fake.until(lambda fake: bool(directory.waiting))  # it has received the new list
-            await rig.directory.fake.until(lambda fake: fake.closed == 1)
-            await rig.counter.until(lambda fake: fake.closed == 4)
+            await directory.fake.wait_until(
+                lambda fake: bool(directory.waiting)
+            )  # it has received the new list
+            await rig.directory.fake.wait_until(lambda fake: fake.closed == 1)
+            await rig.counter.wait_until(lambda fake: fake.closed == 4)
             sent_count = len(rig.hosts[0].seen)
             for i in range(6):
                 data = message(rid=b"after-%d" % i, customer=f"{i:016x}")
                 assert await rig.status(data) == 200
             assert len(rig.hosts[0].seen) == sent_count
-            await counter.until(lambda fake: sum(totals.values()) >= 6)
+            await counter.wait_until(lambda fake: sum(totals.values()) >= 6)
             directory.fake.stop()
             counter.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_sighup_with_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             rig.path.write_text("{")
             rig.process.send_signal(signal.SIGHUP)
-            await rig.logged("configuration not taken: ROUTER_CONFIG")
+            await rig.wait_for_log("configuration not taken: ROUTER_CONFIG")
             assert await rig.status(message()) == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_sigkill_and_restart_on_the_same_port(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             assert await rig.status(message()) == 200
             reader, _ = await rig.connect()
             rig.process.kill()
@@ -433,12 +435,12 @@
             await rig.launch()
             assert await rig.status(message(rid=b"after")) == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_clients_above_the_connection_limit_wait_and_accepting_goes_on(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, sockets=128) as rig:
+        async with GatewayRig(tmp_path, serve, sockets=128) as rig:
             clients = [await rig.connect() for _ in range(150)]
             for i, (reader, writer) in enumerate(clients[:64]):  # those within the limit are served
                 writer.write(message(rid=b"id-%d" % i))
@@ -448,35 +450,35 @@
             assert await rig.status(message(rid=b"after")) == 200
             assert rig.process.returncode is None
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_draining_server_gets_no_new_request_and_a_whole_list_replaces_the_old(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with GatewayRig(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-0", rig.hosts[0].port, "draining")])
             for i in range(6):
                 assert await rig.status(message(rid=b"id-%d" % i)) == 200
             assert len(rig.hosts[0].seen) == 0
             await rig.directory.tell([instance("s-0", rig.hosts[0].port)], whole=True)  # s-1 is not in it
-            await rig.hosts[1].until(lambda fake: fake.closed > 0)  # its idle connection is closed
+            await rig.hosts[1].wait_until(lambda fake: fake.closed > 0)  # its idle connection is closed
             for i in range(6):
                 assert await rig.status(message(rid=b"more-%d" % i)) == 200
             assert (len(rig.hosts[0].seen), len(rig.hosts[1].seen)) == (6, 6)
 
-    on_loop(scenario, 10)  # before the idle time-out of the connection
+    run_on_loop(scenario, 10)  # before the idle time-out of the connection
 
 
 def test_a_server_may_move_to_another_address(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve, serve) as rig:
+        async with GatewayRig(tmp_path, serve, serve) as rig:
             await rig.directory.tell([instance("s-1", rig.hosts[1].port, "gone")])
             assert await rig.status(message(rid=b"before")) == 200
             await rig.directory.tell([instance("s-0", rig.hosts[1].port)])
             assert await rig.status(message(rid=b"moved")) == 200
             assert [s.headers["x-request-id"] for s in rig.hosts[1].seen] == ["moved"]
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -490,17 +492,17 @@
 )
 def test_an_invalid_answer_of_discovery_keeps_the_list(tmp_path: Path, invalid_answer: bytes) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             # Returns once the gateway has asked again.
             await rig.directory.answer_watch(lambda: invalid_answer)
             assert await rig.status(message()) == 200
 
-    on_loop(scenario, 12)  # before the time-out of the watch
+    run_on_loop(scenario, 12)  # before the time-out of the watch
 
 
 def test_requests_are_served_while_the_counter_fails(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             for i, handler in enumerate((silent, reset, lambda _: reply(b"", 503), lambda _: reply(b"x"))):
                 rig.counter.behave = handler
                 for j in range(3):  # a new customer causes a call to the counter
@@ -509,7 +511,7 @@
             rig.counter.stop()
             assert await rig.status(message(rid=b"last", customer="0000000000000099")) == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -551,9 +553,9 @@
 
 def test_a_failed_request_is_logged_in_one_line(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, reset) as rig:
+        async with GatewayRig(tmp_path, reset) as rig:
             assert await rig.status(message("pay")) == 502
-            line = await rig.logged("9b1f03aa5c7e2d41")
+            line = await rig.wait_for_log("9b1f03aa5c7e2d41")
             assert "502 failed" in line and "s-0 reset in" in line and "(new connection: " in line
 
-    on_loop(scenario)
+    run_on_loop(scenario)
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -17,14 +17,14 @@
     GRADES,
     LOOP,
     PACKAGES,
-    Directory,
-    Fake,
-    Seen,
+    FakeDiscovery,
+    FakeHttpServer,
+    SeenMessage,
     instance,
     message,
-    on_loop,
     read_message,
     reply,
+    run_on_loop,
 )
 from virtual import VirtualLoop, VirtualServer
 
@@ -54,10 +54,10 @@
             raise actions
         return actions
 
-    def links(self, name: str) -> int:
+    def connection_limit(self, name: str) -> int:
         return 8
 
-    def may_repeat(self, request: str) -> bool:
+    def may_retry(self, request: str) -> bool:
         return False
 
     def outcomes(self) -> list[str]:
@@ -96,7 +96,7 @@
     )
 
 
-async def core_with(monkeypatch: pytest.MonkeyPatch, fake_server: Fake) -> tuple[Core, Script]:
+async def core_with(monkeypatch: pytest.MonkeyPatch, fake_server: FakeHttpServer) -> tuple[Core, Script]:
     """A core whose decision module is a script and whose only server is `s-0`. Discovery does not answer."""
     monkeypatch.setattr(core_module, "Gateway", Script)
     await fake_server.start()
@@ -119,7 +119,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         client, started = RecordingClient(), time.monotonic()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]  # still in progress when the guard answers
@@ -135,7 +135,7 @@
         assert client.statuses.empty() and len(fake_server.seen) == 1
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_request_that_completes_after_the_last_answers_of_a_drain_is_refused(
@@ -144,12 +144,12 @@
     """Between the last answers of a drain and SIGKILL there is no time left for a new request."""
 
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         early, late = RecordingClient(), RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         core.request(early, a_request())
-        await fake_server.until(lambda fake: bool(fake.seen))
+        await fake_server.wait_until(lambda fake: bool(fake.seen))
         core.fail_all()
         assert early.statuses.get_nowait() == 504
         count = len(script.events)
@@ -159,7 +159,7 @@
         assert core.stats.requests() == 2
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_attempt_is_not_sent_after_its_client_disconnected_even_without_cancelling(
@@ -168,7 +168,7 @@
     """A link dialled for a client that disconnected is kept and used for the next request."""
 
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: reply(b"served"))
+        fake_server = FakeHttpServer(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, fake_server)
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         # The loop does not run before the client disconnects, so the dial is in progress.
@@ -184,12 +184,12 @@
         assert [seen.headers["x-request-id"] for seen in fake_server.seen] == ["b"]
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_exception_of_the_decision_module_fails_one_request_only(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: reply(b"served"))
+        fake_server = FakeHttpServer(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, fake_server)
         broken, served = RecordingClient(), RecordingClient()
         script.plan[api.Request] = RuntimeError("broken")
@@ -200,12 +200,12 @@
         assert await served.statuses.get() == 200
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_every_send_has_exactly_one_outcome(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         script.plan[api.Request] = [
@@ -215,27 +215,27 @@
         ]  # the third exceeds try_limit
         core.request(client, a_request())
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED]
-        await fake_server.until(lambda fake: bool(fake.seen))
+        await fake_server.wait_until(lambda fake: bool(fake.seen))
         script.plan[api.TimerDue] = [api.Cancel("r1", 0), api.Cancel("r1", 0), api.Fail("r1")]
         core._post(api.TimerDue("cancel"))
-        await fake_server.until(lambda fake: fake.closed == 1)
+        await fake_server.wait_until(lambda fake: fake.closed == 1)
         assert script.outcomes() == [api.CONNECT_FAILED, api.START_EXPIRED, api.CANCELLED]
         assert await client.statuses.get() == 502
         assert not core._requests
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_stall_of_the_loop_does_not_count_as_latency_of_the_server(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         await asyncio.sleep(0.1)
         script.plan[api.Request] = [api.Send("r1", "s-0", 3000)]
         client = RecordingClient()
         core.request(client, a_request())
-        await fake_server.until(lambda fake: any("/api/" in s.line for s in fake.seen))
+        await fake_server.wait_until(lambda fake: any("/api/" in s.line for s in fake.seen))
         os.write(fake_server.seen[-1].writer.get_extra_info("socket").fileno(), reply(b"served"))
         time.sleep(0.6)  # a stall, during which the answer lies unread
         assert await client.statuses.get() == 200
@@ -243,12 +243,12 @@
         assert outcome.took_ms < 400
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_idle_client_is_closed_in_favour_of_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         monkeypatch.setattr(clients_module, "SPARE_S", 0.0)
         # Four descriptors leave room for two clients.
@@ -266,12 +266,12 @@
         listener.stop_accepting()
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_answers_close_their_connection_only_when_close_to_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         # Twenty descriptors leave room for ten clients.
         listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 20)
@@ -288,7 +288,7 @@
         listener.stop_accepting()
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_last_answer_arrives_complete_though_bytes_arrive_as_the_connection_closes(
@@ -297,7 +297,7 @@
     """Closing a socket with unread bytes resets the connection, which loses the answer in its buffers."""
 
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 200)
         address = listener.start((LOOP, 0))
@@ -320,12 +320,12 @@
         listener.stop_accepting()
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_silent_connections_are_closed_before_those_with_a_request(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: None)
+        fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
         # Ten descriptors leave room for five clients.
         listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 10)
@@ -348,7 +348,7 @@
         listener.stop_accepting()
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 class ResultRecorder:
@@ -388,7 +388,7 @@
 
 def test_an_attempt_on_a_connection_lost_while_dialled_is_reported_as_not_sent() -> None:
     async def scenario() -> None:
-        fake_server = await Fake(lambda seen: reply(b"served")).start()
+        fake_server = await FakeHttpServer(lambda seen: reply(b"served")).start()
         ended: asyncio.Queue[str] = asyncio.Queue()
         runner = AttemptRunner(BreakingLoop(1), 8, 250, 15000, ResultRecorder(ended.put_nowait))
         runner.pool.update_servers({"s-0": (LOOP, fake_server.port)}, set())
@@ -398,7 +398,7 @@
         runner.pool.stop()
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -417,7 +417,7 @@
     monkeypatch: pytest.MonkeyPatch, header: bytes, report: dict[str, float]
 ) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
+        fake_server = FakeHttpServer(lambda seen: reply(b"served", headers=b"X-Load: %b\r\n" % header))
         core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
@@ -427,7 +427,7 @@
         assert [e.load_report for e in script.events if isinstance(e, api.Outcome)] == [report]
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_lack_of_descriptors_is_no_failure_of_the_server() -> None:
@@ -438,18 +438,18 @@
         runner.send(Attempt("r1", 0, "s-0", b"", 0.0), 60)
         assert await ended.get() == api.START_EXPIRED  # after waiting for a free descriptor
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_reload_with_lower_limits_takes_effect_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake_server = Fake(lambda seen: reply(b"served"))
+        fake_server = FakeHttpServer(lambda seen: reply(b"served"))
         core, script = await core_with(monkeypatch, fake_server)
         client = RecordingClient()
         for n in range(30):
             script.plan[api.Request] = [api.Send(f"r{n + 1}", "s-0", 5000)]
             core.request(client, a_request())
-        script.links = lambda name: 40
+        script.connection_limit = lambda name: 40
         for _ in range(30):
             await client.statuses.get()
         while core._pool.metrics()["links_dialling"]:
@@ -475,12 +475,12 @@
         assert core._pool.max_wait_s() == 0.03
         fake_server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_the_watch_continues_after_a_connection_lost_while_dialled() -> None:
     async def scenario() -> None:
-        agent = Directory([instance("s-0", 1)])
+        agent = FakeDiscovery([instance("s-0", 1)])
         await agent.fake.start()
         listings: asyncio.Queue[Listing] = asyncio.Queue()
         discovery = Discovery(BreakingLoop(1), (LOOP, agent.fake.port), listings.put_nowait)
@@ -489,12 +489,12 @@
         discovery.stop()
         agent.fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_refused_watch_requests_only_the_delta_again() -> None:
     async def scenario() -> None:
-        agent = Directory([instance("s-0", 1)])
+        agent = FakeDiscovery([instance("s-0", 1)])
         await agent.fake.start()
         listings: asyncio.Queue[Listing] = asyncio.Queue()
         discovery = Discovery(
@@ -504,7 +504,7 @@
         await agent.answer_watch(lambda: reply(status=503))
         await agent.answer_watch(lambda: reply(b'{"generation":9,"reset":false,"instances":[]}'))
         assert (await listings.get()).generation == 9
-        await agent.fake.until(lambda fake: len(fake.seen) == 3)
+        await agent.fake.wait_until(lambda fake: len(fake.seen) == 3)
         assert [seen.line.split("?")[1].split("&")[0] for seen in agent.fake.seen] == [
             "after=7",
             "after=7",
@@ -513,7 +513,7 @@
         discovery.stop()
         agent.fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -589,7 +589,7 @@
 
 
 async def counter_with(
-    monkeypatch: pytest.MonkeyPatch, fake: Fake, wait_ms: float, loop: BreakingLoop | None = None
+    monkeypatch: pytest.MonkeyPatch, fake: FakeHttpServer, wait_ms: float, loop: BreakingLoop | None = None
 ) -> tuple[Counter, asyncio.Queue[api.CountReply]]:
     monkeypatch.setattr(counter_module, "CONNECTIONS", 1)
     await fake.start()
@@ -600,12 +600,12 @@
 
 def test_a_late_answer_of_the_counter_is_not_taken_for_the_next_call(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake = Fake(lambda seen: None)
+        fake = FakeHttpServer(lambda seen: None)
         counter, replies = await counter_with(monkeypatch, fake, 400)
         counter.call(api.Count("a", 1, 1000))
         assert (await replies.get()).result == api.TIMED_OUT
         counter.call(api.Count("b", -2.5, 4000.4))
-        await fake.until(lambda fake: len(fake.seen) == 2)
+        await fake.wait_until(lambda fake: len(fake.seen) == 2)
         assert fake.seen[1].line == "POST /v1/count/b?add=-2.5&ttl_ms=4000 HTTP/1.1"
         fake.seen[0].writer.write(reply(b"7") + reply(b"9"))
         answer = await replies.get()
@@ -614,7 +614,7 @@
         counter.stop()
         fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -628,7 +628,7 @@
 )
 def test_results_of_counter_calls(monkeypatch: pytest.MonkeyPatch, behave, result: str) -> None:
     async def scenario() -> None:
-        fake = Fake(behave)
+        fake = FakeHttpServer(behave)
         counter, replies = await counter_with(monkeypatch, fake, 5000)
         counter.call(api.Count("a", 1, 1000))
         assert (await replies.get()).result == result
@@ -636,14 +636,14 @@
         counter.stop()
         fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_the_counter_is_dialled_again_after_a_connection_lost_while_dialled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
-        fake = Fake(lambda seen: reply(b"1"))
+        fake = FakeHttpServer(lambda seen: reply(b"1"))
         counter, replies = await counter_with(monkeypatch, fake, 5000, BreakingLoop(1))
         for result in (api.CONNECT_FAILED, api.OK):
             counter.call(api.Count("a", 1, 1000))
@@ -651,50 +651,50 @@
         counter.stop()
         fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_counter_connection_with_an_invalid_answer_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        fake = Fake(lambda seen: reply(b"many"))
+        fake = FakeHttpServer(lambda seen: reply(b"many"))
         counter, replies = await counter_with(monkeypatch, fake, 5000)
         counter.call(api.Count("a", 1, 1000))
         assert (await replies.get()).result == api.TIMED_OUT
-        await fake.until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.closed == 1)
         fake.behave = lambda seen: reply(b"2")
         counter.call(api.Count("a", 1, 1000))
         assert (await replies.get()).total == 2
         counter.stop()
         fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_silent_counter_is_dialled_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """The connection to an unreachable counter stays open, and calls must not be written to it forever."""
 
     async def scenario() -> None:
-        fake = Fake(lambda seen: None)
+        fake = FakeHttpServer(lambda seen: None)
         counter, replies = await counter_with(monkeypatch, fake, 30)
         counter.call(api.Count("a", 1, 1000))
         assert (await replies.get()).result == api.TIMED_OUT
-        await fake.until(lambda fake: fake.closed == 1)
+        await fake.wait_until(lambda fake: fake.closed == 1)
         fake.behave = lambda seen: reply(b"1")
         counter.call(api.Count("a", 1, 1000))
-        await fake.until(lambda fake: len(fake.seen) == 2)
+        await fake.wait_until(lambda fake: len(fake.seen) == 2)
         assert fake.seen[0].writer is not fake.seen[1].writer
         counter.stop()
         fake.stop()
 
-    on_loop(scenario, 10)
+    run_on_loop(scenario, 10)
 
 
 def test_a_call_to_a_refusing_counter_fails_and_later_calls_succeed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        def behave(seen: Seen) -> bytes:
+        def behave(seen: SeenMessage) -> bytes:
             return reply(b"1")
 
-        fake = Fake(behave)
+        fake = FakeHttpServer(behave)
         counter, replies = await counter_with(monkeypatch, fake, 5000)
         fake.stop()
         await fake.server.wait_closed()
@@ -709,4 +709,4 @@
         counter.stop()
         fake.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import LOOP, Rig, Seen, message, of, on_loop, read_message, reply
+from conftest import LOOP, GatewayRig, SeenMessage, actions_of, message, read_message, reply, run_on_loop
 
 from yewstage import interface as api
 from yewstage.net import ops as ops_module
@@ -16,7 +16,7 @@
 from yewstage.policy import Gateway
 
 
-def handle(seen: Seen) -> bytes | None:
+def handle(seen: SeenMessage) -> bytes | None:
     """A server that answers GET, fails other requests, and is silent on those with an idempotency key."""
     if seen.line.startswith("GET"):
         return reply(b"ok")
@@ -25,7 +25,7 @@
 
 def test_metrics_match_the_answers_that_clients_received(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, handle) as rig:
+        async with GatewayRig(tmp_path, handle) as rig:
             metrics = await rig.metrics()
             for kind in ("fulfilled", "throttled", "faulted"):
                 for name in ("read", "put", "pay"):
@@ -37,7 +37,7 @@
             codes = [await rig.status(message(plan="small")) for _ in range(6)]
             reader, writer = await rig.connect()
             writer.write(message("put"))
-            await rig.hosts[0].until(lambda fake: any("idempotency-key" in s.headers for s in fake.seen))
+            await rig.hosts[0].wait_until(lambda fake: any("idempotency-key" in s.headers for s in fake.seen))
             metrics = await rig.metrics()
             assert metrics['gateway_fulfilled_total{priority="read"}'] == 3 + codes.count(200)
             assert metrics['gateway_throttled_total{priority="read"}'] == codes.count(503) > 0
@@ -50,7 +50,7 @@
             while (await rig.metrics())["gateway_open_requests"]:
                 await asyncio.sleep(0.01)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
     tmp_path: Path, call: bytes, status: int
 ) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, handle) as rig:
+        async with GatewayRig(tmp_path, handle) as rig:
             reader, writer = await asyncio.open_connection(LOOP, rig.ops_port)
             writer.write(call)
             assert int((await read_message(reader, writer)).line.split()[1]) == status
@@ -76,7 +76,7 @@
                 assert await reader.read() == b""
             writer.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_new_caller_replaces_the_oldest_stalled_one() -> None:
@@ -94,7 +94,7 @@
             other.close()
         ops.stop()
 
-    on_loop(scenario, 4)  # less than CALL_TIMEOUT_S, so that no time-out freed the place
+    run_on_loop(scenario, 4)  # less than CALL_TIMEOUT_S, so that no time-out freed the place
 
 
 def test_a_removed_class_keeps_its_counts_and_labels_are_escaped() -> None:
@@ -110,7 +110,7 @@
 def test_the_policy_reports_servers_out_of_rotation() -> None:
     gateway = Gateway(api.Settings((api.RequestClass("read", 1000, 4000),), (api.Plan("open"),)), 1)
     gateway.handle(0, api.ServerList("full", (api.Server("a:1"), api.Server("b:1", status="draining"))))
-    assert gateway.rotation() == (2, 1)
-    (send,) = of(gateway.handle(1, api.Request("r", "read", "open", "c", 4000)), api.Send)
+    assert gateway.rotation_counts() == (2, 1)
+    (send,) = actions_of(gateway.handle(1, api.Request("r", "read", "open", "c", 4000)), api.Send)
     gateway.handle(2, api.Outcome("r", 0, send.server, api.CONNECT_FAILED, 1, False))
-    assert gateway.rotation() == (2, 2)
+    assert gateway.rotation_counts() == (2, 2)
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 
 import pytest
-from conftest import Directory, Rig, message, on_loop, read_message, reply, serve, silent
+from conftest import FakeDiscovery, GatewayRig, message, read_message, reply, run_on_loop, serve, silent
 
 from yewstage.net.http1 import LONGEST_BODY
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-async def open_request(rig: Rig, data: bytes) -> Streams:
+async def open_request(rig: GatewayRig, data: bytes) -> Streams:
     reader, writer = await rig.connect()
     writer.write(data)
     return reader, writer
@@ -31,18 +31,18 @@
     await writer.wait_closed()
 
 
-def request_ids(rig: Rig, server: int = 0) -> list[str]:
+def request_ids(rig: GatewayRig, server: int = 0) -> list[str]:
     return [seen.headers["x-request-id"] for seen in rig.hosts[server].seen]
 
 
 def run_scenario(
-    tmp_path: Path, steps: Callable[[Rig], Awaitable[None]], *handlers: Callable, **limits: int
+    tmp_path: Path, steps: Callable[[GatewayRig], Awaitable[None]], *handlers: Callable, **limits: int
 ) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, *(handlers or (silent,)), **limits) as rig:
+        async with GatewayRig(tmp_path, *(handlers or (silent,)), **limits) as rig:
             await steps(rig)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 # --- SIGTERM ------------------------------------------------------------------------------------------------
@@ -52,7 +52,7 @@
 def test_a_request_unread_at_sigterm_is_served(tmp_path: Path, first: str) -> None:
     """The connection may be idle and accepted, or still in the backlog."""
 
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         kept = await open_request(rig, message(rid=b"before"))
         assert (await read_message(*kept)).body == b"served"
         rig.process.send_signal(signal.SIGSTOP)
@@ -72,13 +72,13 @@
 
 
 def test_pipelined_requests_are_all_answered_before_the_exit(tmp_path: Path) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         reader, writer = await open_request(rig, b"".join(message("put", rid=b"id-%d" % i) for i in range(4)))
-        await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+        await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
         rig.process.send_signal(signal.SIGTERM)
-        await rig.logged("draining")
+        await rig.wait_for_log("draining")
         for i in range(4):
-            await rig.hosts[0].until(lambda fake, n=i: len(fake.seen) == n + 1)
+            await rig.hosts[0].wait_until(lambda fake, n=i: len(fake.seen) == n + 1)
             rig.hosts[0].seen[i].writer.write(reply(b"answer %d" % i))
             answer = await read_message(reader, writer)
             assert answer.body == b"answer %d" % i and ("connection" in answer.headers) == (i == 3)
@@ -88,12 +88,12 @@
 
 
 def test_a_request_waiting_for_the_counter_at_sigterm_is_answered(tmp_path: Path) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         rig.counter.behave = silent
         reader, writer = await open_request(rig, message(plan="small"))
-        await rig.counter.until(lambda fake: len(fake.seen) == 1)
+        await rig.counter.wait_until(lambda fake: len(fake.seen) == 1)
         rig.process.send_signal(signal.SIGTERM)
-        await rig.logged("draining")
+        await rig.wait_for_log("draining")
         assert (await read_message(reader, writer)).body == b"served"
         assert await rig.process.wait() == 0
 
@@ -102,13 +102,13 @@
 
 @pytest.mark.parametrize("end", ["rest", "reset"])
 def test_a_partial_answer_at_sigterm_is_completed_or_fails(tmp_path: Path, end: str) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         reader, writer = await open_request(rig, message("pay", key=False))
-        await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+        await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
         server = rig.hosts[0].seen[0].writer
         server.write(reply(b"served")[:-3])
         rig.process.send_signal(signal.SIGTERM)
-        await rig.logged("draining")
+        await rig.wait_for_log("draining")
         if end == "rest":
             server.write(b"ved")
         else:
@@ -122,12 +122,12 @@
 
 @pytest.mark.parametrize("size", [1000, 2 * LONGEST_BODY])
 def test_a_partial_request_body_at_sigterm_is_received_whole(tmp_path: Path, size: int) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         whole = message("put", body=b"x" * size)
         reader, writer = await open_request(rig, whole[:-500])
         await writer.drain()
         rig.process.send_signal(signal.SIGTERM)
-        await rig.logged("draining")
+        await rig.wait_for_log("draining")
         writer.write(whole[-500:])
         assert (await read_message(reader, writer)).body == b"served"
         assert len(rig.hosts[0].seen[0].body) == size and await rig.process.wait() == 0
@@ -140,20 +140,20 @@
 
 @pytest.mark.parametrize("first", ["client", "total"])
 def test_nothing_is_sent_for_a_client_that_left_during_a_counter_call(tmp_path: Path, first: str) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         rig.counter.behave = silent
         _, writer = await open_request(rig, message(plan="small", rid=b"leaves"))
-        await rig.counter.until(lambda fake: len(fake.seen) == 1)
+        await rig.counter.wait_until(lambda fake: len(fake.seen) == 1)
         total = rig.counter.seen[0].writer
         if first == "client":
             await close_client(writer)
-            await rig.logged("client left")
+            await rig.wait_for_log("client left")
             total.write(reply(b"2"))
         else:
             total.write(reply(b"2"))
-            await rig.hosts[0].until(lambda fake: len(fake.seen) == 1)
+            await rig.hosts[0].wait_until(lambda fake: len(fake.seen) == 1)
             await close_client(writer)
-            await rig.hosts[0].until(lambda fake: fake.closed == 1)  # the server sees the disconnect
+            await rig.hosts[0].wait_until(lambda fake: fake.closed == 1)  # the server sees the disconnect
         rig.counter.behave = lambda seen: reply(b"4")
         rig.hosts[0].behave = serve
         assert await rig.status(message(rid=b"next")) == 200
@@ -164,21 +164,21 @@
 
 @pytest.mark.parametrize("first", ["client", "reset"])
 def test_no_attempt_begins_for_a_client_that_left_between_two_attempts(tmp_path: Path, first: str) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         _, writer = await open_request(rig, message("put", rid=b"leaves"))
         while not (began := [host for host in rig.hosts if host.seen]):
             await asyncio.sleep(0)
         server = began[0].seen[0].writer.transport
         if first == "client":
             await close_client(writer)
-            await rig.logged("client left")
+            await rig.wait_for_log("client left")
             server.abort()
         else:
             server.abort()
             while sum(len(host.seen) for host in rig.hosts) < 2:
                 await asyncio.sleep(0)
             await close_client(writer)
-        await rig.logged("client left")
+        await rig.wait_for_log("client left")
         for host in rig.hosts:
             host.behave = serve
         assert await rig.status(message(rid=b"next")) == 200
@@ -197,7 +197,7 @@
 ) -> None:
     """A whole list omits a draining server, which may still answer what it has."""
 
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         reader, writer = await open_request(rig, message(rid=b"held"))
         while not (busy := [i for i, host in enumerate(rig.hosts) if host.seen]):
             await asyncio.sleep(0)
@@ -220,18 +220,18 @@
 def test_after_a_broken_watch_the_list_is_requested_at_once(tmp_path: Path, how: str) -> None:
     """Otherwise a server that began to drain meanwhile would get new requests."""
 
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         directory = rig.directory
-        await directory.fake.until(lambda fake: bool(directory.waiting))
+        await directory.fake.wait_until(lambda fake: bool(directory.waiting))
         directory.instances = [rig.instances()[1]]
         seen = len(directory.fake.seen)
         watch = directory.waiting.pop().writer
         watch.transport.abort() if how == "reset" else watch.close()
-        await directory.fake.until(lambda fake: len(fake.seen) > seen)
+        await directory.fake.wait_until(lambda fake: len(fake.seen) > seen)
         again = directory.waiting.pop().writer  # the first answer on a new connection may be the whole list
         directory.generation += 1
         again.write(directory.listing(directory.instances, True))
-        await directory.fake.until(lambda fake: len(fake.seen) > seen + 1)
+        await directory.fake.wait_until(lambda fake: len(fake.seen) > seen + 1)
         for i in range(6):
             assert await rig.status(message(rid=b"new-%d" % i)) == 200
         assert not request_ids(rig, 0) and len(request_ids(rig, 1)) == 6
@@ -243,14 +243,14 @@
 
 
 def test_a_counter_call_open_at_sighup_is_answered_by_the_old_counter(tmp_path: Path) -> None:
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         rig.counter.behave = silent
         reader, writer = await open_request(rig, message(plan="small", rid=b"asked"))
-        await rig.counter.until(lambda fake: len(fake.seen) == 1)
-        other = await Directory(rig.instances()).fake.start()
+        await rig.counter.wait_until(lambda fake: len(fake.seen) == 1)
+        other = await FakeDiscovery(rig.instances()).fake.start()
         rig.path.write_text(json.dumps({**rig.config, "counter": f"127.0.0.1:{other.port}"}))
         rig.process.send_signal(signal.SIGHUP)
-        await rig.logged("reconfigured")
+        await rig.wait_for_log("reconfigured")
         rig.counter.seen[0].writer.write(reply(b"500"))  # the quota is used up by others
         assert (await read_message(reader, writer)).line.split()[1] == "503" and not request_ids(rig)
         other.stop()
@@ -261,13 +261,13 @@
 def test_idle_clients_at_the_descriptor_limit_leave_room_for_other_connections(tmp_path: Path) -> None:
     """Discovery, servers, the counter and the operators' address must stay reachable."""
 
-    async def steps(rig: Rig) -> None:
+    async def steps(rig: GatewayRig) -> None:
         idle = [await rig.connect() for _ in range(40)]  # more than 32, the clients' half of 64
         directory = rig.directory
-        await directory.fake.until(lambda fake: bool(directory.waiting))
+        await directory.fake.wait_until(lambda fake: bool(directory.waiting))
         seen = len(directory.fake.seen)
         directory.waiting.pop().writer.transport.abort()
-        await directory.fake.until(lambda fake: len(fake.seen) > seen)
+        await directory.fake.wait_until(lambda fake: len(fake.seen) > seen)
         assert (await rig.ops("/ops/readiness")).line.split()[1] == "200"
         metrics = await rig.metrics()
         assert metrics['gateway_descriptors{use="clients"}'] <= 32
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import PLAN, Driver, of, server, settings
+from conftest import PLAN, Driver, actions_of, server, settings
 
 from yewstage import interface as api
 from yewstage import policy
@@ -36,7 +36,7 @@
     d.ask()
     group = d.gateway.groups[("read", "open")]
     group.admit_fraction, group.accumulator = 0.4, 0.0
-    sent = [bool(of(d.ask()[1], api.Send)) for _ in range(10)]
+    sent = [bool(actions_of(d.ask()[1], api.Send)) for _ in range(10)]
     assert sent == [False, False, True, False, True] * 2
 
 
@@ -61,7 +61,7 @@
     served = 0
     for _ in range(20):  # two requests per second, with fast answers
         rid, out = d.ask(after=0)
-        if of(out, api.Send):
+        if actions_of(out, api.Send):
             d.end(rid, took=50, after=50)
             served += 1
         d.sweep(5)
@@ -96,7 +96,7 @@
     d = Driver(counter_enabled=False)
     for i in range(600):
         rid, out = d.ask(("read", "put", "pay")[i % 3], units=1 + i % 7, after=7)
-        assert of(out, api.Send), (i, out)
+        assert actions_of(out, api.Send), (i, out)
         d.end(rid, took=3)
         if i % 14 == 0:
             d.sweep(1, 1)
@@ -119,7 +119,7 @@
     request_on_slow = None
     for _ in range(200):
         rid, out = d.ask(after=5)
-        send = of(out, api.Send)[0]
+        send = actions_of(out, api.Send)[0]
         if send.server == "h0":
             request_on_slow = rid
             d.end(rid, api.TIMED_OUT, took=1000)
@@ -222,12 +222,12 @@
 
 def test_invalid_requests_get_one_refusal() -> None:
     d = Driver(servers=0)
-    assert len(of(d.ask()[1], api.Refuse)) == 1
+    assert len(actions_of(d.ask()[1], api.Refuse)) == 1
     d = Driver()
-    assert len(of(d.ask(cls="unknown")[1], api.Refuse)) == 1
-    assert len(of(d.ask(plan="unknown")[1], api.Refuse)) == 1
-    assert len(of(d.ask(left=0)[1], api.Refuse)) == 1
-    assert len(of(d.ask(left=-5)[1], api.Refuse)) == 1
+    assert len(actions_of(d.ask(cls="unknown")[1], api.Refuse)) == 1
+    assert len(actions_of(d.ask(plan="unknown")[1], api.Refuse)) == 1
+    assert len(actions_of(d.ask(left=0)[1], api.Refuse)) == 1
+    assert len(actions_of(d.ask(left=-5)[1], api.Refuse)) == 1
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -259,8 +259,8 @@
     d = Driver()
     for _ in range(50):
         d.end(d.ask(left=3900, after=10)[0])
-    assert of(d.ask(left=2500)[1], api.Refuse)  # 1500 ms have passed, the objective is 1000
-    late_but_in_time = of(d.ask(left=3500)[1], api.Send)[0]  # 500 ms have passed
+    assert actions_of(d.ask(left=2500)[1], api.Refuse)  # 1500 ms have passed, the objective is 1000
+    late_but_in_time = actions_of(d.ask(left=3500)[1], api.Send)[0]  # 500 ms have passed
     assert late_but_in_time.timeout_ms <= 500
 
 
@@ -269,7 +269,7 @@
     rng = random.Random(3)
     for _ in range(200):
         rid, out = d.ask(left=rng.uniform(1000, 4000), after=10)
-        assert of(out, api.Send)
+        assert actions_of(out, api.Send)
         d.end(rid)
 
 
@@ -319,9 +319,9 @@
     admitted_of(d, 5, plan="basic")
     d.gateway.customer_quotas["c"].remaining = 0.0  # the estimate refuses; the last total left one unit
     rid, out = d.ask(plan="basic")
-    assert not of(out, api.Send) and not of(out, api.Refuse) and of(out, api.Count)
+    assert not actions_of(out, api.Send) and not actions_of(out, api.Refuse) and actions_of(out, api.Count)
     out = d.give(api.CountReply(counter_calls(d)[-1].name, api.TIMED_OUT, 0.0), 30)
-    assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
+    assert len(actions_of(out, api.Send)) + len(actions_of(out, api.Refuse)) == 1
     assert rid not in d.gateway.waiting_requests
 
 
@@ -339,7 +339,7 @@
 def test_a_request_with_little_time_left_does_not_wait_for_a_total(left: float) -> None:
     d = Driver(count_wait_ms=30)
     rid, out = d.ask(plan="basic", left=left)
-    assert len(of(out, api.Send)) + len(of(out, api.Refuse)) == 1
+    assert len(actions_of(out, api.Send)) + len(actions_of(out, api.Refuse)) == 1
     assert rid not in d.gateway.waiting_requests
 
 
@@ -359,9 +359,9 @@
     sent = 0
     for _ in range(12):
         _, out = d.ask(plan="basic")
-        for act in of(out, api.Count):
+        for act in actions_of(out, api.Count):
             out = out + d.give(api.CountReply(act.name, api.TIMED_OUT, 0.0))
-        sent += len(of(out, api.Send))
+        sent += len(actions_of(out, api.Send))
     assert sent <= PLAN.burst / 3 + 1
 
 
@@ -395,7 +395,7 @@
         d.gateway.called_at = math.inf
         d.gateway.answer_share = 0.6  # no further calls: the total read has to suffice
         d.gateway.rng.random = lambda: 0.99
-    sent = sum(bool(of(d.ask(plan="basic", width=30, after=900)[1], api.Send)) for d in fleet)
+    sent = sum(bool(actions_of(d.ask(plan="basic", width=30, after=900)[1], api.Send)) for d in fleet)
     assert least <= sent <= most
 
 
@@ -419,7 +419,7 @@
     d = Driver()
     for i in range(300):
         rid, out = d.ask(plan="basic", customer=f"k{i}")
-        for act in of(out, api.Count):
+        for act in actions_of(out, api.Count):
             d.give(api.CountReply(act.name, api.TIMED_OUT, 0.0))
         if rid in d.gateway.open_requests:
             d.end(rid)
@@ -450,10 +450,10 @@
     d.gateway.retry_budget = 0.0
     rid, out = d.ask()
     sends = 0
-    while of(out, api.Send):
+    while actions_of(out, api.Send):
         sends += 1
         out = d.end(rid, result, took=1)
-    assert sends == tries and of(out, api.Refuse if result in api.NEVER_RAN else api.Fail)
+    assert sends == tries and actions_of(out, api.Refuse if result in api.NEVER_RAN else api.Fail)
 
 
 # --- Connections to a server ---
@@ -463,14 +463,14 @@
     d = Driver(servers=4, fleet_size=3)
     d.give(api.ServerList("changes", (server(0, nominal_capacity=3.0),)))
     # No samples yet: 10 requests per objective and core, a third of them of this gateway, plus the margin.
-    assert d.gateway.links("h1") == 6 and d.gateway.links("h0") == 14
+    assert d.gateway.connection_limit("h1") == 6 and d.gateway.connection_limit("h0") == 14
     for _ in range(300):  # 20 requests per second over six cores: 3.3 per objective and core
         rid, _ = d.ask(after=50)
         d.end(rid, took=10)
         if d.now % 100 < 50:
             d.sweep(every=0)
-    assert 4 <= d.gateway.links("h1") <= 6 and 10 <= d.gateway.links("h0") <= 14
-    assert d.gateway.links("nobody") == 1
+    assert 4 <= d.gateway.connection_limit("h1") <= 6 and 10 <= d.gateway.connection_limit("h0") <= 14
+    assert d.gateway.connection_limit("nobody") == 1
 
 
 def test_connection_limit_grows_with_the_request_rate() -> None:
@@ -482,7 +482,7 @@
             for _ in range(max(1, 100 // pause)):
                 rid, _ = d.ask()
                 d.end(rid, took=10)
-        bounds.append(d.gateway.links("h0"))
+        bounds.append(d.gateway.connection_limit("h0"))
     assert bounds[0] <= 3 and bounds[1] >= 30
 
 
@@ -493,10 +493,10 @@
         d.end(rid, took=10)
         if d.now % 100 < 20:
             d.sweep(every=0)
-    before = d.gateway.links("h0")
+    before = d.gateway.connection_limit("h0")
     d.give(api.ServerList("full", (server(0),)))
     d.sweep()
-    assert d.gateway.links("h0") > 2 * before
+    assert d.gateway.connection_limit("h0") > 2 * before
 
 
 def servers_of_requests(d: Driver, n: int) -> list[str]:
@@ -505,7 +505,7 @@
 
 
 def finish(d: Driver, rid: str, out: list[api.Action]) -> str:
-    (send,) = of(out, api.Send)
+    (send,) = actions_of(out, api.Send)
     d.end(rid, took=100)  # equal latency, so that no server is preferred
     return send.server
 
@@ -517,8 +517,8 @@
     assert len(set(chosen)) <= 2  # the other servers are no better
     d = costly
     rid, out = d.ask(after=50)  # while it is open, another server has less load
-    (out_now,) = of(out, api.Send)
-    (other,) = of(d.ask()[1], api.Send)
+    (out_now,) = actions_of(out, api.Send)
+    (other,) = actions_of(d.ask()[1], api.Send)
     assert out_now.server in chosen and other.server != out_now.server
 
 
@@ -558,9 +558,9 @@
             if i == starts_at:
                 d.give(api.ServerList("changes", (server(0, up_since_ms=d.now),)))
             rid, acts = d.ask(after=100)
-            if of(acts, api.Send):
+            if actions_of(acts, api.Send):
                 out.append(rid)
-                sent[me, of(acts, api.Send)[0].server] += i >= (starts_at or 0)
+                sent[me, actions_of(acts, api.Send)[0].server] += i >= (starts_at or 0)
             if len(out) > 1:
                 d.end(out.popleft(), took=100)
             d.sweep(i % 2, 0)
@@ -617,7 +617,7 @@
         else:
             d = rng.choice(fleet)
             rid, acts = d.ask()
-            for act in of(acts, api.Send):
+            for act in actions_of(acts, api.Send):
                 out.append((at + 100, d, rid))
                 sent += [at] * (act.server == "h0" and d.gateway.servers["h0"].cold_from_ms > 0)
     span, base = 2000.0, settings()
@@ -638,14 +638,14 @@
         for d in fleet:
             d.gateway.rng.random = lambda: 0.0
             _, out = d.ask(plan="basic", width=30, after=600)
-            calls += [(d, call) for call in of(out, api.Count)]
+            calls += [(d, call) for call in actions_of(out, api.Count)]
         reserved.append(sum(call.amount for _, call in calls))
         while calls:
             d, call = calls.pop(0)
             total += call.amount
             out = d.give(api.CountReply(call.name, api.OK, total), 20)
-            assert not of(out, api.Send)
-            calls += [(d, again) for again in of(out, api.Count)]
+            assert not actions_of(out, api.Send)
+            calls += [(d, again) for again in actions_of(out, api.Count)]
     assert reserved[0] == 30 and reserved[3:] == [0, 0] and total == 260
 
 
@@ -668,7 +668,7 @@
             if i % 4:
                 host.ejections, host.ejected_until = 1, math.inf
         d.sweep()
-        own = Counter(act.server for _ in range(24) for act in of(d.ask(after=1)[1], api.Send))
+        own = Counter(act.server for _ in range(24) for act in actions_of(d.ask(after=1)[1], api.Send))
         assert len(own) >= 12 and max(own.values()) <= 3  # every request is still open
         load.update(own)
     assert len(load) == 15 and max(load.values()) < 1.5 * 40 * 24 / 15
@@ -701,7 +701,9 @@
         d = Driver(servers=60, seed=me, fleet_size=40, gateway_index=me, counter_enabled=False)
         for host in d.gateway.servers.values():
             host.ejections = host.name == "h0"  # its ejection time is over
-        tried |= {me for _ in range(20) for act in of(d.ask(after=20)[1], api.Send) if act.server == "h0"}
+        tried |= {
+            me for _ in range(20) for act in actions_of(d.ask(after=20)[1], api.Send) if act.server == "h0"
+        }
     assert 5 <= len(tried) <= 14
 
 
@@ -719,14 +721,14 @@
 
     def check(d: Driver, out: list[api.Action]) -> None:
         nonlocal store, last, sends
-        for act in of(out, api.Send):
+        for act in actions_of(out, api.Send):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000)
             last = now
             store -= units[act.request]
             sends += 1
             assert store >= -1e-6
             check(d, d.give(api.Outcome(act.request, 0, act.server, api.OK, 50, True)))
-        for act in of(out, api.Count):
+        for act in actions_of(out, api.Count):
             result = rng.choice([api.OK, api.TIMED_OUT, api.FULL])
             check(d, d.give(api.CountReply(act.name, result, rng.choice([act.amount, 0.0, 50.0]))))
 
@@ -756,10 +758,10 @@
         d = fleet[i]
         d.now, d.serial = now, step
         rid, out = d.ask(plan="capped", width=10)
-        for act in of(out, api.Count):
+        for act in actions_of(out, api.Count):
             result = rng.choice([api.OK, api.TIMED_OUT])
             out = out + d.give(api.CountReply(act.name, result, rng.choice([0.0, 90.0])))
-        for _ in of(out, api.Send):
+        for _ in actions_of(out, api.Send):
             store = min(plan.ceiling_burst, store + (now - last) * plan.ceiling_rate / 1000) - 1
             last, sends = now, sends + 1
             assert store >= -1e-6
@@ -783,8 +785,8 @@
     for i in range(200):
         rid, out = d.ask(after=10)
         to_all += 1
-        to_cold += of(out, api.Send)[0].server == "h9"
-        d.end(rid, took=10 if of(out, api.Send)[0].server == "h9" else 100)
+        to_cold += actions_of(out, api.Send)[0].server == "h9"
+        d.end(rid, took=10 if actions_of(out, api.Send)[0].server == "h9" else 100)
         if i % 10 == 9:
             d.give(api.TimerDue("sweep"))
     assert to_cold <= policy.COLD_BUDGET_SHARE * 3 * 0.4 * to_all / 4 + 1
@@ -801,7 +803,7 @@
     gw.unit_latency["read"] = saved / 4.5
     outs = [d.ask()[1] for _ in range(20)]
     # The budget holds although this is the only server.
-    assert 4 <= sum(len(of(out, api.Send)) for out in outs) <= 5
+    assert 4 <= sum(len(actions_of(out, api.Send)) for out in outs) <= 5
 
 
 def test_a_cold_server_with_low_utilization_gets_more_but_not_the_whole_budget() -> None:
@@ -834,7 +836,7 @@
         d.gateway.warm_rate, work = 0.1, 0.36 * 0.1 * 1000 / part  # 2 s of cold_ms: warm fraction 0.36
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now - 2000),)))
         d.gateway.unit_latency["read"] = work
-        sent += any(of(d.ask()[1], api.Send) for _ in range(10))
+        sent += any(actions_of(d.ask()[1], api.Send) for _ in range(10))
     assert abs(sent - 300 * part) < 3 * (300 * part * (1 - part)) ** 0.5 + 1
 
 
@@ -843,7 +845,7 @@
     for i in range(300):
         d = Driver(servers=1, seed=i, fleet_size=300)
         d.give(api.ServerList("full", (server(9, up_since_ms=d.now),)))
-        sent += len(of(d.ask()[1], api.Send))
+        sent += len(actions_of(d.ask()[1], api.Send))
     assert sent <= 5
 
 
@@ -867,14 +869,14 @@
     """With a window of 3,000 ms from the first send, a repeat decided at 500 may start until 2,996."""
     d = Driver(servers=4)
     rid, out = d.ask("put", left=3900)
-    assert of(out, api.Send)[0].start_deadline_ms == math.inf  # a first attempt has no start deadline
-    again = of(d.end(rid, api.RESET, after=500.0), api.Send)
+    assert actions_of(out, api.Send)[0].start_deadline_ms == math.inf  # a first attempt has no start deadline
+    again = actions_of(d.end(rid, api.RESET, after=500.0), api.Send)
     assert [act.start_deadline_ms for act in again] == [3000 - 500 - 2 * 2]
     # The second attempt certainly did not run; the window still runs from the first one.
-    proven = of(d.end(rid, api.CONNECT_FAILED, after=50.0), api.Send)
+    proven = actions_of(d.end(rid, api.CONNECT_FAILED, after=50.0), api.Send)
     assert [act.start_deadline_ms for act in proven] == [3000 - 550 - 2 * 2]
     rid, out = d.ask("read")
-    assert of(out, api.Send)[0].start_deadline_ms == math.inf
+    assert actions_of(out, api.Send)[0].start_deadline_ms == math.inf
 
 
 def test_a_server_is_cold_after_repeated_connect_failures() -> None:
@@ -883,7 +885,7 @@
         rid, _ = d.ask(after=600)
         d.end(rid, api.CONNECT_FAILED)
     rid, out = d.ask(after=1100)
-    assert of(out, api.Send)
+    assert actions_of(out, api.Send)
     d.end(rid)
     host = d.gateway.servers["h0"]
     assert d.gateway._warm_fraction(host) < 0.3
@@ -894,7 +896,7 @@
     for rid in [d.ask()[0] for _ in range(3)]:
         d.end(rid, api.CONNECT_FAILED, after=1)
     rid, out = d.ask(after=600)
-    assert of(out, api.Send)
+    assert actions_of(out, api.Send)
     d.end(rid)
     assert d.gateway._warm_fraction(d.gateway.servers["h0"]) == 1
 
@@ -904,9 +906,9 @@
     d.sweep()
     host = d.gateway.servers["h0"]
     d.gateway._eject(host)
-    seen = {of(d.ask(after=1)[1], api.Send)[0].server for _ in range(20)}
+    seen = {actions_of(d.ask(after=1)[1], api.Send)[0].server for _ in range(20)}
     assert "h0" not in seen
-    assert of(d.ask(after=policy.BACKOFF_MS)[1], api.Send)[0].server == "h0"
+    assert actions_of(d.ask(after=policy.BACKOFF_MS)[1], api.Send)[0].server == "h0"
 
 
 def test_retries_keep_to_the_retry_budget() -> None:
@@ -914,11 +916,11 @@
     sends = 0
     for _ in range(300):
         rid, out = d.ask(after=50)
-        sends += len(of(out, api.Send))
+        sends += len(actions_of(out, api.Send))
         for _ in range(4):
             if rid not in d.gateway.open_requests:
                 break
-            sends += len(of(d.end(rid, api.FULL), api.Send))
+            sends += len(actions_of(d.end(rid, api.FULL), api.Send))
     assert sends <= 300 * (1 + policy.RETRY_RATIO) + policy.RETRY_BUDGET_MAX + 1
 
 
@@ -930,7 +932,7 @@
 
     def first_timeout(cls: str) -> float:
         rid, out = d.ask(cls, after=100)
-        timeout = of(out, api.Send)[0].timeout_ms
+        timeout = actions_of(out, api.Send)[0].timeout_ms
         d.end(rid, took=50)
         return timeout
 
@@ -970,7 +972,7 @@
         made = 0
         for _ in range(n):
             rid, out = d.ask(plan="basic", customer=f"k{d.serial}", after=20)
-            for act in of(out, api.Count):
+            for act in actions_of(out, api.Count):
                 made += 1
                 out = out + d.give(api.CountReply(act.name, result, act.amount))
             if rid in d.gateway.open_requests:
@@ -993,7 +995,7 @@
         d.now += age_s * 1000
         for _ in range(3):
             rid, out = d.ask(plan="basic", width=300)
-            sent += len(of(out, api.Send))
+            sent += len(actions_of(out, api.Send))
     # Each gateway admits the first request unchecked, as most customers are far from their quota.
     extra = sent - 300
     assert extra <= 2 * policy.SPLIT_FACTOR * min(PLAN.burst, PLAN.rate * age_s) + 3
@@ -1006,7 +1008,7 @@
         rid, _ = d.ask("pay", after=50)
         d.end(rid, api.RESET, took=1)
         rid, out = d.ask("pay", after=50)
-        assert of(out, api.Send)
+        assert actions_of(out, api.Send)
         d.end(rid)
     (host,) = d.gateway.servers.values()
     assert d.gateway._warm_fraction(host) == 1
@@ -1016,7 +1018,7 @@
     d = Driver(servers=2)
     for _ in range(40):
         rid, out = d.ask("pay", after=10)
-        d.end(rid, api.RESET if of(out, api.Send)[0].server == "h0" else api.OK, took=1)
+        d.end(rid, api.RESET if actions_of(out, api.Send)[0].server == "h0" else api.OK, took=1)
     sent = [a.server for _, a in d.log if isinstance(a, api.Send)]
     assert sent.count("h0") <= policy.EJECTION_FAILURES
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Rig, message, on_loop, reply, settings
+from conftest import GatewayRig, message, reply, run_on_loop, settings
 from virtual import OK, VirtualLoop, VirtualServer
 
 from yewstage import interface as api
@@ -419,7 +419,7 @@
     for me in range(40):
         gateway = Gateway(settings(fleet_size=40, gateway_index=me), seed=me)
         gateway.handle(1e6, api.ServerList("full", tuple(api.Server(f"s{port}") for port in range(6))))
-        fleet.append(Fleet(loop, max_links=100, max_links_to=gateway.links))
+        fleet.append(Fleet(loop, max_links=100, max_links_to=gateway.connection_limit))
         fleet[-1].pool.update_servers({f"s{port}": ("h", port) for port in range(6)}, set())
     for gateway in fleet:
         for n in range(24):
@@ -463,7 +463,7 @@
 
 def test_the_metrics_have_the_cost_of_the_process_and_the_uses_of_its_sockets(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: reply(b"ok")) as rig:
+        async with GatewayRig(tmp_path, lambda seen: reply(b"ok")) as rig:
             reader, writer = await rig.connect()
             for _ in range(3):
                 writer.write(message())
@@ -480,11 +480,11 @@
             assert metrics["gateway_link_reuses_total"] == 2 and metrics["gateway_links_idle"] == 1
             writer.close()
             rig.process.terminate()
-            line = await rig.logged("ended:")
+            line = await rig.wait_for_log("ended:")
             assert re.search(
                 r"ended: 3 requests, \d+ us CPU for each, at the most [\d.]+ MB and \d+ "
                 r"sockets, 1 dials to servers",
                 line,
             )
 
-    on_loop(scenario)
+    run_on_loop(scenario)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import LOOP, ROOT, Fake, Rig, instance, message, on_loop, reply
+from conftest import LOOP, ROOT, FakeHttpServer, GatewayRig, instance, message, reply, run_on_loop
 from virtual import VirtualLoop, VirtualServer, VirtualTransport
 
 from yewstage.checker import Checker, probe
@@ -93,7 +93,7 @@
         async with Service(folder, **changes) as service:
             await scenario(service)
 
-    on_loop(run)
+    run_on_loop(run)
 
 
 # --- Lists and watches ------------------------------------------------------------------------------------
@@ -578,7 +578,7 @@
         )  # no answer: nothing is assumed
         assert await lease_holder.acquire_or_renew() > 0 and not lease_holder.is_held()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_paused_holder_no_longer_holds_its_lease() -> None:
@@ -592,7 +592,7 @@
         clock[0] += 60.0  # paused, and resumed in the middle of its work
         assert not lease_holder.is_held()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def checker_config(**changes: object) -> config_module.CheckerConfig:
@@ -694,22 +694,22 @@
 )
 def test_probe_results(answer: bytes, status: int) -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: answer).start()
+        server = await FakeHttpServer(lambda seen: answer).start()
         assert await probe((LOOP, server.port), 20) == status
         assert server.seen[0].line == "GET /health HTTP/1.1"
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_refused_or_unanswered_probe_ends_in_time() -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: None).start()
+        server = await FakeHttpServer(lambda seen: None).start()
         assert await probe((LOOP, server.port), 0.05) == 0
         server.stop()
         assert await probe((LOOP, 1), 20) == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 # --- Clients and the service's failures -------------------------------------------------------------------
@@ -775,7 +775,7 @@
     async def scenario() -> None:
         good = reply(json.dumps({"generation": 5, "reset": True, "instances": [instance("s-1", 1)]}).encode())
         answers = itertools.chain([good], itertools.repeat(answer))
-        server = await Fake(lambda seen: next(answers)).start()
+        server = await FakeHttpServer(lambda seen: next(answers)).start()
         clock = [0.0]
         client = ServiceClient([(LOOP, server.port)])
         watch = ListWatch(client, lambda: clock[0])
@@ -787,12 +787,12 @@
         client.close()
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_client_fails_over_to_the_next_address() -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: reply(b'{"leases":[]}')).start()
+        server = await FakeHttpServer(lambda seen: reply(b'{"leases":[]}')).start()
         client = ServiceClient([(LOOP, 1), (LOOP, server.port)], random.Random(2))
         client._address_index = 0
         with pytest.raises(NoAnswerError):
@@ -802,7 +802,7 @@
         client.close()
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_backoff_grows_with_full_jitter_up_to_a_limit() -> None:
@@ -918,7 +918,7 @@
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
 
-        class Fleet(Rig):
+        class Fleet(GatewayRig):
             async def launch(self) -> None:
                 for name, host in zip(("s-0", "s-1"), self.hosts, strict=True):
                     response = await client.call(
@@ -950,7 +950,7 @@
             await served(5)
             done = await asyncio.to_thread(run, "plumwall", "drain", "s-0", "--at", f"{LOOP}:{service.port}")
             assert done.returncode == 0 and "draining" in done.stdout
-            await rig.logged("s-0 draining")
+            await rig.wait_for_log("s-0 draining")
             count = len(rig.hosts[0].seen)
             await served(10)
             assert len(rig.hosts[0].seen) == count
@@ -971,7 +971,7 @@
         service.process.terminate()
         assert await service.process.wait() == 0
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_checker_process_takes_an_unhealthy_server_out_and_releases_its_lease(
@@ -981,7 +981,9 @@
         service = ServiceProcess(tmp_path)
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
-        hosts = [await Fake(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)]
+        hosts = [
+            await FakeHttpServer(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)
+        ]
         for n, host in enumerate(hosts):
             body = {"hostPort": f"{LOOP}:{host.port}", "ttlMs": 60000}
             assert (await client.call("PUT", f"/v1/endpoints/s-{n}", body)).status == 200
@@ -1024,4 +1026,4 @@
         service.process.terminate()
         assert await service.process.wait() == 0
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -17,12 +17,12 @@
     SAFE,
     UNSAFE,
     Driver,
-    Rig,
+    GatewayRig,
+    actions_of,
     message,
-    of,
-    on_loop,
     read_message,
     reply,
+    run_on_loop,
     settings,
 )
 
@@ -178,7 +178,9 @@
 
 def test_classes_are_added_and_removed_while_requests_are_open(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, lambda seen: None if seen.line.startswith("GET") else reply(b"ok")) as rig:
+        async with GatewayRig(
+            tmp_path, lambda seen: None if seen.line.startswith("GET") else reply(b"ok")
+        ) as rig:
 
             async def reload_with(text: str) -> None:
                 rig.path.write_text(text)
@@ -189,7 +191,7 @@
 
             reader, writer = await rig.connect()
             writer.write(message("read"))
-            await rig.hosts[0].until(lambda fake: bool(fake.seen))
+            await rig.hosts[0].wait_until(lambda fake: bool(fake.seen))
             tree = copy.deepcopy(rig.config)
             put, new = dict(GRADES[1]), {**GRADES[0], "name": "new", "effect": "unsafe"}
             tree["settings"]["grades"] = [put, new]
@@ -212,7 +214,7 @@
             assert metrics['gateway_fulfilled_total{priority="new"}'] == 1
             writer.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_removed_class_is_accepted_for_a_while() -> None:
@@ -230,19 +232,19 @@
         call(*args)
         assert delay_s == clients_module.CLASS_REMOVAL_DELAY_S and set(server.names.classes) == {b"read"}
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_an_open_request_keeps_its_effect_and_its_attempt_limit() -> None:
     d = Driver(counter_enabled=False)
     rid, out = d.ask("read")
-    (first,) = of(out, api.Send)
+    (first,) = actions_of(out, api.Send)
     d.give(
         api.Retuned(settings(classes=(api.RequestClass("read", 1000, 4000, effect="unsafe"),), try_limit=1))
     )
-    assert of(d.end(rid, api.RESET), api.Send)  # safe to repeat, as on its arrival
+    assert actions_of(d.end(rid, api.RESET), api.Send)  # safe to repeat, as on its arrival
     later, out = d.ask("read")
-    assert of(out, api.Send) and not of(d.end(later, api.RESET), api.Send)
+    assert actions_of(out, api.Send) and not actions_of(d.end(later, api.RESET), api.Send)
 
 
 def test_a_request_that_carries_its_class_is_sent_after_the_class_was_removed() -> None:
@@ -250,8 +252,11 @@
     d.give(api.Retuned(settings(classes=(UNSAFE,))))
     out = d.give(api.Request("r", "read", "open", "c", 4000, cls=SAFE))
     assert (
-        of(out, api.Send)
-        and of(d.give(api.Outcome("r", 0, of(out, api.Send)[0].server, api.OK, 5, True)), api.Fail) == []
+        actions_of(out, api.Send)
+        and actions_of(
+            d.give(api.Outcome("r", 0, actions_of(out, api.Send)[0].server, api.OK, 5, True)), api.Fail
+        )
+        == []
     )
     assert isinstance(d.give(api.Request("s", "read", "open", "c", 4000))[0], api.Refuse)
 
@@ -259,9 +264,9 @@
 def test_a_request_waiting_for_the_counter_outlives_its_class() -> None:
     d = Driver()
     rid, out = d.ask("read", plan="basic")
-    if not of(out, api.Count):
+    if not actions_of(out, api.Count):
         rid, out = d.ask("read", plan="basic")
-    (count,) = of(out, api.Count)
+    (count,) = actions_of(out, api.Count)
     d.give(api.Retuned(settings(classes=(KEYED,))))
     d.give(api.CountReply(count.name, api.OK, 1))
     assert any(isinstance(a, (api.Send, api.Refuse)) and a.request == rid for _, a in d.log)
@@ -269,7 +274,7 @@
 
 def test_quotas_server_health_and_pressure_survive_new_settings() -> None:
     d = Driver(counter_enabled=False)
-    sent = sum(bool(of(d.ask(plan="basic", width=1)[1], api.Send)) for _ in range(20))
+    sent = sum(bool(actions_of(d.ask(plan="basic", width=1)[1], api.Send)) for _ in range(20))
     gateway = d.gateway
     gateway.servers["h1"].ejections, gateway.smoothed_occupancy = 3, 0.3
     before = gateway.customer_quotas["c"].used
@@ -283,7 +288,7 @@
         gateway.smoothed_occupancy,
         gateway.customer_quotas["c"].used,
     ) == (3, 0.3, before)
-    assert sent and not of(d.ask(plan="basic", width=1)[1], api.Send)
+    assert sent and not actions_of(d.ask(plan="basic", width=1)[1], api.Send)
     d.give(api.Retuned(settings(counter_enabled=False, plans=(api.Plan("basic", rate=3, burst=6),))))
-    assert not of(d.ask(plan="basic", width=1)[1], api.Send)  # usage still counts under the new rate
+    assert not actions_of(d.ask(plan="basic", width=1)[1], api.Send)  # usage still counts under the new rate
     assert gateway.customer_quotas["c"].plan is gateway.plans["basic"] != PLAN
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Driver, of, on_loop
+from conftest import Driver, actions_of, run_on_loop
 from msgspec import structs
 from test_holding_groups import call_until_ok as until_answered
 from test_registry import run
@@ -25,7 +25,7 @@
 
 
 def asked(out: list[api.Action]) -> api.Count:
-    (count,) = of(out, api.Count)
+    (count,) = actions_of(out, api.Count)
     return count
 
 
@@ -42,7 +42,7 @@
     sent = 0
     for _ in range(times):
         _, out = driver.ask(plan="gold", left=200, after=after)  # with so little time nothing is waited for
-        sent += bool(of(out, api.Send))
+        sent += bool(actions_of(out, api.Send))
     return sent
 
 
@@ -50,9 +50,9 @@
     driver = Driver(plans=(STRICT,), counter_enabled=False)
     _, out = driver.ask(plan="gold")
     count = asked(out)
-    assert not of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
+    assert not actions_of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
     assert count.name == quota_account_name("gold", "c") and "c" != count.name
-    assert len(of(granted(driver, count, 5.0), api.Send)) == 1
+    assert len(actions_of(granted(driver, count, 5.0), api.Send)) == 1
     assert spends(driver, 8) == 4
     _, out = driver.ask(plan="gold", after=10)
     more = asked(out)
@@ -72,31 +72,33 @@
     for plan, floor in ((STRICT, 0), (BOUNDED, 2)):
         driver = Driver(plans=(plan,))
         _, out = driver.ask(plan="gold")
-        sent = len(of(silent(driver, asked(out)), api.Send))
+        sent = len(actions_of(silent(driver, asked(out)), api.Send))
         assert sent + spends(driver, 6) == floor
         for _ in range(5):  # it asks again, hears nothing, and may spend nothing more
             _, out = driver.ask(plan="gold", after=500)
-            assert not of(silent(driver, asked(out)), api.Send)
+            assert not actions_of(silent(driver, asked(out)), api.Send)
         _, out = driver.ask(plan="gold", after=500)
-        assert of(granted(driver, asked(out), 3.0), api.Send) and spends(driver, 5) == 2
+        assert actions_of(granted(driver, asked(out), 3.0), api.Send) and spends(driver, 5) == 2
         _, out = driver.ask(plan="gold", after=3500)
-        assert len(of(silent(driver, asked(out)), api.Send)) + spends(driver, 6) == floor  # another outage
+        assert (
+            len(actions_of(silent(driver, asked(out)), api.Send)) + spends(driver, 6) == floor
+        )  # another outage
 
 
 def test_a_floor_is_over_after_its_time() -> None:
     driver = Driver(plans=(BOUNDED,))
     _, out = driver.ask(plan="gold")
-    assert len(of(silent(driver, asked(out)), api.Send)) == 1
+    assert len(actions_of(silent(driver, asked(out)), api.Send)) == 1
     assert spends(driver, 3, after=1501.0) == 0
 
 
 def test_an_empty_account_is_not_asked_again_before_a_unit_has_filled() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    refused = of(granted(driver, asked(out), 0.0), api.Refuse)
+    refused = actions_of(granted(driver, asked(out), 0.0), api.Refuse)
     assert refused[0].reason == "quota" and refused[0].retry_after_ms > 0
-    assert not of(driver.ask(plan="gold", after=50)[1], api.Count)
-    assert of(driver.ask(plan="gold", after=60)[1], api.Count)
+    assert not actions_of(driver.ask(plan="gold", after=50)[1], api.Count)
+    assert actions_of(driver.ask(plan="gold", after=60)[1], api.Count)
 
 
 def test_what_a_request_cost_beyond_its_guess_comes_off_the_next_share() -> None:
@@ -122,8 +124,8 @@
     _, out = driver.ask(plan="gold")
     count = asked(out)
     driver.sweep(6)  # who waited is refused; the question is still open
-    assert not of(driver.ask(plan="gold")[1], api.Count)
-    assert len(of(granted(driver, count, 4.0), api.Send)) == 1  # the one that came meanwhile
+    assert not actions_of(driver.ask(plan="gold")[1], api.Count)
+    assert len(actions_of(granted(driver, count, 4.0), api.Send)) == 1  # the one that came meanwhile
     assert spends(driver, 6) == 3
     granted(driver, count, 50.0)
     assert spends(driver, 3) == 0
@@ -187,7 +189,7 @@
         assert not any("action_failed" in line or "an action failed" in line for line in gateway.lines)
         await gateway.kill()
 
-    on_loop(scenario, 30)
+    run_on_loop(scenario, 30)
 
 
 def tortured(folder: Path, seed: int, faults: list[str], **changes: object) -> SharesOutcome:
@@ -202,7 +204,7 @@
             outcome = await made.play(1)
             assert not outcome.breach, (fault, outcome)
 
-    on_loop(played, 200)
+    run_on_loop(played, 200)
     return outcome
 
 
@@ -251,7 +253,7 @@
             assert wrong.status == 400 and wrong.body["field"] == "lifeMs"
             client.close()
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_a_plan_of_shares_names_the_field_that_is_wrong(tmp_path: Path) -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Fake, Rig, Seen, message, on_loop, read_message, reply
+from conftest import FakeHttpServer, GatewayRig, SeenMessage, message, read_message, reply, run_on_loop
 from test_bodies import CHUNKED, Scripted, body_of, in_chunks, resident_mb, told
 from test_net_parts import core_with
 
@@ -21,7 +21,7 @@
 BIG = bytes(range(256)) * 4096  # 1 MB
 
 
-async def idle_metrics(rig: Rig) -> dict[str, float]:
+async def idle_metrics(rig: GatewayRig) -> dict[str, float]:
     """Return the metrics once no bytes are held and no stream or request is open."""
     while True:
         metrics = await rig.metrics()
@@ -71,7 +71,7 @@
             assert (await idle_metrics(rig))['gateway_streams_short_total{cause="client"}'] >= 25
 
     set_limits(tmp_path, memory_mb=32)
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def set_limits(folder: Path, **limits: object) -> None:
@@ -81,16 +81,16 @@
 
 @pytest.fixture(autouse=True)
 def apply_limits(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    spawn = Rig.spawn
+    spawn = GatewayRig.spawn
 
-    async def limited(rig: Rig) -> None:
+    async def limited(rig: GatewayRig) -> None:
         path = tmp_path / "limits.json"
         if path.exists():
             rig.config["limits"].update(json.loads(path.read_text()))
             rig.path.write_text(json.dumps(rig.config))
         await spawn(rig)
 
-    monkeypatch.setattr(Rig, "spawn", limited)
+    monkeypatch.setattr(GatewayRig, "spawn", limited)
 
 
 def test_uploads_above_the_budget_are_refused_at_once_and_small_requests_served(
@@ -137,7 +137,7 @@
             assert (await read_message(reader, writer)).line.split()[1] == "200"
 
     set_limits(tmp_path, memory_mb=24)
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_a_slow_reader_delays_only_its_own_answer(tmp_path: Path) -> None:
@@ -168,7 +168,7 @@
             assert metrics['gateway_passed_bytes_total{way="down"}'] == 6 * 8 * MB
             assert not any(value for name, value in metrics.items() if "streams_short" in name)
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
             assert rig.connections == 1 and metrics["gateway_links_open"] == 0
             writer.close()
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_a_streamed_answer_may_begin_before_the_upload_has_ended(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
             assert metrics['gateway_fulfilled_total{priority="put"}'] == 1
             assert metrics["gateway_relayed_total"] == 1
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_the_first_bytes_of_an_answer_to_an_unsafe_request_are_passed_on_at_once(tmp_path: Path) -> None:
@@ -253,7 +253,7 @@
             assert (await reader.readuntil(b"0\r\n\r\n")).startswith(b"4\r\nlast")
             writer.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_truncated_short_answer_to_a_safe_request_is_retried(tmp_path: Path) -> None:
@@ -270,7 +270,7 @@
         async with Scripted(tmp_path, host) as rig:
             assert (await rig.ask(message())).body == b"whole"
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_requests_pipelined_behind_an_upload_are_answered_in_order(tmp_path: Path) -> None:
@@ -288,7 +288,7 @@
             writer.close()
             await idle_metrics(rig)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("how", ["leaves", "half closes", "resets"])
@@ -330,7 +330,7 @@
             assert metrics["gateway_links_open"] == 0
             writer.transport.abort()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(("length", "sent"), [(b"200000", BIG[:150_000]), (b"200000", BIG[:200_050])])
@@ -358,7 +358,7 @@
             assert rig.connections == 2
             await idle_metrics(rig)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_bytes_beyond_the_content_length_are_answered_as_a_bad_request(
@@ -373,7 +373,7 @@
             writer.close()
             await idle_metrics(rig)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_uploads_above_the_configured_limit_are_answered_413(tmp_path: Path) -> None:
@@ -389,7 +389,7 @@
             await idle_metrics(rig)
 
     set_limits(tmp_path, upload_mb=2)
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize(
@@ -406,20 +406,20 @@
         parse(tree)
 
 
-def serve(seen: Seen) -> bytes:
+def serve(seen: SeenMessage) -> bytes:
     return reply(b"ok")
 
 
 def test_metrics_count_the_bytes_of_bodies(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve) as rig:
+        async with GatewayRig(tmp_path, serve) as rig:
             assert await rig.status(message("put", body=BIG)) == 200
             metrics = await idle_metrics(rig)
             assert metrics['gateway_passed_bytes_total{way="up"}'] == MB
             assert 0 < metrics["gateway_held_bytes_peak"] <= metrics["gateway_held_bytes_limit"]
             assert metrics["gateway_bodies_refused_total"] == metrics["gateway_streams_stopped_total"] == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 class FullTransport:
@@ -446,7 +446,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        host = Fake(lambda seen: None)
+        host = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, host)
         connection = ClientConnection(ClientListener(core, asyncio.get_running_loop(), 100))
         transport = FullTransport(connection)
@@ -465,7 +465,7 @@
         assert True not in pauses
         host.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("invalid_chunk", [b"zz\r\n", b"ffffffffffffffffff\r\n", b"5\r\nabcdefg\r\n"])
@@ -494,7 +494,7 @@
             # Without the last chunk the server sees the body as incomplete.
             assert b"never" not in sent and not sent.endswith(b"0\r\n\r\n")
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_during_a_hot_upgrade_open_streams_end_in_the_old_process(tmp_path: Path) -> None:
@@ -529,7 +529,7 @@
             while (await rig.ops("/ops/readiness")).line.split()[1] != "200":
                 await asyncio.sleep(0.02)
             old.send_signal(signal.SIGTERM)
-            await rig.logged("taking over")
+            await rig.wait_for_log("taking over")
             up_writer.write(data[MB:])
             answer = await read_message(up, up_writer)
             assert (answer.body, answer.headers["connection"]) == (b"%d" % (2 * MB), "close")
@@ -540,7 +540,7 @@
             assert await old.wait() == 0
             assert await rig.status(message("put", body=BIG, rid=b"new")) == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_bodies_in_one_byte_writes_in_both_directions(tmp_path: Path) -> None:
@@ -570,4 +570,4 @@
             assert metrics['gateway_passed_bytes_total{way="up"}'] == 70_000
             assert metrics['gateway_fulfilled_total{priority="put"}'] == 2
 
-    on_loop(scenario)
+    run_on_loop(scenario)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,17 @@
 from pathlib import Path
 
 import pytest
-from conftest import Driver, Rig, Seen, message, of, on_loop, read_message, reply, serve
+from conftest import (
+    Driver,
+    GatewayRig,
+    SeenMessage,
+    actions_of,
+    message,
+    read_message,
+    reply,
+    run_on_loop,
+    serve,
+)
 
 from yewstage import interface as api
 from yewstage.net import clients as clients_module
@@ -18,29 +28,29 @@
 from yewstage.net.handover import SERVING, STATE, WAITING, Handover
 
 
-async def wait_until_ready(rig: Rig) -> None:
+async def wait_until_ready(rig: GatewayRig) -> None:
     while (await rig.ops("/ops/readiness")).line.split()[1] != "200":
         await asyncio.sleep(0.02)
 
 
 def test_an_upgrade_serves_all_requests_and_completes_open_ones(tmp_path: Path) -> None:
     async def scenario() -> None:
-        put_requests: list[Seen] = []
+        put_requests: list[SeenMessage] = []
 
-        def handler(seen: Seen) -> bytes | None:
+        def handler(seen: SeenMessage) -> bytes | None:
             if seen.line.startswith("GET"):
                 return reply(b"served")
             put_requests.append(seen)
             return None
 
-        async with Rig(tmp_path, handler).hold() as rig:
+        async with GatewayRig(tmp_path, handler).hold() as rig:
             old = rig.process
             idle_reader, idle = await rig.connect()
             idle.write(message())
             assert "connection" not in (await read_message(idle_reader, idle)).headers
             reader, writer = await rig.connect()
             writer.write(message("put"))
-            await rig.hosts[0].until(lambda fake: bool(put_requests))
+            await rig.hosts[0].wait_until(lambda fake: bool(put_requests))
             await rig.spawn()
             await wait_until_ready(rig)
             assert await rig.status(message()) == 200  # by the old process
@@ -57,13 +67,13 @@
             for other in (idle, writer):
                 other.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 @pytest.mark.parametrize("victim", [0, 1])
 def test_after_a_kill_of_either_process_the_other_serves(tmp_path: Path, victim: int) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve).hold() as rig:
+        async with GatewayRig(tmp_path, serve).hold() as rig:
             await rig.spawn()
             rig.processes[victim].kill()
             await rig.processes[victim].wait()
@@ -71,12 +81,12 @@
             rig.processes[1 - victim].send_signal(signal.SIGTERM)
             assert await rig.processes[1 - victim].wait() == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_restart_on_an_inherited_socket(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Rig(tmp_path, serve).hold() as rig:
+        async with GatewayRig(tmp_path, serve).hold() as rig:
             rig.process.send_signal(signal.SIGTERM)
             assert await rig.status(message()) == 200  # accepted, as there is no successor
             assert await rig.process.wait() == 0
@@ -84,7 +94,7 @@
             await rig.spawn()
             assert await waiting == 200
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_connection_with_unread_bytes_is_not_closed() -> None:
@@ -149,7 +159,7 @@
             if name in new._locks:
                 new._release(name)
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_successor_is_detected_though_its_first_lock_attempt_fails(tmp_path: Path) -> None:
@@ -165,7 +175,7 @@
             await asyncio.sleep(0.01)
         new.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_without_lock_files_a_process_serves_alone(tmp_path: Path) -> None:
@@ -174,17 +184,17 @@
         assert not process.start(print, print) and not process.has_successor()
         process.hand_over({})
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_a_streamed_answer_outlives_the_drain_time_limit(tmp_path: Path) -> None:
     async def scenario() -> None:
         body = b"x" * 300_000
 
-        def partial_answer(seen: Seen) -> bytes:
+        def partial_answer(seen: SeenMessage) -> bytes:
             return reply(body)[:200_000]
 
-        async with Rig(tmp_path, partial_answer) as rig:
+        async with GatewayRig(tmp_path, partial_answer) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             await reader.readuntil(b"\r\n\r\n")
@@ -195,11 +205,11 @@
             assert await rig.process.wait() == 0
             writer.close()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def admitted_count(d: Driver, n: int, plan: str) -> int:
-    return sum(bool(of(d.ask(plan=plan, width=1)[1], api.Send)) for _ in range(n))
+    return sum(bool(actions_of(d.ask(plan=plan, width=1)[1], api.Send)) for _ in range(n))
 
 
 def handed_over_state(d: Driver) -> dict[str, object]:
@@ -238,7 +248,7 @@
     new = Driver(servers=1, now=old.now)
     new.give(api.TakenOver(handed_over_state(old)))
     assert new.gateway.servers["h0"].cold_from_ms == old.now and new.gateway.warm_rate == 1.0
-    assert not of(old.ask()[1], api.Send)
+    assert not actions_of(old.ask()[1], api.Send)
 
 
 @pytest.mark.parametrize("state", [None, {}, {"own": 1}, {"own": {"born": float("nan")}}, {"uses": {"c": 1}}])
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -169,7 +169,7 @@
             config.idle_ms,
             self,
             uses["servers"],
-            max_links_to=self._gateway.links,
+            max_links_to=self._gateway.connection_limit,
             clock_ms=self._clock.now_ms,
             rng=random.Random(config.seed),
             budget=self.budget,
@@ -295,13 +295,13 @@
 
     def failing(self) -> dict[str, int]:
         """Consecutive failures by server, of the servers that this gateway considers failing."""
-        return self._gateway.failing()
+        return self._gateway.ejection_counts()
 
     def metrics(self) -> str:
         """Metrics in the text format of the operators' address."""
         return self.stats.text(
             self._unanswered,
-            *self._gateway.rotation(),
+            *self._gateway.rotation_counts(),
             self._pool.metrics(),
             self._body_metrics(),
             self._admission_metrics(),
@@ -583,7 +583,7 @@
 
     def may_repeat(self, attempt: Attempt) -> bool:
         """Whether the decision module could retry the request if this answer broke off."""
-        return self._gateway.may_repeat(attempt.request)
+        return self._gateway.may_retry(attempt.request)
 
     def on_ended(self, attempt: Attempt, result: str, reply: Reply | None) -> None:
         """Called exactly once for each attempt, when it ends."""
--- a/yewstage/policy.py
+++ b/yewstage/policy.py
@@ -336,7 +336,7 @@
         """Whether this server is in this gateway's subset."""
         return server.rank < self.server_gateways
 
-    def links(self, name: str) -> int:
+    def connection_limit(self, name: str) -> int:
         """The limit on connections to a server: what it answers for this gateway in the shortest objective.
 
         That is this gateway's completion rate there, with a margin of one standard deviation for random
@@ -357,7 +357,7 @@
             mean = self.completion_rate * self.min_objective_ms * server.capacity / self.subset_capacity
         return max(1, math.ceil(mean + mean**0.5))
 
-    def may_repeat(self, request: str) -> bool:
+    def may_retry(self, request: str) -> bool:
         """Whether a request could be retried if the answer that is arriving broke off.
 
         While it could, an answer is better buffered than streamed: bytes passed on cannot be taken back.
@@ -372,11 +372,11 @@
             and self.retry_budget >= 1
         )
 
-    def rotation(self) -> tuple[int, int]:
+    def rotation_counts(self) -> tuple[int, int]:
         """The number of listed servers, and of those that are draining or ejected."""
         return len(self.servers), sum(1 for s in self.servers.values() if not s.is_up or s.ejections)
 
-    def failing(self) -> dict[str, int]:
+    def ejection_counts(self) -> dict[str, int]:
         """Listed servers that are ejected or on trial, with their number of consecutive ejections."""
         return {s.name: s.ejections for s in self.servers.values() if s.is_up and s.ejections}
 
