--- a/plumwall/faults/members.py
+++ b/plumwall/faults/members.py
@@ -19,7 +19,7 @@
 from plumwall.faults.fleet import LOOK_S, Fleet
 from plumwall.faults.gateways import check_weights
 from plumwall.faults.machines import HOST
-from yewstage.net.peers import SERVERS
+from yewstage.net.peers import SERVERS_TABLE
 
 FAULTS = ("killed", "stopped", "left", "deaf", "mute", "zone_cut", "lossy", "late", "all_killed")
 GONE = ("killed", "stopped", "mute", "zone_cut")  # after which the rest must come to miss them
@@ -159,7 +159,7 @@
                 for row in rows:
                     age = row["ageMs"]
                     self.outcome.oldest_ms = max(self.outcome.oldest_ms, age)
-                    assert age <= SERVERS.bound_ms, f"{name} shows a word that is {age} ms old"
+                    assert age <= SERVERS_TABLE.bound_ms, f"{name} shows a word that is {age} ms old"
         self.outcome.looks += 1
         return found
 
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -17,9 +17,15 @@
 from plumwall.world.generator import GatewaySpec, GeneratedWorld
 from yewstage import interface as api
 from yewstage.net.config import Config, parse
-from yewstage.net.core import GUARD_MS, LAG_MS, MODULE_MS, TRANSIT_MS, UPSTREAM_SHARE
+from yewstage.net.core import (
+    GUARD_MARGIN_MS,
+    MODULE_MARGIN_MS,
+    STALL_THRESHOLD_MS,
+    TRANSIT_MS,
+    UPSTREAM_SHARE,
+)
 from yewstage.net.discovery import parse_listing
-from yewstage.net.pool import IDLE_SHARES, SWEEP_S
+from yewstage.net.pool import IDLE_LIMIT_SHARES, SWEEP_INTERVAL_S
 from yewstage.policy import Gateway
 
 # Processor time of a gateway, ms, by what it handles: together what a served request costs it on this
@@ -243,7 +249,7 @@
         elif self.leaving:
             self._closed()
         else:
-            share = self.owner.rng.uniform(*IDLE_SHARES)
+            share = self.owner.rng.uniform(*IDLE_LIMIT_SHARES)
             self.idle.append(self.owner.clock.now + self.owner.idle_ms * share)
 
     def _closed(self) -> None:
@@ -294,7 +300,7 @@
         config: Config = parse(raw)
         self.rng = random.Random(seed)
         self.module = self._make(config.settings, config.seed)
-        self.dial_ms, self.idle_ms = config.dial_ms, config.idle_ms
+        self.dial_ms, self.idle_ms = config.dial_timeout_ms, config.idle_limit_ms
         self._most_links = int(UPSTREAM_SHARE * config.sockets)
         self._settings, self._known = config.settings, config.fallback_listing
         self._classes = {c.name: c for c in config.settings.classes}
@@ -320,7 +326,7 @@
         self._listed(self._known, "kept")
         self._agent.news = self._ask
         self._ask()
-        self.clock.after(SWEEP_S * 1000, self._retire, life)
+        self.clock.after(SWEEP_INTERVAL_S * 1000, self._retire, life)
         self._write(r.GatewayIs(self.clock.now, self.spec.name, "ready"))
 
     def kill(self) -> None:
@@ -393,10 +399,10 @@
     def _take(self, client: Client, words: dict[str, object], came_at: float) -> None:
         now = self.clock.now
         waited = now - came_at - COST_REQUEST
-        left_ms = words["left_ms"] - TRANSIT_MS - (waited if waited > LAG_MS else 0.0)
+        left_ms = words["left_ms"] - TRANSIT_MS - (waited if waited > STALL_THRESHOLD_MS else 0.0)
         cls = self._classes[words["cls"]]
         rid = words["rid"]
-        request = self._open[rid] = Open(rid, client, cls, now + left_ms - GUARD_MS)
+        request = self._open[rid] = Open(rid, client, cls, now + left_ms - GUARD_MARGIN_MS)
         request.guard = self.clock.at(request.end_at, self._guard, request)
         self._post(
             api.Request(
@@ -404,7 +410,7 @@
                 cls.name,
                 words["plan"],
                 words["customer"],
-                left_ms - MODULE_MS,
+                left_ms - MODULE_MARGIN_MS,
                 words["units"],
                 words["width"],
                 words["first"],
@@ -621,7 +627,7 @@
         if life == self.life:
             for lane in self.lanes.values():
                 lane.sweep()
-            self.clock.after(SWEEP_S * 1000, self._retire, life)
+            self.clock.after(SWEEP_INTERVAL_S * 1000, self._retire, life)
 
     def figures(self) -> r.Figures:
         """What operators would read."""
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -52,7 +52,7 @@
     small.set(LIMIT_BYTES - rig.budget.held)
     assert not rig.budget.admits(1)
     small.end()
-    assert rig.budget.admits(1) and rig.budget.by_use()["requests"] == 0
+    assert rig.budget.admits(1) and rig.budget.held_bytes_by_purpose()["requests"] == 0
 
 
 @pytest.mark.parametrize("count", [10, 100, 1000])
@@ -63,7 +63,7 @@
         for account in streams:
             rig.read(account)
     assert rig.budget.held <= budget_module.HIGH_SHARE * LIMIT_BYTES + READ_BYTES
-    assert rig.budget.peak <= budget_module.HIGH_SHARE * LIMIT_BYTES + READ_BYTES
+    assert rig.budget.peak_bytes <= budget_module.HIGH_SHARE * LIMIT_BYTES + READ_BYTES
 
 
 def test_under_pressure_streams_take_turns_and_none_starves() -> None:
@@ -144,7 +144,7 @@
 
 def test_a_lower_limit_applies_during_a_hot_upgrade() -> None:
     rig = StreamBudget()
-    rig.budget.limit(LIMIT_BYTES // 2)
+    rig.budget.set_limit(LIMIT_BYTES // 2)
     for _ in range(100):
         rig.read(rig.open())
     assert rig.budget.held <= budget_module.HIGH_SHARE * LIMIT_BYTES / 2 + READ_BYTES
@@ -182,11 +182,11 @@
         streams = sum(account.bytes for account in rig.paused)
         assert (
             rig.budget.held
-            == sum(rig.budget.by_use().values())
+            == sum(rig.budget.held_bytes_by_purpose().values())
             == streams + sum(account.bytes for account in small)
         )
-        assert rig.budget.held <= rig.budget.most + READ_BYTES
+        assert rig.budget.held <= rig.budget.limit_bytes + READ_BYTES
     for account in [*rig.paused, *small]:
         account.end()
-    assert rig.budget.held == 0 and not rig.budget.is_under_pressure and rig.budget.streams() == 0
-    assert all(size == 0 for size in rig.budget.by_use().values())
+    assert rig.budget.held == 0 and not rig.budget.is_under_pressure and rig.budget.stream_count() == 0
+    assert all(size == 0 for size in rig.budget.held_bytes_by_purpose().values())
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -250,7 +250,7 @@
     async def scenario() -> None:
         fake_server = FakeHttpServer(lambda seen: None)
         core, script = await core_with(monkeypatch, fake_server)
-        monkeypatch.setattr(clients_module, "SPARE_S", 0.0)
+        monkeypatch.setattr(clients_module, "SPARE_IDLE_TIMEOUT_S", 0.0)
         # Four descriptors leave room for two clients.
         listener = clients_module.ClientListener(core, asyncio.get_running_loop(), 4)
         address = listener.start((LOOP, 0))
@@ -307,9 +307,9 @@
             client.setblocking(False)
             await asyncio.get_running_loop().sock_connect(client, address)
             await asyncio.get_running_loop().sock_sendall(client, message())
-            while not any(c._open for c in listener.connections):
+            while not any(c._open_request_id for c in listener.connections):
                 await asyncio.sleep(0)
-            core.draining = True
+            core.is_draining = True
             client.send(b"GET /half a li")  # unread when the last answer is written
             (connection,) = listener.connections
             connection.answer(200, b"x" * 60_000)
@@ -337,7 +337,9 @@
         while {c.state() for c in listener.connections} != {"open", "reading", "silent"}:
             await asyncio.sleep(0.01)
         for connection in listener.connections:
-            connection.heard_at -= 10 * clients_module.STALE_S * (connection.state() == "silent")
+            connection.received_at_s -= (
+                10 * clients_module.SILENT_TIMEOUT_S * (connection.state() == "silent")
+            )
         newer = [await asyncio.open_connection(*address) for _ in range(2)]
         for i in (1, 3):
             with contextlib.suppress(ConnectionResetError):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -99,8 +99,8 @@
 
 def test_a_removed_class_keeps_its_counts_and_labels_are_escaped() -> None:
     stats = Stats(["a", 'b"\\'])
-    stats.ended("a", 200)
-    stats.know(["c"])
+    stats.count_answer("a", 200)
+    stats.add_classes(["c"])
     lines = stats.text(0, 0, 0).splitlines()
     assert 'gateway_fulfilled_total{priority="a"} 1' in lines
     assert 'gateway_throttled_total{priority="b\\"\\\\"} 0' in lines
--- a/tests/test_owed.py
+++ b/tests/test_owed.py
@@ -14,7 +14,7 @@
 import pytest
 from conftest import FakeDiscovery, GatewayRig, message, read_message, reply, run_on_loop, serve, silent
 
-from yewstage.net.http1 import LONGEST_BODY
+from yewstage.net.http1 import MAX_BUFFERED_BODY_BYTES
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -120,7 +120,7 @@
     run_scenario(tmp_path, steps)
 
 
-@pytest.mark.parametrize("size", [1000, 2 * LONGEST_BODY])
+@pytest.mark.parametrize("size", [1000, 2 * MAX_BUFFERED_BODY_BYTES])
 def test_a_partial_request_body_at_sigterm_is_received_whole(tmp_path: Path, size: int) -> None:
     async def steps(rig: GatewayRig) -> None:
         whole = message("put", body=b"x" * size)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -83,7 +83,7 @@
     def on_stream_started(self, attempt: Attempt, answer: Reply, length: int | None, source: Source) -> Fleet:
         return self
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         pass
 
     def may_repeat(self, attempt: Attempt) -> bool:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -238,7 +238,15 @@
         self.listener = HttpServer(
             self.loop,
             handle,
-            ConnectionLimits(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **limits}),
+            ConnectionLimits(
+                **{
+                    "max_connections": 3,
+                    "call_timeout_s": 5.0,
+                    "read_timeout_s": 10.0,
+                    "idle_timeout_s": 60.0,
+                    **limits,
+                }
+            ),
         )
         self.listener._server = object()
         self.loop.call_later(0.5, self.listener._sweep)
@@ -267,7 +275,7 @@
     harness.loop.run(by - 1.5)
     assert not transport.is_closing()
     harness.loop.run(by)
-    assert transport.is_closing() and not harness.listener.callers
+    assert transport.is_closing() and not harness.listener.connections
 
 
 def test_connection_that_sends_single_bytes_is_closed() -> None:
@@ -290,7 +298,7 @@
     assert not transport.is_closing()  # waiting is allowed
     caller.pause_writing()
     harness.loop.run(30 + READ_TIMEOUT_S + 1)
-    assert transport.is_closing() and disconnects and harness.listener.dropped == 1
+    assert transport.is_closing() and disconnects and harness.listener.closed_count == 1
 
 
 def test_too_many_pipelined_calls_close_the_connection() -> None:
@@ -308,7 +316,9 @@
     harness.connect()
     harness.connect()
     assert (
-        idle_transport.is_closing() and not busy_transport.is_closing() and len(harness.listener.callers) == 3
+        idle_transport.is_closing()
+        and not busy_transport.is_closing()
+        and len(harness.listener.connections) == 3
     )
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -220,13 +220,13 @@
 def test_a_removed_class_is_accepted_for_a_while() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        core = type("Core", (), {"settings": settings(), "stats": Stats(()), "longest_upload": 1})
+        core = type("Core", (), {"settings": settings(), "stats": Stats(()), "max_upload_bytes": 1})
         server = clients_module.ClientListener(core, loop, 100)
         timers = []
         server.loop = type(
             "Loop", (), {"call_later": lambda s, delay_s, *call: timers.append((delay_s, call))}
         )()
-        server.retune(clients_module.ClassAndPlanNames(settings(classes=(SAFE,))))
+        server.set_classes_and_plans(clients_module.ClassAndPlanNames(settings(classes=(SAFE,))))
         assert set(server.names.classes) == {b"read", b"put", b"pay"}
         ((delay_s, (call, *args)),) = timers
         call(*args)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -454,12 +454,14 @@
         script.plan[api.Request] = [api.Send("r1", "s-0", 5000)]
         connection.data_received(message())
         pauses: list[bool] = []
-        connection.begin(None, b"", type("Link", (), {"pause": lambda link, held: pauses.append(held)})())
-        connection.more(b"all of it")
+        connection.begin_stream(
+            None, b"", type("Link", (), {"pause": lambda link, held: pauses.append(held)})()
+        )
+        connection.write_body(b"all of it")
         assert True not in pauses
         transport.full = True
         # The last chunk fills the buffer when the server connection may already serve another request.
-        connection.finish()
+        connection.end_stream()
         transport.full = False
         connection.resume_writing()
         assert True not in pauses
--- a/yewstage/__main__.py
+++ b/yewstage/__main__.py
@@ -66,9 +66,9 @@
     def _accept_when_ready(self, deadline: float) -> None:
         """Accept connections once requests can be served, or at the deadline. Until then connections to an
         inherited socket wait in its backlog and are not refused."""
-        if self._core.ready() or self._loop.time() >= deadline:
+        if self._core.is_ready() or self._loop.time() >= deadline:
             self._server.accept()
-        elif not self._core.draining:
+        elif not self._core.is_draining:
             self._loop.call_later(CHECK_INTERVAL_S, self._accept_when_ready, deadline)
 
     def _start_peers(self) -> None:
@@ -103,9 +103,9 @@
 
     def _check_successor(self) -> None:
         """Share the descriptors with the next process as long as it is present, even if it never serves."""
-        if self._handover is not None and not self._core.draining:
-            if self._handover.has_successor() != self._core.shared:
-                self._core.share_descriptors(not self._core.shared)
+        if self._handover is not None and not self._core.is_draining:
+            if self._handover.has_successor() != self._core.is_sharing_descriptors:
+                self._core.share_descriptors(not self._core.is_sharing_descriptors)
             self._loop.call_later(SUCCESSOR_CHECK_INTERVAL_S, self._check_successor)
 
 
@@ -125,10 +125,10 @@
 
     def begin(self) -> None:
         """Start to drain; called on the signal."""
-        if self._core.draining:
+        if self._core.is_draining:
             return
         log.info(Event("draining", "draining"))
-        self._core.draining = True
+        self._core.is_draining = True
         longest_deadline_s = max(c.deadline_ms for c in self._core.settings.classes) / 1000
         self._loop.call_later(
             min(longest_deadline_s, MAX_DRAIN_DEADLINE_S) + DRAIN_MARGIN_S, self._fail_open_requests
@@ -164,7 +164,7 @@
 
     peers = Peers(config.peers, config.name, loop, random.Random(config.seed), core.failing)
     log.info(address_event("members", "hearing members on", await peers.open()))
-    core.more_figures = peers.metrics
+    core.extra_metrics = peers.metrics
     return peers
 
 
@@ -174,7 +174,7 @@
         config = reload(os.environ, initial)
         names = ClassAndPlanNames(config.settings)
     except ConfigError as error:
-        core.stats.invalid += 1
+        core.stats.invalid_configs += 1
         log.error(Event("configuration_refused", "configuration not taken: {error}", error=str(error)))
         return
     settings = config.settings
@@ -189,12 +189,12 @@
             attempts=settings.try_limit,
         )
     )
-    server.retune(names)
-    server.resize(config.sockets, config.longest_upload)
+    server.set_classes_and_plans(names)
+    server.set_limits(config.sockets, config.max_upload_bytes)
     core.reconfigure(config)
     if peers is not None and config.peers is not None:
-        peers.rekey(config.peers.keys)
-    core.stats.accepted += 1
+        peers.set_keys(config.peers.keys)
+    core.stats.accepted_configs += 1
 
 
 def _handover(config: Config, loop: asyncio.AbstractEventLoop) -> Handover | None:
@@ -219,7 +219,7 @@
     loop.add_signal_handler(signal.SIGHUP, _reconfigure, core, server, peers, config)
     core.start()
     pages = {"/ops/members": lambda: json.dumps(peers.status()).encode()} if peers is not None else {}
-    ops = Ops(loop, core.ready, core.metrics, core.stats.descriptors.uses["ops"], pages)
+    ops = Ops(loop, core.is_ready, core.metrics, core.stats.descriptors.uses["ops"], pages)
     if config.ops is not None:
         log.info(address_event("ops", "operators' address", await ops.start(config.ops)))
     address = server.start(config.listen, config.listen_fd)
@@ -229,8 +229,8 @@
             "links",
             "connections to servers: idle for at most {idle_ms:.0f} ms, connect time-out "
             "{dial_ms:.0f} ms; {descriptors} descriptors",
-            idle_ms=config.idle_ms,
-            dial_ms=config.dial_ms,
+            idle_ms=config.idle_limit_ms,
+            dial_ms=config.dial_timeout_ms,
             descriptors=config.sockets,
         )
     )
@@ -243,7 +243,7 @@
     if peers is not None:
         peers.stop()
     core.stop()
-    log.info(Event("ended", "ended: {text}", text=core.farewell()))
+    log.info(Event("ended", "ended: {text}", text=core.summary()))
 
 
 def main() -> int:
--- a/yewstage/net/budget.py
+++ b/yewstage/net/budget.py
@@ -56,8 +56,8 @@
         self.bytes = held_bytes
         self._purpose_total.bytes += change_bytes
         budget.held += change_bytes
-        if budget.held > budget.peak:
-            budget.peak = budget.held
+        if budget.held > budget.peak_bytes:
+            budget.peak_bytes = budget.held
         if self.pause_reading is not None or budget.is_under_pressure or budget.held > budget.high_bytes:
             budget.account_changed(self, change_bytes)
 
@@ -88,18 +88,18 @@
 
     def __init__(self, limit_bytes: int, clock_s: Callable[[], float]) -> None:
         self._clock_s = clock_s
-        self.held = self.peak = 0
+        self.held = self.peak_bytes = 0
         self._totals_by_purpose = {purpose: PurposeTotal() for purpose in PURPOSES}
         self.is_under_pressure = False
-        self.stops = self.evicted = self.refused = 0
+        self.pause_count = self.evicted = self.refused_count = 0
         self._turn_started_at_s: dict[MemoryAccount, float] = {}  # streams that may make one read
         self._streams: dict[MemoryAccount, None] = {}
         self._paused_streams: dict[MemoryAccount, None] = {}  # in the order of their turns
-        self.limit(limit_bytes)
+        self.set_limit(limit_bytes)
 
-    def limit(self, limit_bytes: int) -> None:
+    def set_limit(self, limit_bytes: int) -> None:
         """Set the budget in bytes."""
-        self.most, self.high_bytes, self._low_bytes = (
+        self.limit_bytes, self.high_bytes, self._low_bytes = (
             limit_bytes,
             int(HIGH_SHARE * limit_bytes),
             int(LOW_SHARE * limit_bytes),
@@ -109,11 +109,11 @@
         """Open the account of one connection for a purpose, one of PURPOSES."""
         return MemoryAccount(self, self._totals_by_purpose[purpose])
 
-    def by_use(self) -> dict[str, int]:
+    def held_bytes_by_purpose(self) -> dict[str, int]:
         """Return the held bytes by purpose."""
         return {purpose: total.bytes for purpose, total in self._totals_by_purpose.items()}
 
-    def streams(self) -> int:
+    def stream_count(self) -> int:
         """Return the number of open streams."""
         return len(self._streams)
 
@@ -123,7 +123,7 @@
 
     def admits(self, size: int) -> bool:
         """Whether a buffered request body of this size fits into the budget."""
-        return self.held + size <= self.most
+        return self.held + size <= self.limit_bytes
 
     def account_changed(self, account: MemoryAccount, change_bytes: int) -> None:
         """Handle a change of a stream's account, or of any account under memory pressure."""
@@ -181,7 +181,7 @@
     def _pause_stream(self, account: MemoryAccount) -> None:
         if account.pause_reading is not None and not account.is_paused:
             account.is_paused = True
-            self.stops += 1
+            self.pause_count += 1
             self._paused_streams[account] = None
             account.pause_reading(True)
 
--- a/yewstage/net/clients.py
+++ b/yewstage/net/clients.py
@@ -19,7 +19,7 @@
 from yewstage import interface as api
 from yewstage.log import Event
 from yewstage.net.core import ClientRequest, Core
-from yewstage.net.http1 import LONGEST_BODY, Upload, limit_socket_buffer
+from yewstage.net.http1 import MAX_BUFFERED_BODY_BYTES, Upload, limit_socket_buffer
 from yewstage.net.pool import Source
 
 log = logging.getLogger(__name__)
@@ -35,8 +35,8 @@
 ANSWER_READ_TIMEOUT_S = 30.0  # a client that reads nothing of its answer for longer is disconnected
 IDLE_TIMEOUT_S = 75.0  # for an idle connection while there is room for others
 MAX_PIPELINED_BYTES = 64 * 1024  # queued before reading pauses; a client's end is seen only while reading
-SPARE_S = 2.0  # a connection idle for longer is closed when a new client needs room
-STALE_S = 0.5  # so is one without a request yet, once it has received nothing for so long
+SPARE_IDLE_TIMEOUT_S = 2.0  # a connection idle for longer is closed when a new client needs room
+SILENT_TIMEOUT_S = 0.5  # so is one without a request yet, once it has received nothing for so long
 CROWDED_SHARE = 0.7  # above this share of the maximum each connection is closed after its answer
 LINGER_TIMEOUT_S = 1.0  # for reading on after the last answer, unless the client closes first
 SWEEP_INTERVAL_S = 0.2
@@ -229,7 +229,7 @@
         # Requests to process; a number is the status with which an invalid request is answered.
         self._pending_requests: deque[_RequestMessage | int] = deque()
         self._current_request: _RequestMessage | None = None  # the last one whose processing began
-        self._open: str | None = None  # id of the request that awaits its answer
+        self._open_request_id: str | None = None  # id of the request that awaits its answer
         self._is_answer_due = False  # a request is being processed
         self._answer_source: Source | None = None  # server connection of a streamed answer
         # Of a streamed answer: chunked coding, a visible end, and whether the connection outlives it.
@@ -249,19 +249,19 @@
         self.answered_count = 0
         # When the connection was opened, became idle, or began to receive its latest message.
         self.phase_started_at_s = 0.0
-        self.heard_at = 0.0  # when bytes were last received
+        self.received_at_s = 0.0  # when bytes were last received
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         transport.set_write_buffer_limits(high=0)  # so that any unsent byte calls pause_writing
-        self.phase_started_at_s = self.heard_at = self._listener.now()
+        self.phase_started_at_s = self.received_at_s = self._listener.now()
         self._listener.connections.add(self)
         self._listener.descriptor_use.opened()
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self._listener.now()
+        self.received_at_s = self._listener.now()
         if not self._is_closing:
             self._feed_parser(data)
             self._process_queue()
@@ -336,7 +336,7 @@
 
     def _evict(self) -> None:
         """Abort the connection: its stalled stream holds memory that others wait for."""
-        self._core.stats.cut_short("no_room")
+        self._core.stats.count_truncated_stream("no_room")
         self.transport.abort()
 
     def eof_received(self) -> None:
@@ -377,7 +377,7 @@
 
     def _release_open_request(self) -> None:
         """Cancel the open request, if there is one, as abandoned by its client."""
-        request_id, self._open = self._open, None
+        request_id, self._open_request_id = self._open_request_id, None
         if request_id is not None:
             self._core.client_disconnected(request_id)
 
@@ -421,7 +421,7 @@
         status = self._validate_head(message)
         if status:
             self._reject(status)
-        elif (message.content_length or 0) > LONGEST_BODY:
+        elif (message.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
             self._start_upload(message)
         else:
             message.awaits_continue = message.headers.get(b"expect", b"").lower() == b"100-continue"
@@ -434,13 +434,13 @@
             return 0
         if not path.startswith(b"/api/"):
             return 404
-        if (message.content_length or 0) > self._listener.longest_upload:
+        if (message.content_length or 0) > self._listener.max_upload_bytes:
             return 413
         try:
             message.client_request = parse_client_request(message, self._listener.names)
         except BadRequestError:
             return 400
-        if (message.content_length or 0) <= LONGEST_BODY and not self._core.budget.admits(
+        if (message.content_length or 0) <= MAX_BUFFERED_BODY_BYTES and not self._core.budget.admits(
             message.content_length or 0
         ):
             return self._count_refusal(message)
@@ -448,8 +448,8 @@
 
     def _count_refusal(self, message: _RequestMessage) -> int:
         """Count a refusal for want of memory, before any byte is sent to a server; returns the status."""
-        self._core.budget.refused += 1
-        self._core.stats.ended(message.client_request.cls.name, 503)
+        self._core.budget.refused_count += 1
+        self._core.stats.count_answer(message.client_request.cls.name, 503)
         return 503
 
     def _send_continue(self) -> None:
@@ -478,7 +478,7 @@
         )
         limit_socket_buffer(self.transport, socket.SO_RCVBUF)
         if message.body:
-            self._core.stats.passed_up += message.body_bytes
+            self._core.stats.uploaded_bytes += message.body_bytes
             message.upload.feed(b"".join(message.body))
             message.body.clear()
         self._pending_requests.append(message)
@@ -488,16 +488,16 @@
         if self._is_closing:
             return
         message.body_bytes += len(data)
-        if message.body_bytes > self._listener.longest_upload:
+        if message.body_bytes > self._listener.max_upload_bytes:
             self._fail_message(413)
         elif message.method == b"GET":
             self._fail_message(400)
         elif message.upload is not None:
-            self._core.stats.passed_up += len(data)
+            self._core.stats.uploaded_bytes += len(data)
             message.upload.feed(data)
         else:
             message.body.append(data)
-            if message.body_bytes > LONGEST_BODY:
+            if message.body_bytes > MAX_BUFFERED_BODY_BYTES:
                 self._start_upload(message)
 
     def on_message_complete(self) -> None:
@@ -595,7 +595,7 @@
             return
         self._current_request = item
         if item.client_request is None:
-            self._answer_and_close(200 if self._core.ready() else 503)
+            self._answer_and_close(200 if self._core.is_ready() else 503)
             return
         client_request = item.client_request
         client_request.upload = item.upload
@@ -605,7 +605,7 @@
         self._open_request_bytes = len(client_request.head) + len(client_request.body)
         request_id = self._core.request(self, client_request)
         if self._is_answer_due:  # otherwise it has already been answered
-            self._open = request_id
+            self._open_request_id = request_id
             if item.awaits_continue:
                 item.awaits_continue = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -622,11 +622,16 @@
         ):
             return False
         return bool(self._pending_requests) or not (
-            self._is_closing or self._core.draining or self._listener.is_crowded()
+            self._is_closing or self._core.is_draining or self._listener.is_crowded()
         )
 
     def _finish_request(self) -> None:
-        self._open, self._is_answer_due, self._answer_source, self._open_request_bytes = None, False, None, 0
+        self._open_request_id, self._is_answer_due, self._answer_source, self._open_request_bytes = (
+            None,
+            False,
+            None,
+            0,
+        )
         self._request_account.set(self._buffered_request_bytes())
         self.answered_count += 1
         self.phase_started_at_s = self._listener.now()
@@ -655,7 +660,7 @@
 
     # Streamed answers
 
-    def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
+    def begin_stream(self, length: int | None, content_type: bytes, source: Source) -> None:
         """Write the head of a streamed 200 answer; `length` None means that its length is unknown.
 
         `source` is paused while the client does not read. HTTP/1.0 clients get an answer without a length up
@@ -678,12 +683,12 @@
         self._write(b"".join(parts))
         self._update_source_flow()
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Write a part of the streamed body."""
-        self._core.stats.passed_down += len(data)
+        self._core.stats.downloaded_bytes += len(data)
         self._write(b"%x\r\n%b\r\n" % (len(data), data) if self._is_chunked else data)
 
-    def finish(self) -> None:
+    def end_stream(self) -> None:
         """Complete the streamed answer."""
         # The server connection may already carry another request, so that the bytes still to be written here
         # must not pause it.
@@ -698,7 +703,7 @@
             self._close_gracefully()
         self._process_queue()
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         """Close the connection within a streamed answer.
 
         The missing end shows the client that the answer is incomplete; without any framing only a reset does.
@@ -736,7 +741,7 @@
 
     def _abort_body_drain(self, message: _RequestMessage) -> None:
         if self._message is message and not self.transport.is_closing():
-            self._core.stats.cut_short("answered")
+            self._core.stats.count_truncated_stream("answered")
             self.transport.abort()
 
     def state(self) -> str:
@@ -794,9 +799,9 @@
         if self._is_answer_due or self.transport.is_closing():
             return False
         is_unused = (
-            now - self.phase_started_at_s >= SPARE_S and self.is_idle()
+            now - self.phase_started_at_s >= SPARE_IDLE_TIMEOUT_S and self.is_idle()
             if self.answered_count
-            else now - self.heard_at >= STALE_S
+            else now - self.received_at_s >= SILENT_TIMEOUT_S
         )
         return is_unused and not self.has_unread_bytes()
 
@@ -825,14 +830,14 @@
         self.names = ClassAndPlanNames(core.settings)
         self.connections: set[ClientConnection] = set()
         self.descriptor_use = core.stats.descriptors.uses["clients"]
-        self.longest_upload = core.longest_upload
+        self.max_upload_bytes = core.max_upload_bytes
         self._socket_limit = sockets
         self._listening_socket: socket.socket | None = None
         self._is_open = self._is_accepting = False
         self._accept_tasks: set[asyncio.Task] = set()
         self._full_logged_at_s = -FULL_LOG_INTERVAL_S
 
-    def retune(self, names: ClassAndPlanNames) -> None:
+    def set_classes_and_plans(self, names: ClassAndPlanNames) -> None:
         """Apply new classes and plans; removed classes stay valid for CLASS_REMOVAL_DELAY_S."""
         merged = ClassAndPlanNames(api.Settings(()))
         merged.classes = {**self.names.classes, **names.classes}
@@ -840,12 +845,9 @@
         self.names = merged
         self.loop.call_later(CLASS_REMOVAL_DELAY_S, self._drop_old_classes, merged, names)
 
-    def resize(self, sockets: int, longest_upload: int) -> None:
-        """Apply new limits; existing connections stay, also above a lower limit.
-
-        `longest_upload` is in bytes.
-        """
-        self._socket_limit, self.longest_upload = sockets, longest_upload
+    def set_limits(self, sockets: int, max_upload_bytes: int) -> None:
+        """Apply new limits; existing connections stay, also above a lower limit."""
+        self._socket_limit, self.max_upload_bytes = sockets, max_upload_bytes
         self._resume_accepting()
 
     def _drop_old_classes(self, merged: ClassAndPlanNames, names: ClassAndPlanNames) -> None:
@@ -920,7 +922,9 @@
             self.loop.remove_reader(self._listening_socket)
 
     def _max_connections(self) -> int:
-        return int(CLIENT_DESCRIPTOR_SHARE * self._socket_limit) // (2 if self.core.shared else 1)
+        return int(CLIENT_DESCRIPTOR_SHARE * self._socket_limit) // (
+            2 if self.core.is_sharing_descriptors else 1
+        )
 
     def _has_room(self) -> bool:
         return len(self.connections) + len(self._accept_tasks) < self._max_connections()
@@ -967,7 +971,7 @@
         now = self.now()
         evictable = min(
             (c for c in self.connections if c.is_evictable(now)),
-            key=lambda c: (not c.answered_count, c.heard_at),
+            key=lambda c: (not c.answered_count, c.received_at_s),
             default=None,
         )
         if evictable is not None:
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -50,10 +50,10 @@
     settings: api.Settings
     fallback_listing: Listing
     keys: frozenset[str]  # paths of all fields of the file
-    dial_ms: float  # time-out of a connection to a server
-    idle_ms: float  # after which servers close an idle connection
+    dial_timeout_ms: float  # time-out of a connection to a server
+    idle_limit_ms: float  # after which servers close an idle connection
     memory_mb: float
-    longest_upload: int  # limit on the body of a request, in bytes
+    max_upload_bytes: int  # limit on the body of a request, in bytes
     log: str  # text or json
     holding: tuple[Address, ...] = ()  # members of the holding, which keeps the record of keyed requests
     peers: PeersConfig | None = None  # membership in the fleet; None: disabled
@@ -141,10 +141,10 @@
         settings=settings,
         fallback_listing=fallback_listing,
         keys=keys,
-        dial_ms=float(bounds.get("dial_timeout_ms", DEFAULT_DIAL_TIMEOUT_MS)),
-        idle_ms=float(bounds.get("conn_idle_ms", DEFAULT_IDLE_LIMIT_MS)),
+        dial_timeout_ms=float(bounds.get("dial_timeout_ms", DEFAULT_DIAL_TIMEOUT_MS)),
+        idle_limit_ms=float(bounds.get("conn_idle_ms", DEFAULT_IDLE_LIMIT_MS)),
         memory_mb=_limit(raw, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
-        longest_upload=int(_limit(raw, "upload_mb", DEFAULT_UPLOAD_MB, MIN_UPLOAD_MB) * 2**20),
+        max_upload_bytes=int(_limit(raw, "upload_mb", DEFAULT_UPLOAD_MB, MIN_UPLOAD_MB) * 2**20),
         log=_log_format(raw),
         holding=_addresses(raw, "holding"),
         peers=_peers(raw),
--- a/yewstage/net/core.py
+++ b/yewstage/net/core.py
@@ -27,7 +27,7 @@
 from yewstage.net.discovery import ON_REQUEST_TIMEOUTS, PUSHED_TIMEOUTS, Discovery, Listing
 from yewstage.net.http1 import Reply, Upload
 from yewstage.net.pool import Source
-from yewstage.net.stats import REFUSED, DescriptorUse, Stats
+from yewstage.net.stats import THROTTLED_STATUSES, DescriptorUse, Stats
 from yewstage.policy import Gateway
 
 if TYPE_CHECKING:
@@ -43,10 +43,11 @@
 BODY_MEMORY_SHARE = 0.2
 MIN_BODY_BUDGET_BYTES = 2 * 2**20
 TRANSIT_MS = 4.0  # allowance for the network time of a request and its answer
-GUARD_MS = 8.0  # the deadline guard answers this long before the client's deadline
-MODULE_MS = 20.0  # the decision module gets a deadline this much earlier, so that it acts before the guard
+GUARD_MARGIN_MS = 8.0  # the deadline guard answers this long before the client's deadline
+# The decision module gets a deadline this much earlier, so that it acts before the guard.
+MODULE_MARGIN_MS = 20.0
 HEARTBEAT_INTERVAL_S = 0.05  # of the timer that measures event loop stalls
-LAG_MS = 5.0  # a heartbeat that is later than this counts as a stall
+STALL_THRESHOLD_MS = 5.0  # a heartbeat that is later than this counts as a stall
 DISCOVERY_WAIT_S = 1.0  # after a start, before serving with the configured list of servers
 
 
@@ -72,16 +73,16 @@
     ) -> None:
         """Write the final answer, whose body is complete. Called at most once."""
 
-    def begin(self, length: int | None, content_type: bytes, source: Source) -> None:
+    def begin_stream(self, length: int | None, content_type: bytes, source: Source) -> None:
         """Start a streamed answer. `length` is that of the body in bytes, None if unknown."""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Write a part of the streamed body."""
 
-    def finish(self) -> None:
+    def end_stream(self) -> None:
         """End the streamed answer, which is complete."""
 
-    def cut(self) -> None:
+    def abort_stream(self) -> None:
         """End the streamed answer so that the client sees that it is truncated."""
 
 
@@ -160,13 +161,13 @@
             int(BODY_MEMORY_SHARE * (config.memory_mb * 2**20 - used_bytes)), MIN_BODY_BUDGET_BYTES
         )
         self.budget = MemoryBudget(self._body_budget_bytes, loop.time)
-        self.longest_upload = config.longest_upload
+        self.max_upload_bytes = config.max_upload_bytes
         uses = self.stats.descriptors.uses
         self._attempt_runner = AttemptRunner(
             loop,
             self._max_server_connections,
-            config.dial_ms,
-            config.idle_ms,
+            config.dial_timeout_ms,
+            config.idle_limit_ms,
             self,
             uses["servers"],
             max_links_to=self._gateway.connection_limit,
@@ -204,10 +205,11 @@
         self._started_at = 0.0
         self._heartbeat_due = time.monotonic() + HEARTBEAT_INTERVAL_S
         self._discovery_answered = False  # since the start of this process
-        self.more_figures: Callable[[], Mapping[str, float]] = dict  # metrics of other components
+        self.extra_metrics: Callable[[], Mapping[str, float]] = dict  # metrics of other components
         # draining: SIGTERM was received. _is_ending: everything was answered, new requests are refused.
-        self.draining = self._is_ending = False
-        self.shared = False  # during an upgrade two processes have half of the descriptors each
+        self.is_draining = self._is_ending = False
+        # During an upgrade two processes have half of the descriptors each.
+        self.is_sharing_descriptors = False
 
     def _create_claim_record(self) -> ClaimRecord:
         from yewstage.net.claim_record import ClaimRecord  # imported only where it is used, to save memory
@@ -248,11 +250,11 @@
     def reconfigure(self, config: Config) -> None:
         """Apply new settings, including new addresses of discovery and the counter."""
         self.settings = dataclasses.replace(config.settings, uses_claim_record=self._claim_record is not None)
-        self.stats.know(c.name for c in config.settings.classes)
-        self._pool.set_timeouts(config.dial_ms, config.idle_ms)
+        self.stats.add_classes(c.name for c in config.settings.classes)
+        self._pool.set_timeouts(config.dial_timeout_ms, config.idle_limit_ms)
         self._max_server_connections = int(UPSTREAM_SHARE * config.sockets)
-        self.longest_upload = config.longest_upload
-        self.share_descriptors(self.shared)
+        self.max_upload_bytes = config.max_upload_bytes
+        self.share_descriptors(self.is_sharing_descriptors)
         self._post(api.Retuned(self.settings))
         self._discovery.move(config.discovery)
         if self._counter is not None and config.counter is not None:
@@ -260,9 +262,9 @@
 
     def share_descriptors(self, shared: bool) -> None:
         """Use half of the descriptors and of the memory for bodies if `shared`, else all of them."""
-        self.shared = shared
+        self.is_sharing_descriptors = shared
         self._pool.set_max_links(self._max_server_connections // (2 if shared else 1))
-        self.budget.limit(self._body_budget_bytes // (2 if shared else 1))
+        self.budget.set_limit(self._body_budget_bytes // (2 if shared else 1))
 
     def hand_over(self) -> dict[str, object]:
         """State of the decision module for the next process, which owns it from now on."""
@@ -287,9 +289,9 @@
             if component is not None:
                 component.stop()
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether requests can be served: servers are known, and discovery answered or had time to."""
-        if self.draining or not self._pool.server_names():
+        if self.is_draining or not self._pool.server_names():
             return False
         return self._discovery_answered or time.monotonic() - self._started_at > DISCOVERY_WAIT_S
 
@@ -310,7 +312,7 @@
                 for component in (self._claim_record, self._shares)
                 if component is not None
             ),
-            self.more_figures(),
+            self.extra_metrics(),
         )
 
     def _admission_metrics(self) -> dict[str, float]:
@@ -323,23 +325,23 @@
     def _body_metrics(self) -> dict[str, float]:
         budget = self.budget
         return {
-            **{f'held_bytes{{use="{use}"}}': size for use, size in budget.by_use().items()},
-            "held_bytes_peak": budget.peak,
-            "held_bytes_limit": budget.most,
-            "streams_open": budget.streams(),
-            "streams_stopped_total": budget.stops,
-            "bodies_refused_total": budget.refused,
-            'passed_bytes_total{way="up"}': self.stats.passed_up,
-            'passed_bytes_total{way="down"}': self.stats.passed_down,
+            **{f'held_bytes{{use="{use}"}}': size for use, size in budget.held_bytes_by_purpose().items()},
+            "held_bytes_peak": budget.peak_bytes,
+            "held_bytes_limit": budget.limit_bytes,
+            "streams_open": budget.stream_count(),
+            "streams_stopped_total": budget.pause_count,
+            "bodies_refused_total": budget.refused_count,
+            'passed_bytes_total{way="up"}': self.stats.uploaded_bytes,
+            'passed_bytes_total{way="down"}': self.stats.downloaded_bytes,
             **{
                 f'streams_short_total{{cause="{cause}"}}': n
                 for cause, n in self.stats.truncated_by_cause.items()
             },
         }
 
-    def farewell(self) -> str:
+    def summary(self) -> str:
         """Summary of this process for its last line in the log."""
-        return self.stats.farewell(self._pool.dial_count())
+        return self.stats.summary(self._pool.dial_count())
 
     def fail_all(self) -> None:
         """Answer all open requests with 504 and refuse new ones, as the process is about to exit."""
@@ -351,7 +353,7 @@
         """Measure event loop stalls. Data read in this turn of the loop may have waited that long."""
         now = time.monotonic()
         late_ms = (now - self._heartbeat_due) * 1000
-        if late_ms > LAG_MS:
+        if late_ms > STALL_THRESHOLD_MS:
             self._stall_ms = late_ms
             self._loop.call_later(0.001, self._stall_ended)
         self._heartbeat_due = now + HEARTBEAT_INTERVAL_S
@@ -367,7 +369,7 @@
         it runs timers, so the heartbeat may not have recorded the stall yet.
         """
         late_ms = (now - self._heartbeat_due) * 1000
-        return late_ms if late_ms > LAG_MS else self._stall_ms
+        return late_ms if late_ms > STALL_THRESHOLD_MS else self._stall_ms
 
     # --- Clients ------------------------------------------------------------------------------------------
 
@@ -392,7 +394,7 @@
                 client_request.cls.name,
                 client_request.plan_name,
                 client_request.customer,
-                left_ms - MODULE_MS,
+                left_ms - MODULE_MARGIN_MS,
                 client_request.units,
                 client_request.gateway_count,
                 client_request.first_gateway,
@@ -407,9 +409,9 @@
         """The last byte of a request has arrived: its time limit runs from now."""
         request.is_received = True
         self._unanswered += 1
-        request.answer_by = time.monotonic() + (left_ms - GUARD_MS) / 1000
+        request.answer_by = time.monotonic() + (left_ms - GUARD_MARGIN_MS) / 1000
         request.guard_timer = self._loop.call_later(
-            max(left_ms - GUARD_MS, 0.0) / 1000, self._on_deadline, request
+            max(left_ms - GUARD_MARGIN_MS, 0.0) / 1000, self._on_deadline, request
         )
 
     def client_disconnected(self, request_id: str) -> None:
@@ -417,7 +419,7 @@
         request = self._requests.get(request_id)
         if request is not None and request.client is not None:
             if request.streaming_attempt is not None or request.client_request.upload is not None:
-                self.stats.cut_short("client")
+                self.stats.count_truncated_stream("client")
             streamed = [
                 a
                 for a in request.attempts
@@ -460,10 +462,10 @@
             return
         client = request.client
         self._close_request(request)
-        self.stats.ended(request.client_request.cls.name, status)
+        self.stats.count_answer(request.client_request.cls.name, status)
         if reply is None:
-            if status in REFUSED:
-                self.stats.refused(why)
+            if status in THROTTLED_STATUSES:
+                self.stats.count_refusal(why)
             _log_unserved_request(request, status, why)
             client.answer(status, retry_after_ms=retry_after_ms)
         else:
@@ -558,7 +560,7 @@
 
     def on_sent(self, attempt: Attempt) -> None:
         """Called when the last byte of an attempt was written."""
-        self.stats.relayed += 1
+        self.stats.relayed_attempts += 1
         request = self._requests[attempt.request]
         if attempt.upload is not None and request.streaming_attempt is not None:
             request.is_received = True  # the answer is being streamed already, so no deadline guard is needed
@@ -577,7 +579,7 @@
         request.streaming_attempt = attempt
         if request.guard_timer is not None:  # None while the body is still being received
             request.guard_timer.cancel()
-        request.client.begin(length, reply.headers.get(b"content-type", b""), source)
+        request.client.begin_stream(length, reply.headers.get(b"content-type", b""), source)
         self._post(api.StreamStarted(request.id, attempt.number, self._took_ms(attempt)))
         return request.client
 
@@ -632,13 +634,13 @@
             return
         self._close_request(request)
         if result == api.OK:
-            self.stats.ended(request.client_request.cls.name, 200)
-            client.finish()
+            self.stats.count_answer(request.client_request.cls.name, 200)
+            client.end_stream()
         else:
-            self.stats.ended(request.client_request.cls.name, 502)
-            self.stats.cut_short("server")
+            self.stats.count_answer(request.client_request.cls.name, 502)
+            self.stats.count_truncated_stream("server")
             _log_unserved_request(request, 200, "cut short")
-            client.cut()
+            client.abort_stream()
 
     def _claim(self, action: api.Claim) -> None:
         request = self._requests.get(action.request)
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -16,7 +16,7 @@
 
 from yewstage import interface as api
 from yewstage.log import Event
-from yewstage.net.http1 import LONGEST_LIST, TOO_LATE, ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.http1 import CONNECT_TIMED_OUT, MAX_LIST_BYTES, ConnectAttempt, Reply, ReplyProtocol
 from yewstage.net.stats import DescriptorUse
 
 log = logging.getLogger(__name__)
@@ -176,7 +176,7 @@
     def _dialled(self, connection: _Watch | None, cause: str) -> None:
         self._dial = None
         if connection is None:
-            if cause == TOO_LATE:
+            if cause == CONNECT_TIMED_OUT:
                 log.warning(
                     Event(
                         "discovery_unreachable",
@@ -272,7 +272,7 @@
     """Connection to the agent."""
 
     def __init__(self, owner: Discovery) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_LIST_BYTES)
         self._owner = owner
         self.is_waiting = False
 
--- a/yewstage/net/http1.py
+++ b/yewstage/net/http1.py
@@ -13,17 +13,17 @@
 from yewstage.net.budget import MemoryAccount
 from yewstage.net.stats import DescriptorUse
 
-LONGEST_BODY = 64 * 1024  # bytes buffered whole; longer bodies are streamed
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # bytes buffered whole; longer bodies are streamed
 SOCKET_BUFFER_BYTES = 128 * 1024  # kernel buffer of a socket that carries a streamed body, per direction
-LONGEST_LIST = 4 * 1024 * 1024  # bytes of an answer with a list of servers
+MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of an answer with a list of servers
 CONNECT_GRACE_S = 0.002  # after the time-out, for a connection that is up but not yet seen by the event loop
 # Causes of a failed attempt to connect that have no error of the operating system.
-TOO_LATE, GIVEN_UP, CONNECTION_LOST = (
+CONNECT_TIMED_OUT, CONNECT_CANCELLED, CONNECTION_LOST = (
     "connect timed out",
     "connect cancelled",
     "connection lost while connecting",
 )
-NO_DESCRIPTOR = "no file descriptor available"
+NO_DESCRIPTOR_AVAILABLE = "no file descriptor available"
 # Errors of this machine, not of the peer.
 OUT_OF_RESOURCES_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
@@ -115,7 +115,7 @@
         if self._server_connection is None:
             self._unsent.append(data)
             self._unsent_bytes += len(data)
-            self._set_held_bytes(self._unsent_bytes, LONGEST_BODY - 1)
+            self._set_held_bytes(self._unsent_bytes, MAX_BUFFERED_BODY_BYTES - 1)
             return
         if self._server_connection.transport.is_closing():
             return  # its connection_lost will be called
@@ -171,10 +171,13 @@
             self._descriptor_use.closed()  # otherwise connection_lost does this
         on_end, self._on_end = self._on_end, None  # breaks the reference cycle with the callee
         if task.cancelled():
-            on_end(None, TOO_LATE if self._is_timed_out else GIVEN_UP)
+            on_end(None, CONNECT_TIMED_OUT if self._is_timed_out else CONNECT_CANCELLED)
         elif (error := task.exception()) is not None:
             on_end(
-                None, NO_DESCRIPTOR if getattr(error, "errno", 0) in OUT_OF_RESOURCES_ERRNOS else str(error)
+                None,
+                NO_DESCRIPTOR_AVAILABLE
+                if getattr(error, "errno", 0) in OUT_OF_RESOURCES_ERRNOS
+                else str(error),
             )
         elif task.result()[0].is_closing():
             on_end(None, CONNECTION_LOST)
@@ -188,7 +191,7 @@
     An answer that exceeds `max_body_bytes` and the allowance for its head aborts the connection.
     """
 
-    def __init__(self, max_body_bytes: int = LONGEST_BODY) -> None:
+    def __init__(self, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES) -> None:
         self.transport: asyncio.Transport | None = None
         self.use: DescriptorUse | None = None  # the count that includes its descriptor
         self.has_unsent_data = False  # the write buffer is not empty
@@ -201,7 +204,7 @@
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
         self._size = 0
-        self._in_body = self.begun = False
+        self._in_body = self.has_begun = False
 
     def replied(self, reply: Reply, reusable: bool) -> None:
         """Handle a complete answer; `reusable` tells whether the connection may carry another request."""
@@ -254,18 +257,18 @@
     # httptools
 
     def on_message_begin(self) -> None:
-        self.begun = True
+        self.has_begun = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers[name.lower()] = value
-        self._grow(len(name) + len(value))
+        self._count_received_bytes(len(name) + len(value))
 
     def on_headers_complete(self) -> None:
         self._in_body = True
 
     def on_body(self, data: bytes) -> None:
         self._body.append(data)
-        self._grow(len(data))
+        self._count_received_bytes(len(data))
 
     def on_message_complete(self) -> None:
         if self._parser.get_status_code() < 200:
@@ -278,8 +281,8 @@
         self._reset()
         self.replied(reply, reusable)
 
-    def _grow(self, size: int) -> None:
+    def _count_received_bytes(self, size: int) -> None:
         self._size += size
-        if self._size > self._max_body_bytes + LONGEST_BODY:
+        if self._size > self._max_body_bytes + MAX_BUFFERED_BODY_BYTES:
             self.close_cause = "answer too long"
             self.abort()
--- a/yewstage/net/http_server.py
+++ b/yewstage/net/http_server.py
@@ -49,7 +49,7 @@
 
     status: int
     body: bytes = b""
-    kind: bytes = b"text/plain"
+    content_type: bytes = b"text/plain"
     headers: bytes = b""  # further header lines, each with its CRLF
 
     def head(self, keep: bool) -> bytes:
@@ -57,7 +57,7 @@
         return b"HTTP/1.1 %d %b\r\nContent-Type: %b\r\nContent-Length: %d\r\n%b%b\r\n" % (
             self.status,
             REASON_PHRASES[self.status],
-            self.kind,
+            self.content_type,
             len(self.body),
             self.headers,
             b"" if keep else b"Connection: close\r\n",
@@ -68,10 +68,10 @@
 class ConnectionLimits:
     """Limits that a server applies to its connections."""
 
-    most: int  # connections; a new one above that closes the oldest without an open call
-    call_s: float  # to receive a call; the first one counts from the opening of the connection
-    read_s: float  # for the caller to read its answer
-    idle_s: float = 0.0  # between calls; 0: one call per connection
+    max_connections: int  # connections; a new one above that closes the oldest without an open call
+    call_timeout_s: float  # to receive a call; the first one counts from the opening of the connection
+    read_timeout_s: float  # for the caller to read its answer
+    idle_timeout_s: float = 0.0  # between calls; 0: one call per connection
     # Builds the answer to an invalid call.
     fail: Callable[[int, str], HttpResponse] = lambda status, reason: HttpResponse(status)
 
@@ -90,8 +90,8 @@
         use: DescriptorUse | None = None,
     ) -> None:
         self.loop, self.handle, self.limits, self._use = loop, handle, limits, use or DescriptorUse()
-        self.callers: dict[HttpConnection, None] = {}  # in order of arrival
-        self.dropped = 0  # connections closed for a time limit or for a new one
+        self.connections: dict[HttpConnection, None] = {}  # in order of arrival
+        self.closed_count = 0  # connections closed for a time limit or for a new one
         self._server: asyncio.Server | None = None
 
     async def start(self, address: tuple[str, int]) -> tuple[str, int]:
@@ -105,7 +105,7 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             caller.transport.abort()
 
     def opened(self, caller: HttpConnection) -> None:
@@ -113,28 +113,28 @@
 
         That is the oldest without an open call, which had the most time to send one, or else the oldest.
         """
-        if len(self.callers) >= self.limits.most:
-            evicted = next((c for c in self.callers if not c.busy), next(iter(self.callers)))
+        if len(self.connections) >= self.limits.max_connections:
+            evicted = next((c for c in self.connections if not c.busy), next(iter(self.connections)))
             self.drop(evicted)
-        self.callers[caller] = None
+        self.connections[caller] = None
         self._use.opened()
 
     def closed(self, caller: HttpConnection) -> None:
         """Remove a lost connection."""
-        self.callers.pop(caller, None)
+        self.connections.pop(caller, None)
         self._use.closed()
 
     def drop(self, caller: HttpConnection) -> None:
         """Abort a connection and free its place at once."""
-        self.callers.pop(caller, None)
-        self.dropped += 1
+        self.connections.pop(caller, None)
+        self.closed_count += 1
         caller.transport.abort()
 
     def _sweep(self) -> None:
         if self._server is None:
             return
         now = self.loop.time()
-        for caller in list(self.callers):
+        for caller in list(self.connections):
             caller.check(now)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
@@ -234,7 +234,7 @@
     def _process_calls(self) -> None:
         while self._calls and not self.busy and not self.transport.is_closing():
             call, keeps_alive = self._calls.popleft()
-            self._keeps_alive = keeps_alive and self._listener.limits.idle_s > 0
+            self._keeps_alive = keeps_alive and self._listener.limits.idle_timeout_s > 0
             self.busy = True
             answer = self._listener.handle(call, self)
             if answer is not None:
@@ -268,12 +268,12 @@
     def check(self, now: float) -> None:
         """Enforce the time limits for receiving a call, reading an answer and idling."""
         limits = self._listener.limits
-        if self._write_blocked_at_s is not None and now - self._write_blocked_at_s > limits.read_s:
+        if self._write_blocked_at_s is not None and now - self._write_blocked_at_s > limits.read_timeout_s:
             self._listener.drop(self)
         elif self._is_closing:
-            if now - self._phase_started_at_s > limits.read_s:
+            if now - self._phase_started_at_s > limits.read_timeout_s:
                 self._listener.drop(self)
         elif not self.busy:
             idle = self._was_answered and not self._is_receiving
-            if now - self._phase_started_at_s > (limits.idle_s if idle else limits.call_s):
+            if now - self._phase_started_at_s > (limits.idle_timeout_s if idle else limits.call_timeout_s):
                 self._listener.drop(self)
--- a/yewstage/net/peers.py
+++ b/yewstage/net/peers.py
@@ -28,7 +28,7 @@
 # Consecutive failures by server, as published by each gateway. The entries of a gateway are ignored if it was
 # not heard of within the bound. The table limits the entries of a gateway, as more failures point to a fault
 # of its own.
-SERVERS = Table("servers", 10_000.0, 64)
+SERVERS_TABLE = Table("servers", 10_000.0, 64)
 PUBLISH_INTERVAL_MS = 500.0  # of this gateway's own entries
 
 
@@ -75,7 +75,7 @@
         me = MemberRow(self._name, secrets.randbits(62), f"{host}:{port}", config.zone, config.region, 1)
         now = self._now_ms()
         self.swim = Swim(me, config.settings, config.seeds, self._rng, now)
-        self.shared = SharedTables(self.swim, (SERVERS,), Settings(), self._rng, now)
+        self.shared = SharedTables(self.swim, (SERVERS_TABLE,), Settings(), self._rng, now)
         self._on_timer()
 
     def leave(self) -> None:
@@ -92,7 +92,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def rekey(self, keys: tuple[bytes, ...]) -> None:
+    def set_keys(self, keys: tuple[bytes, ...]) -> None:
         """Replace the keys: the first one signs, all of them are accepted."""
         self.keys = keys
 
@@ -131,10 +131,10 @@
         failing, tables = self._failing(), self.shared.tables
         for (_, server), change in list(tables.own.entries.items()):
             if change.value is not None and server not in failing:
-                tables.drop(SERVERS.name, server)
+                tables.drop(SERVERS_TABLE.name, server)
         for server, times in failing.items():
             try:
-                tables.put(SERVERS.name, server, msgspec.msgpack.encode(times))
+                tables.put(SERVERS_TABLE.name, server, msgspec.msgpack.encode(times))
             except (FullTableError, ValueError):
                 break  # the table is full: so many failures point to a fault of this gateway
 
@@ -204,7 +204,7 @@
         """Reports of failing servers by server, as far as they are known here and recent enough."""
         reports: dict[str, list[dict[str, object]]] = {}
         zones = {row.name: row.zone for row in self.swim.rows()}
-        for entry in self.shared.tables.read(SERVERS.name, now):
+        for entry in self.shared.tables.read(SERVERS_TABLE.name, now):
             row = {"gateway": entry.origin, "zone": zones.get(entry.origin, ""), "ageMs": round(entry.age_ms)}
             reports.setdefault(entry.key, []).append({**row, "times": _parse_failures(entry.value)})
         return reports
@@ -245,7 +245,7 @@
             "members_received_total": self.received,
             'shared_age_seconds{quantile="0.5"}': _age_s(ages[len(ages) // 2]),
             'shared_age_seconds{quantile="1"}': _age_s(ages[-1]),
-            "shared_entries": sum(1 for _ in tables.read(SERVERS.name, now)),
+            "shared_entries": sum(1 for _ in tables.read(SERVERS_TABLE.name, now)),
             "shared_bound_bytes": tables.bound_bytes(len(ages) + 1),
             "shared_refused_total": tables.refused + self.shared.nonsense,
             **{
--- a/yewstage/net/pool.py
+++ b/yewstage/net/pool.py
@@ -17,10 +17,10 @@
 from yewstage import interface as api
 from yewstage.net.budget import MemoryBudget
 from yewstage.net.http1 import (
-    GIVEN_UP,
-    LONGEST_BODY,
-    NO_DESCRIPTOR,
-    TOO_LATE,
+    CONNECT_CANCELLED,
+    CONNECT_TIMED_OUT,
+    MAX_BUFFERED_BODY_BYTES,
+    NO_DESCRIPTOR_AVAILABLE,
     ConnectAttempt,
     Reply,
     ReplyProtocol,
@@ -30,8 +30,8 @@
 from yewstage.net.stats import DescriptorUse
 
 # An idle link is closed after a random part, in this range, of the server's idle limit.
-IDLE_SHARES = 0.5, 0.8
-SWEEP_S = 1.0
+IDLE_LIMIT_SHARES = 0.5, 0.8
+SWEEP_INTERVAL_S = 1.0
 MAX_CONCURRENT_DIALS = 64
 # How long an answer of unknown length is buffered: it may end in this time, and a retry is possible until a
 # part of it was passed on.
@@ -79,7 +79,7 @@
 class Stream(Protocol):
     """Reader of a streamed answer."""
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """Called with each part of the body."""
 
 
@@ -238,7 +238,7 @@
 
     def start(self) -> None:
         """Start the periodic check of idle and stalled links."""
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def stop(self) -> None:
         """Close all links and cancel all dials."""
@@ -377,9 +377,11 @@
         result = (
             UP
             if link is not None
-            else {TOO_LATE: TIMED_OUT, GIVEN_UP: CANCELLED, NO_DESCRIPTOR: DIAL_NO_DESCRIPTOR}.get(
-                cause, FAILED
-            )
+            else {
+                CONNECT_TIMED_OUT: TIMED_OUT,
+                CONNECT_CANCELLED: CANCELLED,
+                NO_DESCRIPTOR_AVAILABLE: DIAL_NO_DESCRIPTOR,
+            }.get(cause, FAILED)
         )
         self.dial_counts[result] += 1
         if link is not None:
@@ -465,7 +467,7 @@
         """Called when a link is connected."""
         link.opened_at_ms = self.clock_ms()
         # Random, as links that became idle together in a whole fleet would otherwise be redialled together.
-        link.idle_share = self._rng.uniform(*IDLE_SHARES)
+        link.idle_share = self._rng.uniform(*IDLE_LIMIT_SHARES)
         self._links.add(link)
         link.server.links.add(link)
 
@@ -517,7 +519,7 @@
                 link.abort(IDLE_LIMIT)
         for link in list(self._links):
             link.check_progress(now)
-        self.loop.call_later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
 
 class Link(ReplyProtocol):
@@ -608,7 +610,7 @@
         """
         if self._pending_reply is not None:
             (exchange, reply, reusable), self._pending_reply = self._pending_reply, None
-            is_clean = not self.begun and not self.transport.is_closing()
+            is_clean = not self.has_begun and not self.transport.is_closing()
             self._pool.release(self, reusable and is_clean)
             self._pool.observer.on_reply(exchange, reply)
 
@@ -627,14 +629,18 @@
         super().on_headers_complete()
         if self.exchange is not None and self._parser.get_status_code() >= 200:
             self.exchange.head_received_at = time.monotonic()
-        if (self._body_length() or 0) > LONGEST_BODY:
+        if (self._body_length() or 0) > MAX_BUFFERED_BODY_BYTES:
             self._begin_stream()
 
     def on_body(self, data: bytes) -> None:
-        if self._stream is None and self._pending_reply is None and self._size + len(data) > LONGEST_BODY:
+        if (
+            self._stream is None
+            and self._pending_reply is None
+            and self._size + len(data) > MAX_BUFFERED_BODY_BYTES
+        ):
             self._begin_stream()
         if self._stream is not None:
-            self._stream.more(data)
+            self._stream.write_body(data)
         elif self._pending_reply is None:  # otherwise the result is known already
             super().on_body(data)
 
@@ -665,7 +671,7 @@
         if self._stream is None:
             self.abort(ABANDONED)  # the client has disconnected
         elif body:
-            self._stream.more(body)
+            self._stream.write_body(body)
 
     def pause(self, paused: bool) -> None:
         """Stop reading while the client's buffer is full, or resume."""
--- a/yewstage/net/stats.py
+++ b/yewstage/net/stats.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 
 FULFILLED_STATUSES = frozenset((200,))
-REFUSED = frozenset((429, 503))
+THROTTLED_STATUSES = frozenset((429, 503))
 # Reasons of the policy's Refuse that are shown from 0 on; others are added when they first occur.
 REFUSAL_REASONS = ("quota", "ceiling", "pressed", "too late", "no host", "unservable", "gave up", "ending")
 DESCRIPTOR_USES = ("clients", "servers", "counter", "discovery", "ops")
@@ -110,36 +110,36 @@
         self._throttled: dict[str, int] = {}
         self._faulted: dict[str, int] = {}
         self._refusals = dict.fromkeys(REFUSAL_REASONS, 0)
-        self.relayed = 0  # attempts whose request was written to its last byte
-        self.accepted = self.invalid = 0  # configuration files read at SIGHUP
-        self.passed_up = self.passed_down = 0  # bytes of streamed bodies, to and from servers
+        self.relayed_attempts = 0  # attempts whose request was written to its last byte
+        self.accepted_configs = self.invalid_configs = 0  # configuration files read at SIGHUP
+        self.uploaded_bytes = self.downloaded_bytes = 0  # bytes of streamed bodies, to and from servers
         self.truncated_by_cause = dict.fromkeys(TRUNCATION_CAUSES, 0)  # streamed bodies that ended early
         self.descriptors = Descriptors()
         self.process = Process()
-        self.know(classes)
+        self.add_classes(classes)
 
-    def know(self, classes: Iterable[str]) -> None:
+    def add_classes(self, classes: Iterable[str]) -> None:
         """Show these classes from 0 on; removed classes keep their counts."""
         for name in classes:
             for counts in (self._fulfilled, self._throttled, self._faulted):
                 counts.setdefault(name, 0)
 
-    def ended(self, class_name: str, status: int) -> None:
+    def count_answer(self, class_name: str, status: int) -> None:
         """Count a final answer to a connected client."""
         counts = (
             self._fulfilled
             if status in FULFILLED_STATUSES
             else self._throttled
-            if status in REFUSED
+            if status in THROTTLED_STATUSES
             else self._faulted
         )
         counts[class_name] += 1
 
-    def refused(self, reason: str) -> None:
+    def count_refusal(self, reason: str) -> None:
         """Count a request that the policy refused."""
         self._refusals[reason] = self._refusals.get(reason, 0) + 1
 
-    def cut_short(self, cause: str) -> None:
+    def count_truncated_stream(self, cause: str) -> None:
         """Count a streamed body that ended early."""
         self.truncated_by_cause[cause] += 1
 
@@ -166,12 +166,12 @@
         lines += [
             f"gateway_{name} {value}"
             for name, value in (
-                ("relayed_total", self.relayed),
+                ("relayed_total", self.relayed_attempts),
                 ("open_requests", open_requests),
                 ("registry_entries", listed_servers),
                 ("out_of_rotation", avoided_servers),
-                ("cfg_accepted_total", self.accepted),
-                ("cfg_invalid_total", self.invalid),
+                ("cfg_accepted_total", self.accepted_configs),
+                ("cfg_invalid_total", self.invalid_configs),
                 *(pair for metrics in additional for pair in metrics.items()),
             )
         ]
@@ -185,7 +185,7 @@
         lines += [f"{name} {value}" for name, value in self.process.metrics()]
         return "\n".join(lines) + "\n"
 
-    def farewell(self, dials: int) -> str:
+    def summary(self, dials: int) -> str:
         """Return a summary of the process's work for the log."""
         requests = self.requests()
         cpu_us_per_request = self.process.own_cpu_s() / max(requests, 1) * 1e6
--- a/yewstage/registry/client.py
+++ b/yewstage/registry/client.py
@@ -17,7 +17,7 @@
 from yewstage.log import Event
 from yewstage.net.config import Address, ConfigError, address
 from yewstage.net.discovery import Listing, parse_listing
-from yewstage.net.http1 import LONGEST_LIST, ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.http1 import MAX_LIST_BYTES, ConnectAttempt, Reply, ReplyProtocol
 from yewstage.net.stats import DescriptorUse
 
 log = logging.getLogger(__name__)
@@ -184,7 +184,7 @@
     """One connection, used for one call at a time."""
 
     def __init__(self) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_LIST_BYTES)
         self._pending_reply: asyncio.Future[Reply] | None = None
         self.is_closed = False
 
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -129,7 +129,9 @@
             return error_response(404, "no such path")
         if request.method not in methods:
             answer = error_response(405, f"not {request.method}")
-            return HttpResponse(405, answer.body, answer.kind, b"Allow: %b\r\n" % ", ".join(methods).encode())
+            return HttpResponse(
+                405, answer.body, answer.content_type, b"Allow: %b\r\n" % ", ".join(methods).encode()
+            )
         try:
             if name and not NAME.fullmatch(name):
                 raise ConfigError("id: must be 1 to 64 letters, digits, dots, colons, dashes and underlines")
@@ -181,7 +183,7 @@
         """A 503 response with a random Retry-After, so that clients do not all return at once."""
         wait = b"Retry-After: %.2f\r\n" % self._rng.uniform(*RETRY_AFTER_RANGE_S)
         answer = error_response(503, why)
-        return HttpResponse(503, answer.body, answer.kind, wait)
+        return HttpResponse(503, answer.body, answer.content_type, wait)
 
     def _listing(self, after: int | None) -> HttpResponse:
         """The whole list or the changes since a revision, encoded once for all that ask."""
@@ -468,7 +470,7 @@
                 live.withheld_expiries if live is not None else 0,
             ),
             gauge("registry_leases_held", "duties that somebody holds", held),
-            gauge("registry_connections", "open", len(self.listener.callers)),
+            gauge("registry_connections", "open", len(self.listener.connections)),
             gauge("registry_watches", "held", len(self._watches)),
             count("registry_changes_told", "answers to watches that had waited", self.watches_answered),
             counts(
@@ -481,7 +483,9 @@
                     "too_old": self.rejected_too_old,
                 },
             ),
-            count("registry_dropped", "peers that were slow, silent or in the way", self.listener.dropped),
+            count(
+                "registry_dropped", "peers that were slow, silent or in the way", self.listener.closed_count
+            ),
             counts(
                 "registry_writes",
                 "by what came of them",
