--- a/plumwall/faults/machines.py
+++ b/plumwall/faults/machines.py
@@ -18,7 +18,7 @@
 from plumwall.faults.links import TcpFaultProxy
 from yewstage.holding.group_names import LIST_GROUP, PLACEMENT_GROUP
 from yewstage.holding.member_changes import founder_and_members
-from yewstage.raft.disk import framed
+from yewstage.raft.disk import encode_record
 from yewstage.registry.client import ServiceClient, get_once
 
 HOST = "127.0.0.1"
@@ -124,7 +124,7 @@
         a write does. What was durable before stays: a disk that forgets it is another fault."""
         for folder in {path.parent for path in (self.folder / "state").glob("*/log-*")}:
             with max(folder.glob("log-*")).open("ab") as log:
-                log.write(framed(b"torn" * bytes_)[:bytes_])
+                log.write(encode_record(b"torn" * bytes_)[:bytes_])
 
     def forget(self, group: str) -> None:
         """The last record of a group's log is gone, though it had been synced: a disk that lies."""
--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -15,13 +15,26 @@
 from dataclasses import dataclass, field, replace
 
 from yewstage.holding.group import Group, ReplicatedStore, first_data
-from yewstage.raft.core import LEADER, BusyError, DurableState, NotLeaderError, Replica, Settings, first_state
+from yewstage.raft.core import (
+    LEADER,
+    BusyError,
+    DurableState,
+    NotLeaderError,
+    Replica,
+    Settings,
+    initial_state,
+)
 from yewstage.raft.messages import AnyMessage, Member, Members
 from yewstage.registry.store import Entry, Record, Rules, Store
 
 RULES = Rules(history=100)
 SETTINGS = Settings(
-    heartbeat_ms=100, election_ms=1000, kept_entries=1, batch_bytes=200, window_bytes=400, window_messages=2
+    heartbeat_ms=100,
+    election_ms=1000,
+    retained_entries=1,
+    batch_bytes=200,
+    window_bytes=400,
+    window_messages=2,
 )
 LEASE_TTL_MS = 3000.0
 
@@ -91,7 +104,7 @@
         self.planted = planted or PlantedBug()
         self.disk_count = 0
         members = tuple(self._new_member(f"n{i}") for i in range(size))
-        first = first_state(members, self._initial_state())
+        first = initial_state(members, self._initial_state())
         self.nodes = [
             Node(m, Disk(replace(first, entries=[])), None, i * 3.6e6) for i, m in enumerate(members)
         ]
--- a/plumwall/model/explore.py
+++ b/plumwall/model/explore.py
@@ -245,7 +245,7 @@
         saved = node.disk.saved
         lists += [saved.snapshot.members]
         if node.group is not None:
-            lists += [members for _, members in node.group.replica.members_at]
+            lists += [members for _, members in node.group.replica.membership_history]
     intact = {node.member.id for j, node in enumerate(cluster.nodes) if j != i} - cluster.reused_ids
     for members in lists:
         voters = {m.id for m in members if m.voter}
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -32,7 +32,7 @@
     next_table,
     remove_machine,
 )
-from yewstage.raft.messages import Member, Members, one_apart
+from yewstage.raft.messages import Member, Members, differ_in_at_most_one_member
 from yewstage.registry.store import RefusedError
 
 MACHINES, COPIES, GROUPS = 7, 3, all_group_names(2)
@@ -303,7 +303,7 @@
     def _check_change(self, g: str, group: GroupState, members: Members) -> None:
         """Check that one member changes, that a majority of voters stays complete, and that complete copies
         become fewer only above the wanted number."""
-        if not one_apart(group.members, members):
+        if not differ_in_at_most_one_member(group.members, members):
             raise InvariantError(f"two members of {g} are changed at once")
         complete_before = len([m for m in group.members if m.voter and m.id in group.complete])
         voters = [m for m in members if m.voter]
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -19,8 +19,16 @@
 from plumwall.model.planted import PLANTED
 from plumwall.model.scenes import SCENES, A, B, C, beat, elect, led, settle, start
 from yewstage.holding.member_changes import GroupView, next_change
-from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Replica, Settings, Write, first_state
-from yewstage.raft.disk import Disk, DiskError, FullError
+from yewstage.raft.core import (
+    BusyError,
+    DurableState,
+    NotLeaderError,
+    Replica,
+    Settings,
+    Write,
+    initial_state,
+)
+from yewstage.raft.disk import Disk, DiskError, WriteFailedError
 from yewstage.raft.messages import (
     DATA,
     AppendEntries,
@@ -93,12 +101,12 @@
     assert cluster.write(A)
     settle(cluster)
     leader, faulty = cluster.nodes[A].group.replica, cluster.nodes[C]
-    last, commit = leader.last, leader.commit_index
+    last, commit = leader.last_index, leader.commit_index
     cluster.crash(C)
     del faulty.disk.saved.entries[-1:]
     cluster.planted.reuses_id = True  # the model forbids a reported durability loss; here the loss is real
     cluster.restart(C)
-    assert faulty.group.replica.last == last - 1
+    assert faulty.group.replica.last_index == last - 1
     for _ in range(4):
         cluster.wait(SETTINGS.heartbeat_ms)
         cluster.tick(A)
@@ -110,7 +118,7 @@
         last,
         commit,
     )
-    assert faulty.group.replica.last == last and cluster.acknowledged <= set(faulty.group.store.records)
+    assert faulty.group.replica.last_index == last and cluster.acknowledged <= set(faulty.group.store.records)
 
 
 def current_leaders(cluster: object) -> list[int]:
@@ -223,10 +231,10 @@
 
 
 def new_leader(settings: Settings) -> Replica:
-    replica = Replica("n0.1", settings, first_state(MEMBERS, b"x"), random.Random(1), 0.0)
+    replica = Replica("n0.1", settings, initial_state(MEMBERS, b"x"), random.Random(1), 0.0)
     replica.term, replica._is_real_election = 2, True
     replica._become_leader(0.0)
-    replica.commit_index = replica._delivered_index = replica.last
+    replica.commit_index = replica._delivered_index = replica.last_index
     return replica
 
 
@@ -237,7 +245,7 @@
     with pytest.raises(BusyError):
         for _ in range(1000):
             replica.propose(1.0, b"d" * 500)
-    out = replica.take(1.0)
+    out = replica.take_output(1.0)
     sent = [m for m in out.messages if isinstance(m, AppendEntries) and m.entries and m.dst == "n1.1"]
     assert 0 < len(sent) <= 4 and sum(e.size() for m in sent for e in m.entries) <= 5000 + 1000
     assert sum(e.size() for e in replica.entries) <= 20000 + 600
@@ -348,10 +356,10 @@
 
     monkeypatch.setattr(os, "write", write)
     writes = [Write(2, (2, "a"), (entry(2),)), Write(3, None, (entry(3),))]
-    with pytest.raises(FullError):
+    with pytest.raises(WriteFailedError):
         disk.write(writes)
     state = b"state"
-    with pytest.raises(FullError):
+    with pytest.raises(WriteFailedError):
         disk.write([Write(4, None, (), Snapshot(1, 1, MEMBERS, state, zlib.crc32(state)))])
     assert not list(tmp_path.glob("*.new"))
     monkeypatch.setattr(os, "write", real_write)
@@ -370,10 +378,10 @@
     disk, _ = loaded(tmp_path, sync=sync)
     failing.append(True)
     for _ in range(2):
-        with pytest.raises(FullError, match="sync"):
+        with pytest.raises(WriteFailedError, match="sync"):
             disk.write([Write(1, (1, ""), (entry(1),))])
     failing.clear()
-    with pytest.raises(FullError, match="sync"):
+    with pytest.raises(WriteFailedError, match="sync"):
         disk.write([Write(1, (1, ""), (entry(1),))])
 
 
@@ -402,23 +410,23 @@
     settings = Settings(batch_bytes=1000)
     copy_limiter = CopyRateLimiter(100_000.0)
     members = tuple(Member(name, name, "z", "", "") for name in ("a", "b"))
-    saved = first_state(members, b"x" * 40_000)
+    saved = initial_state(members, b"x" * 40_000)
     replica = Replica("a", settings, saved, random.Random(1), 0.0, copy_limiter)
-    now = replica.next_at()
+    now = replica.next_tick_at()
     replica.tick(now)
-    replica.durable(now, 99)
+    replica.on_durable(now, 99)
     replica.handle(now, PreVoteReply("b", "a", 2, True))
-    replica.durable(now, 99)
+    replica.on_durable(now, 99)
     replica.handle(now, VoteReply("b", "a", 2, True))
-    replica.durable(now, 99)
-    replica.handle(now, AppendEntriesReply("b", "a", 2, True, replica.last, 1, 1))
+    replica.on_durable(now, 99)
+    replica.handle(now, AppendEntriesReply("b", "a", 2, True, replica.last_index, 1, 1))
     replica.change_members(now, (*members, Member("c", "c", "z", "", "", voter=False)))
-    replica.handle(now, AppendEntriesReply("c", "a", 2, False, 0, replica.last, 1))
+    replica.handle(now, AppendEntriesReply("c", "a", 2, False, 0, replica.last_index, 1))
     sent: list[tuple[float, int]] = []
     received = writes = 0
     while received < 40_000:
-        replica.durable(now, 10_000)
-        for message in replica.take(now).messages:
+        replica.on_durable(now, 10_000)
+        for message in replica.take_output(now).messages:
             if isinstance(message, InstallSnapshot) and message.offset == received:
                 sent.append((now, len(message.data)))
                 received += len(message.data)
@@ -428,14 +436,16 @@
                 reply = AppendEntriesReply("b", "a", 2, True, end, message.prev_index, message.round, now)
                 replica.handle(now, reply)
         index = replica.propose(now, b"more")  # a new write is replicated at once
-        sent_to_b = [m for m in replica.take(now).messages if isinstance(m, AppendEntries) and m.dst == "b"]
+        sent_to_b = [
+            m for m in replica.take_output(now).messages if isinstance(m, AppendEntries) and m.dst == "b"
+        ]
         writes += any(m.entries for m in sent_to_b)
-        replica.durable(now, 10_000)
+        replica.on_durable(now, 10_000)
         replica.handle(now, AppendEntriesReply("b", "a", 2, True, index, index - 1, 1, now))
         assert replica.commit_index == index
-        now = max(now + 1, min(replica.next_at(), now + 5))
+        now = max(now + 1, min(replica.next_tick_at(), now + 5))
         replica.tick(now)
-    assert writes > 50 and copy_limiter.copied >= 40_000
+    assert writes > 50 and copy_limiter.copied_bytes >= 40_000
     for begin, _ in sent:
         for end, _ in sent:
             moved = sum(size for at, size in sent if begin <= at <= end)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -637,20 +637,20 @@
 
             checkers.append(Checker(checker_config(), watch, lease_holder, client, fixed_status))
         paused, other = checkers
-        await paused.duty.acquire_or_renew()
-        await other.duty.acquire_or_renew()
-        assert paused.duty.is_held() and not other.duty.is_held()
+        await paused.lease_holder.acquire_or_renew()
+        await other.lease_holder.acquire_or_renew()
+        assert paused.lease_holder.is_held() and not other.lease_holder.is_held()
         service.ahead_ms += 6000  # the paused process's clock stands still
         for name in ("s-1", "s-2", "s-3"):
             service.store.renew(name, None, service.registry.backend.now())
-        await other.duty.acquire_or_renew()
-        assert other.duty.is_held() and paused.duty.is_held()  # it has not noticed yet
+        await other.lease_holder.acquire_or_renew()
+        assert other.lease_holder.is_held() and paused.lease_holder.is_held()  # it has not noticed yet
         await paused.round()
         await other.round()
         assert paused.written == 0 and paused.refused == 3
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        await paused.duty.acquire_or_renew()
-        assert not paused.duty.is_held()
+        await paused.lease_holder.acquire_or_renew()
+        assert not paused.lease_holder.is_held()
         for checker in checkers:
             checker._client.close()
 
@@ -677,13 +677,13 @@
 
         names: list[str] = []
         checker = Checker(checker_config(fails=2, passes=2), watch, lease_holder, client, scripted_status)
-        check = checker._check
+        check = checker._check_server
 
         async def recorded_check(name: str) -> None:
             names.append(name)
             await check(name)
 
-        checker._check = recorded_check
+        checker._check_server = recorded_check
         await checker.round()
         assert checker.written == 0  # one failure is not enough
         await checker.round()
--- a/yewstage/checker.py
+++ b/yewstage/checker.py
@@ -19,7 +19,7 @@
 import uvloop
 
 from yewstage.log import FORMATS, Event, address_event, configure_logging
-from yewstage.metrics import Metric, MetricsPage, count, counts, gauge
+from yewstage.metrics import Metric, MetricsPage, counter, gauge, labelled_counter
 from yewstage.net.config import Address, ConfigError
 from yewstage.net.http1 import ConnectAttempt, Reply, ReplyProtocol
 from yewstage.net.ops import Ops
@@ -100,15 +100,15 @@
         self,
         config: CheckerConfig,
         watch: ListWatch,
-        duty: LeaseHolder,
+        lease_holder: LeaseHolder,
         client: ServiceClient,
         probe_server: Callable[[Address, float], Awaitable[int]] = probe,
         rng: random.Random | None = None,
     ) -> None:
-        self._config, self.watch, self.duty, self._client, self._probe_server = (
+        self._config, self.watch, self.lease_holder, self._client, self._probe_server = (
             config,
             watch,
-            duty,
+            lease_holder,
             client,
             probe_server,
         )
@@ -128,16 +128,16 @@
         names = list(self.watch.servers)
         self._rng.shuffle(names)
         for name in names:
-            if not self.duty.is_held():
+            if not self.lease_holder.is_held():
                 self._health.clear()  # the next holder may write other verdicts, which are not known here
                 break
             if name in self.watch.addresses:
-                await self._check(name)
+                await self._check_server(name)
                 await asyncio.sleep(1 / self._config.rate_per_s)
-        if not names or not self.duty.is_held():
+        if not names or not self.lease_holder.is_held():
             await asyncio.sleep(IDLE_INTERVAL_S)
 
-    async def _check(self, name: str) -> None:
+    async def _check_server(self, name: str) -> None:
         self.probes += 1
         status = await self._probe_server(self.watch.addresses[name], self._config.timeout_ms / 1000)
         if status == 404:
@@ -147,17 +147,23 @@
         health.consecutive_failures, health.consecutive_successes = (
             (0, health.consecutive_successes + 1) if well else (health.consecutive_failures + 1, 0)
         )
-        if health.consecutive_successes >= self._config.passes and health.written_verdict is not True:
+        if (
+            health.consecutive_successes >= self._config.successes_to_healthy
+            and health.written_verdict is not True
+        ):
             await self._write_verdict(name, health, True)
-        elif health.consecutive_failures >= self._config.fails and health.written_verdict is not False:
+        elif (
+            health.consecutive_failures >= self._config.failures_to_unhealthy
+            and health.written_verdict is not False
+        ):
             await self._write_verdict(name, health, False)
 
     async def _write_verdict(self, name: str, health: ServerHealth, well: bool) -> None:
-        if not self.duty.is_held():
+        if not self.lease_holder.is_held():
             return  # the lease ended during the probe
         try:
             reply = await self._client.call(
-                "POST", f"/v1/endpoints/{name}/verdict", {"well": well, **self.duty.fence()}
+                "POST", f"/v1/endpoints/{name}/verdict", {"well": well, **self.lease_holder.fence()}
             )
         except NoAnswerError as error:
             log.warning(
@@ -197,14 +203,14 @@
     def _collect(self) -> list[Metric]:
         unhealthy = sum(health.written_verdict is False for health in self._health.values())
         return [
-            gauge("checker_holds_duty", "whether it acts", self.duty.is_held()),
-            gauge("checker_token", "of the duty as it held it last", self.duty.token),
-            count("checker_grants", "of the duty", self.duty.grants),
+            gauge("checker_holds_duty", "whether it acts", self.lease_holder.is_held()),
+            gauge("checker_token", "of the duty as it held it last", self.lease_holder.token),
+            counter("checker_grants", "of the duty", self.lease_holder.grants),
             gauge("checker_servers", "in the list", len(self.watch.servers)),
             gauge("checker_unwell", "by our word", unhealthy),
             gauge("checker_list_age_seconds", "since the list was heard of", self.watch.age_s()),
-            count("checker_probes", "of servers", self.probes),
-            counts(
+            counter("checker_probes", "of servers", self.probes),
+            labelled_counter(
                 "checker_verdicts",
                 "by what came of them",
                 "result",
--- a/yewstage/holding/__main__.py
+++ b/yewstage/holding/__main__.py
@@ -58,7 +58,7 @@
             "{id}: {groups}",
             id=folder.id,
             groups=", ".join(
-                f"{group} at term {backend.group.replica.term}, index {backend.group.replica.last}"
+                f"{group} at term {backend.group.replica.term}, index {backend.group.replica.last_index}"
                 for group, backend in node.replicas.backends.items()
             ),
         )
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -124,7 +124,7 @@
                 "out": list(table.removed),
                 "usedTwice": duplicate_names(replicas.present_members()),
                 "present": sorted(m.name for m in replicas.present_members()),
-                "copiedBytes": replicas.copy_rate_limiter.copied,
+                "copiedBytes": replicas.copy_rate_limiter.copied_bytes,
                 "diskBytes": sum(backend.disk.bytes() for backend in replicas.backends.values()),
                 "groups": {group: self._group_status(group) for group in groups_with_state},
             },
@@ -144,7 +144,7 @@
                     "zone": member.zone,
                     "voter": member.voter,
                     "call": member.call,
-                    "behind": replica.last - peer.match if peer is not None else None,
+                    "behind": replica.last_index - peer.match if peer is not None else None,
                     "heardMsAgo": heard_ms_ago,
                     "forgot": peer.durability_losses if peer is not None else 0,
                 }
--- a/yewstage/holding/group.py
+++ b/yewstage/holding/group.py
@@ -146,7 +146,7 @@
     def _confirm(self, now: float, refused: Exception | None) -> int:
         self._last_ticket += 1
         self._pending_confirms[self._last_ticket] = _Pending(
-            self._last_ticket, self.replica.last, self.replica.term, refused
+            self._last_ticket, self.replica.last_index, self.replica.term, refused
         )
         self.replica.read(now, self._last_ticket)
         return self._last_ticket
@@ -163,7 +163,7 @@
         """Whether this replica is the leader and accepts writes."""
         return (
             self.speculative_store is not None
-            and self.replica.leading()
+            and self.replica.is_leading()
             and self._planned_in_term == self.replica.term
         )
 
@@ -179,12 +179,12 @@
 
     def durable(self, now: float, number: int) -> None:
         """All writes up to `number` are on the disk."""
-        self.replica.durable(now, number)
+        self.replica.on_durable(now, number)
 
     def take(self, now: float) -> GroupOutput:
         """Apply committed entries and return what the caller has to do."""
         result = GroupOutput()
-        out = self.replica.take(now)
+        out = self.replica.take_output(now)
         result.messages, result.writes = out.messages, out.writes
         if out.install is not None:
             self._install_snapshot(out, result, now)
@@ -234,7 +234,7 @@
             ]
             self._pending_writes.clear()
             self._pending_confirms.clear()
-        if self.replica.leading():
+        if self.replica.is_leading():
             self.speculative_store = self._store_type.restored(self.rules, self.store.snapshot(), now)
             self._planned_in_term = self.replica.term
 
--- a/yewstage/holding/list_forwarder.py
+++ b/yewstage/holding/list_forwarder.py
@@ -15,7 +15,7 @@
 from yewstage.net.config import Address
 from yewstage.net.http_server import HttpConnection, HttpResponse
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
-from yewstage.registry.server import PASSED
+from yewstage.registry.server import FORWARDED_PARAMETER
 
 WATCH_PART_MS = 1000  # longest wait of one forwarded part, which bounds how much an answer ages on its way
 ANSWER_TIMEOUT_S = 1.0  # for one replica to answer, beyond the wait of the part
@@ -106,7 +106,7 @@
         for attempt in range(min(len(replica_addresses), MAX_REPLICAS_ASKED)):
             part_ms = 0 if attempt else wait_ms
             watch_query = "" if after is None else f"&after={after}&wait_ms={part_ms}"
-            path = f"/v1/endpoints?{PASSED}=1{watch_query}"
+            path = f"/v1/endpoints?{FORWARDED_PARAMETER}=1{watch_query}"
             try:
                 async with asyncio.timeout(ANSWER_TIMEOUT_S + part_ms / 1000):
                     reply = await client.call("GET", path, None, part_ms / 1000)
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -18,7 +18,7 @@
 from yewstage.holding.placement import name_of
 from yewstage.holding.replicas import Replicas
 from yewstage.log import address_event
-from yewstage.metrics import Metric, count, gauge, gauges
+from yewstage.metrics import Metric, counter, gauge, labelled_gauge
 from yewstage.net.config import Address
 from yewstage.net.http_server import HttpConnection, HttpRequest, HttpResponse
 from yewstage.raft.messages import AnyMessage
@@ -58,12 +58,12 @@
         service = config.service
         self.list_forwarder = ListForwarder(
             self.replicas.list_replica_addresses,
-            self.registry.later,
+            self.registry.retry_later_response,
             loop,
             rng,
             self._spawn,
             service.watches,
-            service.most_age_ms,
+            service.max_age_ms,
         )
         self.registry.forward_list = self.list_forwarder.forward
 
@@ -195,13 +195,13 @@
         replicas_by_group = {group: backend.group.replica for group, backend in started_backends.items()}
 
         def by_group(name: str, meaning: str, values: dict[str, float]) -> Metric:
-            return gauges(name, meaning, "group", values)
+            return labelled_gauge(name, meaning, "group", values)
 
         return [
             by_group(
                 "holding_leads",
                 "whether it leads",
-                {g: r.leading() for g, r in replicas_by_group.items()},
+                {g: r.is_leading() for g, r in replicas_by_group.items()},
             ),
             by_group("holding_term", "of the group", {g: r.term for g, r in replicas_by_group.items()}),
             by_group(
@@ -233,39 +233,43 @@
                 "that the files take",
                 sum(backend.disk.bytes() for backend in replicas.backends.values()),
             ),
-            count("holding_elections", "stood in here", self._replica_sum("elections")),
-            count("holding_member_changes", "begun here", replicas.membership_changes),
-            count("holding_copied_bytes", "sent to copies that are made", replicas.copy_rate_limiter.copied),
-            count(
+            counter("holding_elections", "stood in here", self._replica_sum("elections")),
+            counter("holding_member_changes", "begun here", replicas.membership_changes),
+            counter(
+                "holding_copied_bytes",
+                "sent to copies that are made",
+                replicas.copy_rate_limiter.copied_bytes,
+            ),
+            counter(
                 "holding_disk_forgot",
                 "what a peer's disk had said to be durable",
                 self._replica_sum("durability_losses"),
             ),
-            count(
+            counter(
                 "holding_passed_on", "calls for the list, to one that holds it", self.list_forwarder.forwarded
             ),
-            count(
+            counter(
                 "holding_passed_on_failed",
                 "nobody answered in time",
                 self.list_forwarder.failed,
             ),
-            count(
+            counter(
                 "holding_unsure",
                 "writes whose result is not known here",
                 self._backend_sum("unknown_outcomes"),
             ),
-            count(
+            counter(
                 "holding_syncs",
                 "of the disk",
                 sum(backend.disk.syncs for backend in replicas.backends.values()),
             ),
-            count("holding_messages", "sent to other replicas", sum(link.sent for link in links)),
-            count(
+            counter("holding_messages", "sent to other replicas", sum(link.sent for link in links)),
+            counter(
                 "holding_dropped",
                 "messages that links took no more of",
                 sum(link.dropped for link in links),
             ),
-            count(
+            counter(
                 "holding_peers_refused",
                 "of another cluster or version, or nonsense",
                 self.refused_peers,
--- a/yewstage/holding/recover.py
+++ b/yewstage/holding/recover.py
@@ -25,7 +25,7 @@
 )
 from yewstage.holding.identity import Folder, read_meta
 from yewstage.holding.placement import GroupPlacement, PlacementStore, PlacementTable
-from yewstage.raft.core import Write, first_state
+from yewstage.raft.core import Write, initial_state
 from yewstage.raft.disk import Disk, DiskError
 from yewstage.raft.messages import DATA, Member
 from yewstage.registry.store import Entry, Rules
@@ -144,7 +144,7 @@
                 if group == PLACEMENT_GROUP
                 else _initial_state(group, backups, wall_ms)
             )
-            saved = first_state((me,), encode_entry(state))
+            saved = initial_state((me,), encode_entry(state))
             disk = Disk(folder.path / group)
             disk.load()
             disk.write([Write(1, (saved.term, ""), (), saved.snapshot, True)])
--- a/yewstage/holding/replicas.py
+++ b/yewstage/holding/replicas.py
@@ -29,7 +29,7 @@
 from yewstage.holding.replicated_backend import ReplicatedBackend
 from yewstage.log import Event
 from yewstage.net.config import Address, address
-from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Write, first_state
+from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Write, initial_state
 from yewstage.raft.disk import Disk
 from yewstage.raft.messages import AnyMessage, Member, Members
 from yewstage.raft.rate_limiter import CopyRateLimiter
@@ -81,7 +81,7 @@
             return self.backends[group]
         disk = Disk(self._folder.path / group)
         saved = disk.load()
-        self.torn_bytes += disk.cut
+        self.torn_bytes += disk.torn_bytes
         backend = self.backends[group] = ReplicatedBackend(
             self._group(group, saved),
             disk,
@@ -132,7 +132,7 @@
     def has_state(self, group: str) -> bool:
         """Whether this disk holds a snapshot or log entries of a group."""
         replica = self.backends[group].group.replica
-        return bool(replica.snapshot.index or replica.last)
+        return bool(replica.snapshot.index or replica.last_index)
 
     # --- What other processes report ----------------------------------------------------------------------
 
@@ -174,7 +174,7 @@
     async def bootstrap(self, group: str, members: Members, data: bytes) -> None:
         """Bootstrap a group on this disk, which holds no state of it."""
         try:
-            saved = first_state(members, data)
+            saved = initial_state(members, data)
             replica = self.backends[group].group.replica
             if replica.term > saved.term:
                 saved.term, saved.vote = replica.term, replica.vote
@@ -212,7 +212,7 @@
         """
         backend, placed = self.backends[LIST_GROUP], self.table.placement_of(LIST_GROUP)
         member = any(m.id == self.me.id for m in backend.group.replica.members)
-        if placed is None or member and backend.age_ms() <= self.config.service.most_age_ms:
+        if placed is None or member and backend.age_ms() <= self.config.service.max_age_ms:
             return ()
         address_by_name = {m.name: m.call for m in self.present_members() if m.id != self.me.id}
         return tuple(
--- a/yewstage/holding/replicated_backend.py
+++ b/yewstage/holding/replicated_backend.py
@@ -10,7 +10,7 @@
 from yewstage.holding.group import Group, LeadershipLostError, ReplicatedStore, WritePlan
 from yewstage.log import Event
 from yewstage.raft.core import BusyError, NotLeaderError, Write
-from yewstage.raft.disk import Disk, FullError
+from yewstage.raft.disk import Disk, WriteFailedError
 from yewstage.raft.messages import AnyMessage, Members
 from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError
 from yewstage.registry.store import Entry
@@ -194,7 +194,7 @@
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        at_ms = self.group.replica.next_at()
+        at_ms = self.group.replica.next_tick_at()
         self._timer = self._loop.call_at(at_ms / 1000, self._on_timer) if at_ms != float("inf") else None
 
     def _on_timer(self) -> None:
@@ -208,7 +208,7 @@
                 batch, self._queue = self._queue, []
                 try:
                     await self._loop.run_in_executor(self._pool, self.disk.write, batch)
-                except FullError as error:
+                except WriteFailedError as error:
                     if self.disk.broken:
                         self._failed(f"the disk can no longer be trusted: {error}")
                         return
--- a/yewstage/metrics.py
+++ b/yewstage/metrics.py
@@ -20,17 +20,17 @@
     return GaugeMetricFamily(name, meaning, value=value)
 
 
-def gauges(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
+def labelled_gauge(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
     """A gauge with one sample for each value of a label."""
     return _labelled(GaugeMetricFamily(name, meaning, labels=[label]), values)
 
 
-def count(name: str, meaning: str, value: float) -> Metric:
+def counter(name: str, meaning: str, value: float) -> Metric:
     """A metric that only rises while the process lives. `_total` is appended to its name."""
     return CounterMetricFamily(name, meaning, value=value)
 
 
-def counts(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
+def labelled_counter(name: str, meaning: str, label: str, values: LabelledValues) -> Metric:
     """A counter with one sample for each value of a label. `_total` is appended to its name."""
     return _labelled(CounterMetricFamily(name, meaning, labels=[label]), values)
 
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -39,8 +39,8 @@
     Vote,
     VoteReply,
     decode_members,
+    differ_in_at_most_one_member,
     encode,
-    one_apart,
 )
 from yewstage.raft.rate_limiter import CopyRateLimiter
 
@@ -73,7 +73,7 @@
     window_messages: int = 16
     max_uncommitted_bytes: int = 8 * 1024 * 1024  # of entries that are not committed, on the leader
     # retained behind a snapshot, so that a replica slightly behind needs no snapshot
-    kept_entries: int = 1000
+    retained_entries: int = 1000
 
 
 @dataclass(slots=True)
@@ -158,10 +158,10 @@
         self.term, self.vote = saved.term, saved.vote
         self.snapshot = saved.snapshot
         self.entries = [entry for entry in saved.entries if entry.index > saved.snapshot.index]
-        self.members_at: list[tuple[int, Members]] = [(saved.snapshot.index, saved.snapshot.members)]
+        self.membership_history: list[tuple[int, Members]] = [(saved.snapshot.index, saved.snapshot.members)]
         for entry in self.entries:
             if entry.kind == MEMBERS:
-                self.members_at.append((entry.index, decode_members(entry.data)))
+                self.membership_history.append((entry.index, decode_members(entry.data)))
         self.role, self.leader, self.leader_zone = FOLLOWER, "", ""
         self.commit_index = self._delivered_index = saved.snapshot.index
         self.out = Output()
@@ -171,7 +171,7 @@
         # for them.
         self._pending_writes: deque[list[int]] = deque()
         self._last_write_number = self._durable_write_number = 0
-        self._durable_index = self.last
+        self._durable_index = self.last_index
         self._deferred_messages: deque[tuple[int, AnyMessage]] = deque()
         # Time of the last contact from the leader. A replica that has just started waits a full timeout
         # before it campaigns.
@@ -199,19 +199,19 @@
     # --- Reading ------------------------------------------------------------------------------------------
 
     @property
-    def first(self) -> int:
+    def first_index(self) -> int:
         """Index of the first entry in the log."""
         return self.entries[0].index if self.entries else self.snapshot.index + 1
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry in the log, or of the snapshot if the log is empty."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def members(self) -> Members:
         """The members in effect: those of the newest membership entry in the log, committed or not."""
-        return self.members_at[-1][1]
+        return self.membership_history[-1][1]
 
     def voters(self) -> list[str]:
         """Ids of the members that count towards a majority."""
@@ -225,10 +225,10 @@
         """The term of the entry at an index; None if it was compacted away or does not exist yet."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        offset = index - self.first
+        offset = index - self.first_index
         return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
-    def leading(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this replica leads and knows all entries committed in earlier terms."""
         return self.role == LEADER and self.commit_index >= self._term_start_index
 
@@ -240,11 +240,11 @@
         followers how long ago that was and echoes their clocks, so that a delayed message does not appear
         fresher than it is.
         """
-        if self.leading():
+        if self.is_leading():
             return now - self.confirmed_at
         return now - self._fresh_as_of
 
-    def next_at(self) -> float:
+    def next_tick_at(self) -> float:
         """The latest time at which `tick` must be called."""
         if self.role != LEADER:
             return self._election_due_at if self.own_id in self.voters() else float("inf")
@@ -257,9 +257,9 @@
             else due_at
         )
 
-    def take(self, now: float) -> Output:
+    def take_output(self, now: float) -> Output:
         """Return and clear the output; the caller carries it out."""
-        if self._pending_reads and self._pending_reads[-1][1] == 0 and self.leading():
+        if self._pending_reads and self._pending_reads[-1][1] == 0 and self.is_leading():
             self._broadcast_heartbeat(now)
         out, self.out = self.out, Output()
         return out
@@ -292,7 +292,7 @@
             else:
                 self._replicate_to(name, now)
 
-    def durable(self, now: float, number: int) -> None:
+    def on_durable(self, now: float, number: int) -> None:
         """Report that all writes up to `number` are on disk."""
         self._durable_write_number = max(self._durable_write_number, number)
         while self._pending_writes and self._pending_writes[0][0] <= number:
@@ -312,7 +312,7 @@
         reset: bool = False,
     ) -> None:
         self._last_write_number += 1
-        self._pending_writes.append([self._last_write_number, self.last])
+        self._pending_writes.append([self._last_write_number, self.last_index])
         self.out.writes.append(
             Write(
                 self._last_write_number,
@@ -386,7 +386,7 @@
             self.elections += 1
             self.term, self.vote = term, self.own_id
             self._queue_write(hard_state=True)
-        last_entry = self.last, self.term_at(self.last)
+        last_entry = self.last_index, self.term_at(self.last_index)
         for voter in self.voters():
             if voter == self.own_id:
                 continue
@@ -419,13 +419,13 @@
         self._leadership_transfer = None
         self.confirmed_at = self._campaign_started_at  # the votes were granted after that
         self._uncommitted_bytes = sum(entry.size() for entry in self._entries_from(self.commit_index + 1))
-        self._term_start_index = self.last + 1
+        self._term_start_index = self.last_index + 1
         self._append_entry(NOOP, b"")
         self._broadcast_heartbeat(now)
 
     def _is_log_up_to_date(self, last_index: int, last_term: int) -> bool:
         """Whether a candidate's log contains every entry that may be committed according to this log."""
-        return (last_term, last_index) >= (self.term_at(self.last), self.last)
+        return (last_term, last_index) >= (self.term_at(self.last_index), self.last_index)
 
     def _on_pre_vote(self, message: PreVote, now: float) -> None:
         granted = (
@@ -531,11 +531,11 @@
     # --- The log ------------------------------------------------------------------------------------------
 
     def _entries_from(self, index: int) -> list[Entry]:
-        return self.entries[max(index - self.first, 0) :] if self.entries else []
+        return self.entries[max(index - self.first_index, 0) :] if self.entries else []
 
     def _append_entry(self, kind: int, data: bytes) -> Entry:
         """Append an entry as leader."""
-        entry = Entry(self.last + 1, self.term, kind, data)
+        entry = Entry(self.last_index + 1, self.term, kind, data)
         self._uncommitted_bytes += entry.size()
         self._extend_log((entry,))
         return entry
@@ -544,7 +544,7 @@
         self.entries += entries
         for entry in entries:
             if entry.kind == MEMBERS:
-                self.members_at.append((entry.index, decode_members(entry.data)))
+                self.membership_history.append((entry.index, decode_members(entry.data)))
         self._queue_write(entries=entries)
         if self.role == LEADER:
             self._update_peers()
@@ -557,13 +557,13 @@
     def _new_progress(self, member: Member) -> Progress:
         """For a learner, the entries that exist when it joins are sent under the copy rate limit; later ones
         are not."""
-        return Progress(self.last + 1, copy_until_index=0 if member.voter else self.last)
+        return Progress(self.last_index + 1, copy_until_index=0 if member.voter else self.last_index)
 
     def _truncate_from(self, index: int) -> None:
         """Remove the entries from an index on: the leader has different entries there."""
-        self.entries = self.entries[: index - self.first]
-        while self.members_at[-1][0] >= index:
-            self.members_at.pop()
+        self.entries = self.entries[: index - self.first_index]
+        while self.membership_history[-1][0] >= index:
+            self.membership_history.pop()
         self._durable_index = min(self._durable_index, index - 1)
         for write in self._pending_writes:
             write[1] = min(write[1], index - 1)
@@ -590,7 +590,7 @@
         end = prev + len(entries)
         for at, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
-                if entry.index <= self.last:
+                if entry.index <= self.last_index:
                     self._truncate_from(entry.index)
                 self._extend_log(entries[at:])
                 break
@@ -605,7 +605,7 @@
     def _match_hint(self, message: AppendEntries) -> int:
         """The highest index that may match, below the mismatch. All entries of the conflicting term are
         skipped."""
-        index = min(message.prev_index - 1, self.last)
+        index = min(message.prev_index - 1, self.last_index)
         conflicting_term = self.term_at(message.prev_index)
         while (
             index > self.commit_index
@@ -666,7 +666,7 @@
         peer.awaits_rate_limit = False
         while (
             not peer.is_probing
-            and peer.next <= self.last
+            and peer.next <= self.last_index
             and peer.inflight_bytes < window.window_bytes
             and len(peer.inflight) < window.window_messages
         ):
@@ -687,7 +687,7 @@
             self._send_append(name, (), now)
 
     def _next_batch(self, index: int) -> tuple[Entry, ...]:
-        batch, size, offset = [], 0, index - self.first
+        batch, size, offset = [], 0, index - self.first_index
         while offset < len(self.entries) and (
             not batch or size + self.entries[offset].size() <= self.settings.batch_bytes
         ):
@@ -701,7 +701,7 @@
     ) -> None:
         peer = self.peers[name]
         prev = peer.next - 1 if prev is None else prev
-        knows_all_committed = self.leading()
+        knows_all_committed = self.is_leading()
         self._send_now(
             AppendEntries(
                 self.own_id,
@@ -751,7 +751,7 @@
         self._replicate_to(message.src, now, is_heartbeat=True)
 
     def _on_acknowledged(self, name: str, peer: Progress, match: int, now: float) -> None:
-        if match > self.last:
+        if match > self.last_index:
             return  # acknowledges more than was sent
         if match > peer.match:
             peer.match, peer.matched_round = match, self._heartbeat_round
@@ -799,7 +799,7 @@
         index = self._quorum({name: peer.match for name, peer in self.peers.items()}, self._durable_index)
         if index > self.commit_index and self.term_at(index) == self.term:
             self._commit_to(index)
-            if self.own_id not in self.voters() and self.members_at[-1][0] <= self.commit_index:
+            if self.own_id not in self.voters() and self.membership_history[-1][0] <= self.commit_index:
                 # this replica was removed, and the removal is committed: it stops leading
                 self.role = FOLLOWER
                 self.out.lost_reads += [ticket for ticket, _ in self._pending_reads]
@@ -832,9 +832,9 @@
         NotLeaderError, or BusyError if a change is pending or the new list differs in more than one member.
         """
         self._require_leadership(now)
-        if self.members_at[-1][0] > self.commit_index:
+        if self.membership_history[-1][0] > self.commit_index:
             raise BusyError("another membership change is pending")
-        if not one_apart(self.members, members):
+        if not differ_in_at_most_one_member(self.members, members):
             raise BusyError("only one member can be changed at a time")
         if not any(m.voter for m in members):
             raise BusyError("at least one voter must remain")
@@ -860,13 +860,13 @@
             and self._leadership_transfer is not None
             and self._leadership_transfer[0] == name
             and name in self.peers
-            and self.peers[name].match == self.last
+            and self.peers[name].match == self.last_index
         ):
             self._send_when_durable(TimeoutNow(self.own_id, name, self.term))
 
     def _require_leadership(self, now: float) -> None:
         self.tick(now)  # a replica that was paused notices first that it may no longer lead
-        if not self.leading():
+        if not self.is_leading():
             leader = self.leader if self.role == FOLLOWER else ""
             raise NotLeaderError(
                 leader,
@@ -880,17 +880,17 @@
     # --- Snapshots ----------------------------------------------------------------------------------------
 
     def compact(self, index: int, data: bytes) -> None:
-        """Store the state after a committed index as a snapshot and drop all but the last `kept_entries`
+        """Store the state after a committed index as a snapshot and drop all but the last `retained_entries`
         entries up to it. Raises ValueError if the index is not between the snapshot's and the last committed
         one."""
         if not self.snapshot.index < index <= self._delivered_index:
             raise ValueError(f"index {index} is not between the snapshot index and the last committed index")
-        members = next(members for at, members in reversed(self.members_at) if at <= index)
+        members = next(members for at, members in reversed(self.membership_history) if at <= index)
         term = self.term_at(index)
-        self.entries = self._entries_from(index + 1 - self.settings.kept_entries)
+        self.entries = self._entries_from(index + 1 - self.settings.retained_entries)
         self.snapshot = Snapshot(index, term, members, data, zlib.crc32(data))
-        self.members_at = [(at, m) for at, m in self.members_at if at > index]
-        self.members_at.insert(0, (index, members))
+        self.membership_history = [(at, m) for at, m in self.membership_history if at > index]
+        self.membership_history.insert(0, (index, members))
         self._queue_write(snapshot=self.snapshot)
 
     def _send_snapshot_part(self, name: str, now: float) -> None:
@@ -965,14 +965,18 @@
         entries are kept if the log matches the snapshot."""
         is_consistent = self.term_at(snapshot.index) == snapshot.term
         later_entries = self._entries_from(snapshot.index + 1) if is_consistent else []
-        later_members = [(at, m) for at, m in self.members_at if at > snapshot.index] if is_consistent else []
+        later_members = (
+            [(at, m) for at, m in self.membership_history if at > snapshot.index] if is_consistent else []
+        )
         self._durable_index = (
-            max(min(self._durable_index, self.last), snapshot.index) if is_consistent else snapshot.index
+            max(min(self._durable_index, self.last_index), snapshot.index)
+            if is_consistent
+            else snapshot.index
         )
         for write in self._pending_writes:
             write[1] = max(write[1], snapshot.index) if is_consistent else snapshot.index
         self.snapshot, self.entries = snapshot, later_entries
-        self.members_at = [(snapshot.index, snapshot.members), *later_members]
+        self.membership_history = [(snapshot.index, snapshot.members), *later_members]
         self.commit_index = self._delivered_index = snapshot.index
         self.out.install, self.out.committed = snapshot, []
         self._queue_write(entries=tuple(later_entries), snapshot=snapshot, reset=True)
@@ -992,7 +996,7 @@
             self._send_snapshot_part(message.src, now)
 
 
-def first_state(members: Members, data: bytes) -> DurableState:
+def initial_state(members: Members, data: bytes) -> DurableState:
     """The initial state of every disk of a new group. It is identical on all of them, so they agree on the
     members."""
     return DurableState(1, "", Snapshot(1, 1, members, data, zlib.crc32(data)))
--- a/yewstage/raft/disk.py
+++ b/yewstage/raft/disk.py
@@ -31,7 +31,7 @@
     """The folder cannot be used. The text says why and what to do, in one line."""
 
 
-class FullError(Exception):
+class WriteFailedError(Exception):
     """The write is not durable and has no effect. It may be retried unless `Disk.broken` is set."""
 
 
@@ -60,7 +60,7 @@
         self._size = 0
         self._hard_state = (0, "")
         self._last_index = self._snapshot_index = 0  # index of the last entry, and of the snapshot
-        self.cut = 0  # bytes of a torn last record that `load` removed
+        self.torn_bytes = 0  # bytes of a torn last record that `load` removed
         self.broken = ""  # why writes are no longer possible; empty: they are
         self.syncs = 0
 
@@ -139,7 +139,7 @@
             highest_index = max(highest_index, end_index)
         self._segments.append((number, highest_index))
         self._size = len(FILE_HEADER) + sum(RECORD_HEADER.size + len(body) for body in bodies)
-        self.cut = len(data) - self._size
+        self.torn_bytes = len(data) - self._size
 
     def _record_bodies(self, path: Path, data: bytes) -> tuple[list[bytes], bool]:
         """The bodies of a file's records, and whether the file is complete; if it is not, its last record is
@@ -176,10 +176,10 @@
     # --- Writing ------------------------------------------------------------------------------------------
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Make all writes durable, with one sync for all records. Raises FullError if that fails: none of the
-        writes that are not durable yet takes effect, and all may be retried."""
+        """Make all writes durable, with one sync for all records. Raises WriteFailedError if that fails: none
+        of the writes that are not durable yet takes effect, and all may be retried."""
         if self.broken:
-            raise FullError(self.broken)
+            raise WriteFailedError(self.broken)
         previous = self._hard_state, self._last_index
         records = []
         for write in writes:
@@ -202,7 +202,7 @@
                 self._last_index = write.snapshot.index
         try:
             self._append(records)
-        except FullError:
+        except WriteFailedError:
             self._hard_state, self._last_index = previous
             raise
         self._delete_old_segments()
@@ -210,7 +210,7 @@
     def _append(self, records: list[Record]) -> None:
         if not records:
             return
-        data = b"".join(framed(_encode(record)) for record in records)
+        data = b"".join(encode_record(_encode(record)) for record in records)
         try:
             if self._size >= self._segment_bytes:
                 self._start_segment(self._segments[-1][0] + 1)
@@ -229,7 +229,7 @@
             os.lseek(self._fd, self._size, os.SEEK_SET)
         except OSError:
             self.broken = f"write: {error}"
-        raise FullError(f"write: {error}") from None
+        raise WriteFailedError(f"write: {error}") from None
 
     def _sync_or_fail(self, fd: int) -> None:
         try:
@@ -239,11 +239,11 @@
             # After a failed sync the content of the disk is unknown, and a second sync may report success
             # without having written anything.
             self.broken = f"sync: {error}"
-            raise FullError(self.broken) from None
+            raise WriteFailedError(self.broken) from None
 
     def _start_segment(self, number: int) -> None:
         """Start a new segment, created atomically with the term and vote in its first record."""
-        data = FILE_HEADER + framed(_encode(Record(self._hard_state)))
+        data = FILE_HEADER + encode_record(_encode(Record(self._hard_state)))
         self._replace_file(f"log-{number:08}", data)
         fresh = os.open(self._segment_path(number), os.O_RDWR)
         os.lseek(fresh, 0, os.SEEK_END)
@@ -254,9 +254,9 @@
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
         try:
-            self._replace_file("snapshot", FILE_HEADER + framed(_encode(snapshot)))
+            self._replace_file("snapshot", FILE_HEADER + encode_record(_encode(snapshot)))
         except OSError as error:
-            raise FullError(f"snapshot: {error}") from None
+            raise WriteFailedError(f"snapshot: {error}") from None
         self._snapshot_index = snapshot.index
 
     def _delete_old_segments(self) -> None:
@@ -318,7 +318,7 @@
         raise _damaged_error(path) from None
 
 
-def framed(body: bytes) -> bytes:
+def encode_record(body: bytes) -> bytes:
     """A record as stored in a file: header and body."""
     head = struct.pack("<II", len(body), zlib.crc32(body))
     return head + struct.pack("<I", zlib.crc32(head)) + body
--- a/yewstage/raft/messages.py
+++ b/yewstage/raft/messages.py
@@ -151,7 +151,7 @@
     return _members_decoder.decode(data)
 
 
-def one_apart(old: Members, new: Members) -> bool:
+def differ_in_at_most_one_member(old: Members, new: Members) -> bool:
     """Whether two lists of members differ in at most one member.
 
     Majorities of lists that differ in two voters need not overlap, so each could elect a leader.
--- a/yewstage/raft/rate_limiter.py
+++ b/yewstage/raft/rate_limiter.py
@@ -14,7 +14,7 @@
     def __init__(self, bytes_per_s: float = 0.0) -> None:
         self.bytes_per_s = bytes_per_s  # 0: no limit
         self.free_at = float("-inf")
-        self.copied = 0
+        self.copied_bytes = 0
 
     def may_send(self, now: float) -> bool:
         """Whether a part may be sent now."""
@@ -22,6 +22,6 @@
 
     def record(self, now: float, size: int) -> None:
         """Account for a part that is sent."""
-        self.copied += size
+        self.copied_bytes += size
         if self.bytes_per_s:
             self.free_at = max(now, self.free_at) + size / self.bytes_per_s * 1000
--- a/yewstage/registry/config.py
+++ b/yewstage/registry/config.py
@@ -30,7 +30,7 @@
     max_ttl_ms: float
     settle_ms: float  # how long a store that begins empty waits for registrations before it serves a list
     snapshot_entries: int  # log entries after which a snapshot is taken
-    most_age_ms: float  # a list that may be older than this is not served
+    max_age_ms: float  # a list that may be older than this is not served
     rules: Rules
     log: str  # text or json
 
@@ -44,8 +44,8 @@
     ops: Address
     rate_per_s: float  # probes per second of this checker, over all servers
     timeout_ms: float
-    fails: int  # consecutive failures after which a server counts as unhealthy
-    passes: int  # consecutive successes after which it counts as healthy again
+    failures_to_unhealthy: int  # consecutive failures after which a server counts as unhealthy
+    successes_to_healthy: int  # consecutive successes after which it counts as healthy again
     ttl_ms: float  # of the checker's lease
     drift: float
     log: str  # text or json
@@ -82,7 +82,7 @@
         max_ttl_ms=fields.number("most_ttl_ms", 60000.0, 1.0),
         settle_ms=fields.number("settle_ms", 10000.0, 0.0),
         snapshot_entries=fields.integer("snapshot_entries", 10000, 1),
-        most_age_ms=fields.number("most_age_ms", 10000.0, 1.0),
+        max_age_ms=fields.number("most_age_ms", 10000.0, 1.0),
         rules=Rules(
             history=fields.integer("history", 10000, 1),
             max_silent_share=fields.number("most_gone", 0.5, 0.0, 1.0),
@@ -112,8 +112,8 @@
         ops=fields.address("ops"),
         rate_per_s=fields.number("rate_per_s", 5.0, 0.001),
         timeout_ms=fields.number("timeout_ms", 1000.0, 1.0),
-        fails=fields.integer("fails", 3, 1),
-        passes=fields.integer("passes", 2, 1),
+        failures_to_unhealthy=fields.integer("fails", 3, 1),
+        successes_to_healthy=fields.integer("passes", 2, 1),
         ttl_ms=fields.number("ttl_ms", 5000.0, 100.0),
         drift=fields.number("drift", 0.01, 0.0, 0.5),
         log=fields.choice("log", FORMATS),
--- a/yewstage/registry/server.py
+++ b/yewstage/registry/server.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict
 
 from yewstage.log import Event
-from yewstage.metrics import Metric, MetricsPage, count, counts, gauge, gauges
+from yewstage.metrics import Metric, MetricsPage, counter, gauge, labelled_counter, labelled_gauge
 from yewstage.net.config import ConfigError
 from yewstage.net.http_server import ConnectionLimits, HttpConnection, HttpRequest, HttpResponse, HttpServer
 from yewstage.registry.backend import MisdirectedError, OutcomeUnknownError, StoreBackend
@@ -28,7 +28,8 @@
 MAX_CACHED_ENCODINGS = 64  # of changes since a revision: watchers do not all wait on the same one
 WARNING_INTERVAL_S = 10.0  # between warnings that too many servers are silent
 
-PASSED = "passed"  # query parameter of a call that another process forwarded; it is not forwarded again
+# Query parameter of a call that another process forwarded; it is not forwarded again.
+FORWARDED_PARAMETER = "passed"
 
 Handler = Callable[[HttpRequest, HttpConnection, str], HttpResponse | None]
 # Takes the revision (None: the whole list), the ms to wait and the connection; whether the call is forwarded.
@@ -151,35 +152,35 @@
         )
         if (
             self.forward_list is not None
-            and PASSED not in request.query
+            and FORWARDED_PARAMETER not in request.query
             and self.forward_list(after, wait_ms, connection)
         ):
             return None
         if not self.ready():
             self.rejected_not_ready += 1
-            return self.later("the list is not complete yet")
+            return self.retry_later_response("the list is not complete yet")
         age_ms = self.backend.age_ms()
-        if age_ms > self.config.most_age_ms:
+        if age_ms > self.config.max_age_ms:
             self.rejected_too_old += 1
-            return self.later(f"what is known here may be {age_ms / 1000:.0f} s old")
+            return self.retry_later_response(f"what is known here may be {age_ms / 1000:.0f} s old")
         if after is None:
             return self._listing(None)
         changes = self.store.changes(after)
         # The client has a later revision from another replica.
         ahead = after > self.store.revision and self.backend.leader_store() is None
         if ahead and not wait_ms:
-            return self.later("not as far as that yet")
+            return self.retry_later_response("not as far as that yet")
         if not ahead and (changes or changes is None or not wait_ms):
             return self._listing(after if changes is not None else None)
         if len(self._watches) >= self.config.watches:
             self.rejected_too_many += 1
-            return self.later("too many watches")
+            return self.retry_later_response("too many watches")
         timer = self._loop.call_later(wait_ms / 1000, self._on_watch_timeout, connection)
         self._watches[connection] = (after, timer)
         connection.on_disconnect = lambda: self._unwatch(connection)
         return None
 
-    def later(self, why: str) -> HttpResponse:
+    def retry_later_response(self, why: str) -> HttpResponse:
         """A 503 response with a random Retry-After, so that clients do not all return at once."""
         wait = b"Retry-After: %.2f\r\n" % self._rng.uniform(*RETRY_AFTER_RANGE_S)
         answer = error_response(503, why)
@@ -205,9 +206,9 @@
     def _on_watch_timeout(self, connection: HttpConnection) -> None:
         """Answer a watch whose time is over: with no changes, or 503 if the list here may be outdated."""
         after, _ = self._watches.pop(connection)
-        if self.backend.age_ms() > self.config.most_age_ms or after > self.store.revision:
+        if self.backend.age_ms() > self.config.max_age_ms or after > self.store.revision:
             self.rejected_too_old += 1
-            connection.answer(self.later("what is known here may be too old"))
+            connection.answer(self.retry_later_response("what is known here may be too old"))
         else:
             connection.answer(self._listing(after))
 
@@ -250,11 +251,11 @@
         except MisdirectedError as error:
             connection.answer(self._redirect_to_leader(error))
         except OutcomeUnknownError as error:
-            connection.answer(self.later(str(error)))
+            connection.answer(self.retry_later_response(str(error)))
         except WriteFailedError as error:
             log.error(Event("not_durable", "a write could not be made durable: {error}", error=str(error)))
             self.not_durable += 1
-            connection.answer(self.later(f"writes are refused: {error}"))
+            connection.answer(self.retry_later_response(f"writes are refused: {error}"))
         except Exception:
             log.exception(Event("write_failed", "a write failed"))
             connection.answer(error_response(500, "the service failed"))
@@ -262,7 +263,7 @@
     def _redirect_to_leader(self, error: MisdirectedError) -> HttpResponse:
         """Redirect a write to the leader, or 503 while none is known."""
         if not error.leader_address:
-            return self.later(str(error))
+            return self.retry_later_response(str(error))
         return misdirected(error)
 
     async def _expire_servers(self) -> None:
@@ -461,7 +462,7 @@
         return [
             gauge("registry_revision", "of the list", self.store.revision),
             gauge("registry_ready", "whether it tells a list", self.ready()),
-            gauges(
+            labelled_gauge(
                 "registry_servers", "in the list", "lifecycle", {"ready": len(records) - out, "draining": out}
             ),
             gauge(
@@ -472,8 +473,8 @@
             gauge("registry_leases_held", "duties that somebody holds", held),
             gauge("registry_connections", "open", len(self.listener.connections)),
             gauge("registry_watches", "held", len(self._watches)),
-            count("registry_changes_told", "answers to watches that had waited", self.watches_answered),
-            counts(
+            counter("registry_changes_told", "answers to watches that had waited", self.watches_answered),
+            labelled_counter(
                 "registry_turned_away",
                 "calls answered 503",
                 "reason",
@@ -483,17 +484,17 @@
                     "too_old": self.rejected_too_old,
                 },
             ),
-            count(
+            counter(
                 "registry_dropped", "peers that were slow, silent or in the way", self.listener.closed_count
             ),
-            counts(
+            labelled_counter(
                 "registry_writes",
                 "by what came of them",
                 "result",
                 {"done": self.writes, "refused": self.refused, "not_durable": self.not_durable},
             ),
-            count("registry_renewals", "of servers and leases", self.renewals),
-            count("registry_expired", "servers let go for their silence", self.expired),
+            counter("registry_renewals", "of servers and leases", self.renewals),
+            counter("registry_expired", "servers let go for their silence", self.expired),
             gauge("registry_log_entries", "since the last snapshot", self.backend.log_entries),
             gauge("registry_log_broken", "whether the log takes no more", bool(self.backend.broken)),
         ]
