--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -25,7 +25,7 @@
     rows = [seat.swim.own_row for seat in net.seats]
     for seat in net.seats:
         for row in rows:
-            seat.swim.know(row, net._clock(seat.number))
+            seat.swim.merge_known_row(row, net._clock(seat.number))
     net.run(10_000)
     net.found.clear()
     return net
--- a/plumwall/cli/check.py
+++ b/plumwall/cli/check.py
@@ -8,7 +8,7 @@
 import click
 
 from plumwall.cli.console import FILE, BadFileError, as_json, fields
-from yewstage.holding.config import HoldingConfig, holding
+from yewstage.holding.config import HoldingConfig, holding_config
 from yewstage.interface import Plan
 from yewstage.net.clients import ClassAndPlanNames
 from yewstage.net.config import Config, ConfigError, load
@@ -78,7 +78,7 @@
 
 
 def _holding(file: Path) -> dict[str, object]:
-    made: HoldingConfig = holding(read(str(file)))
+    made: HoldingConfig = holding_config(read(str(file)))
     peers = ", ".join(sorted(made.peers))
     return {
         "cluster": made.cluster,
--- a/plumwall/cli/holding.py
+++ b/plumwall/cli/holding.py
@@ -20,7 +20,7 @@
 )
 from plumwall.cli.servers import ask, at_option
 from plumwall.cli.service import become, chosen_format, log_format
-from yewstage.holding.config import holding as read_config
+from yewstage.holding.config import holding_config as read_config
 from yewstage.holding.group_names import LIST_GROUP, MAX_KEY_GROUPS, PLACEMENT_GROUP
 from yewstage.holding.member_changes import founder_and_members
 from yewstage.holding.recover import read_backups, restore_cluster
--- a/plumwall/faults/members.py
+++ b/plumwall/faults/members.py
@@ -159,7 +159,9 @@
                 for row in rows:
                     age = row["ageMs"]
                     self.outcome.oldest_ms = max(self.outcome.oldest_ms, age)
-                    assert age <= SERVERS_TABLE.bound_ms, f"{name} shows a word that is {age} ms old"
+                    assert age <= SERVERS_TABLE.staleness_bound_ms, (
+                        f"{name} shows a word that is {age} ms old"
+                    )
         self.outcome.looks += 1
         return found
 
--- a/plumwall/faults/torture.py
+++ b/plumwall/faults/torture.py
@@ -28,7 +28,7 @@
 from plumwall.faults.members import MembersPlan
 from plumwall.faults.shares import SharesPlan
 from yewstage.holding.group_names import LIST_GROUP
-from yewstage.holding.placement import name_of
+from yewstage.holding.placement import machine_name_of
 from yewstage.registry.client import LeaseHolder, NoAnswerError, ServiceClient, ServiceReply
 
 PLANS = Path(__file__).parent / "plans"
@@ -356,7 +356,7 @@
             hit = self._machines.all
         elif turn.fault == "member_lost":
             names = sorted(
-                name_of(m["id"])
+                machine_name_of(m["id"])
                 for m in (await self._machines.wait_until_replicated())[LIST_GROUP]["members"]
             )
             hit = [self._machines.by_name(names[turn.at % len(names)])]
@@ -427,7 +427,7 @@
         has to have heard of it."""
         known = dict(self.load.acknowledged)
         status = await self._machines.wait_until_replicated()
-        names = {name_of(member["id"]) for member in status[LIST_GROUP]["members"]}
+        names = {machine_name_of(member["id"]) for member in status[LIST_GROUP]["members"]}
         for machine in self._machines.all:
             if machine.name in names:
                 await self._tells(machine, known)
--- a/plumwall/model/cluster.py
+++ b/plumwall/model/cluster.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from yewstage.holding.group import Group, ReplicatedStore, first_data
+from yewstage.holding.group import Group, ReplicatedStore, initial_list_state
 from yewstage.raft.core import (
     LEADER,
     BusyError,
@@ -128,7 +128,7 @@
 
     def _initial_state(self) -> bytes:
         """Encoded initial state of the group."""
-        return first_data(RULES, 1000)
+        return initial_list_state(RULES, 1000)
 
     def _new_member(self, name: str) -> Member:
         self.disk_count += 1
@@ -286,7 +286,7 @@
     def compact(self, i: int) -> bool:
         """Replace a replica's applied entries by a snapshot. Returns False if there is nothing to replace."""
         node = self.nodes[i]
-        if node.group is None or node.group.applied <= node.group.replica.snapshot.index:
+        if node.group is None or node.group.applied_index <= node.group.replica.snapshot.index:
             return False
         node.group.compact(self.now(i))
         self._apply_output(i)
@@ -305,7 +305,7 @@
                 raise InvariantError(f"term {replica.term} has two leaders: {other}, {start_id}")
             if replica.durability_losses and not self.planted.reuses_id:
                 raise InvariantError(f"{node.member.id} accuses a disk that has forgotten nothing")
-        applied_before = node.group.applied
+        applied_before = node.group.applied_index
         log = {e.index: (e.term, e.data) for e in replica.entries}
         result = node.group.take(self.now(i))
         node.disk.pending += result.writes
@@ -313,11 +313,11 @@
         self.network += [
             m for m in result.messages if (i, node_of_member.get(m.dst, i)) not in self.cut_links
         ]
-        for index in range(applied_before + 1, node.group.applied + 1):
+        for index in range(applied_before + 1, node.group.applied_index + 1):
             entry = log.get(index) or {e.index: (e.term, e.data) for e in replica.entries}.get(index)
             if entry is not None and self.committed_entries.setdefault(index, entry) != entry:
                 raise InvariantError(f"entry {index} is committed in two forms")
-        for completion in result.done:
+        for completion in result.completions:
             self._call_completed(i, completion.ticket, completion.error)
 
     def _call_completed(self, i: int, ticket: int, error: Exception | None) -> None:
--- a/plumwall/model/members.py
+++ b/plumwall/model/members.py
@@ -132,22 +132,24 @@
         seat.swim.handle(self._clock(seat.number), unseal(data, self.settings.cluster, (KEY,)))
 
     def _flush(self, seat: Seat) -> None:
-        output = seat.swim.take()
-        for sender, data in output.carried if seat.shared is not None else ():
+        output = seat.swim.take_output()
+        for sender, data in output.payloads if seat.shared is not None else ():
             seat.shared.handle(self._clock(seat.number), sender, data)
-        if output.carried:
-            output.letters += seat.swim.take().letters
+        if output.payloads:
+            output.datagrams += seat.swim.take_output().datagrams
         self.found += [(self.now, seat.number, row) for row in output.changes]
-        for _, at, letter in output.letters:
-            self._send(seat, int(at.partition(":")[2]), letter)
-        due = min(seat.swim.next_at(), seat.shared.next_at() if seat.shared is not None else float("inf"))
+        for _, at, datagram in output.datagrams:
+            self._send(seat, int(at.partition(":")[2]), datagram)
+        due = min(
+            seat.swim.next_tick_at(), seat.shared.next_tick_at() if seat.shared is not None else float("inf")
+        )
         due += self.now - self._clock(seat.number)
         if due != float("inf") and (seat.tick_due_ms < self.now or due < seat.tick_due_ms):
             seat.tick_due_ms = max(due, self.now)
             self._schedule(seat.tick_due_ms, seat.number, None)
 
-    def _send(self, seat: Seat, to: int, letter: Datagram) -> None:
-        data = seal(letter, KEY)
+    def _send(self, seat: Seat, to: int, datagram: Datagram) -> None:
+        data = seal(datagram, KEY)
         seat.sent += len(data)
         seat.letters += 1
         if (seat.number, to) in self.links.cut or self.rng.random() < self.links.loss:
@@ -162,7 +164,7 @@
 
     def up(self) -> list[Seat]:
         """Machines whose process runs and has not left the fleet."""
-        return [seat for seat in self.seats if seat.swim is not None and not seat.swim.left]
+        return [seat for seat in self.seats if seat.swim is not None and not seat.swim.has_left]
 
     def agreed(self) -> bool:
         """Whether each running member sees exactly the running members as alive."""
--- a/plumwall/model/places.py
+++ b/plumwall/model/places.py
@@ -28,7 +28,7 @@
     PlacementTable,
     add_machine,
     first_table,
-    name_of,
+    machine_name_of,
     next_table,
     remove_machine,
 )
@@ -83,7 +83,9 @@
         self.time_ms = 0.0
         self.cut_links: set[tuple[int, int]] = set()
         self.table = first_table(GROUPS, tuple(m.member for m in self.machines), COPIES, 0.0, {})
-        self.groups = {p.group: GroupState(p.members, {m.id for m in p.members}) for p in self.table.placed}
+        self.groups = {
+            p.group: GroupState(p.members, {m.id for m in p.members}) for p in self.table.placements
+        }
 
     def _new_member(self, name: str, zone: str) -> Member:
         return Member(f"{name}.{next(self._disk_numbers)}", name, zone, "", "")
@@ -319,9 +321,9 @@
         """Describe the first group that is not placed as wanted; empty if all are."""
         usable = [m.member for m in self.machines if m.member.name not in self.table.removed]
         wanted_zones = min(COPIES, len({m.zone for m in usable}))
-        for placed in self.table.placed:
+        for placed in self.table.placements:
             group = self.groups[placed.group]
-            if sorted(name_of(m.id) for m in group.members) != sorted(placed.machine_names):
+            if sorted(machine_name_of(m.id) for m in group.members) != sorted(placed.machine_names):
                 return (
                     f"{placed.group} is at {[m.id for m in group.members]}, wanted at {placed.machine_names}"
                 )
--- a/plumwall/model/planted.py
+++ b/plumwall/model/planted.py
@@ -51,9 +51,9 @@
     # Leaves the leases and the fencing token out of snapshots.
 
     def compact(self, now: float) -> None:
-        if self.applied > self.replica.snapshot.index:
+        if self.applied_index > self.replica.snapshot.index:
             state = {**self.store.snapshot(), "leases": [], "token": 0}
-            self.replica.compact(self.applied, encode_entry(state))
+            self.replica.compact(self.applied_index, encode_entry(state))
 
 
 class _RestoresOldTimes(Group):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -43,7 +43,7 @@
     return b"".join(parts)
 
 
-class Scripted(GatewayRig):
+class ScriptedServerRig(GatewayRig):
     """A rig whose only server runs a script on each of its connections."""
 
     def __init__(self, folder: Path, script: Script) -> None:
@@ -51,7 +51,7 @@
         self.script = script
         self.connections = 0
 
-    async def __aenter__(self) -> Scripted:
+    async def __aenter__(self) -> ScriptedServerRig:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             self.connections += 1
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -70,7 +70,7 @@
         self.server.close()
 
 
-async def told(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def echo_digest(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A server that answers each request with the length and digest of its body."""
     while True:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("piece", [1 << 20, 9973])
 def test_a_streamed_body_reaches_the_server_unchanged(tmp_path: Path, chunked: bool, piece: int) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             reader, writer = await rig.connect()
             for _ in range(2):  # the connection is kept open
                 if chunked:
@@ -112,7 +112,7 @@
             body = await body_of(head, reader)
             writer.write(reply(digest(body).encode()))
 
-        async with Scripted(tmp_path, slow) as rig:
+        async with ScriptedServerRig(tmp_path, slow) as rig:
             reader, writer = await rig.connect()
             long_body = BIG * 8
             writer.write(message("put", body=long_body))
@@ -146,7 +146,7 @@
                 if how == "close":
                     return
 
-        async with Scripted(tmp_path, answer) as rig:
+        async with ScriptedServerRig(tmp_path, answer) as rig:
             reader, writer = await rig.connect()
             for _ in range(2):
                 writer.write(message())
@@ -171,7 +171,7 @@
             writer.write(reply(BIG * 8))
             await writer.drain()
 
-        async with Scripted(tmp_path, answer) as rig:
+        async with ScriptedServerRig(tmp_path, answer) as rig:
             reader, writer = await rig.connect()
             writer.transport.pause_reading()
             writer.write(message())
@@ -206,7 +206,7 @@
 
         long_body = BIG * 2
         upload = message("put", body=long_body)
-        async with Scripted(tmp_path, stuck) as rig:
+        async with ScriptedServerRig(tmp_path, stuck) as rig:
             before = resident_mb(rig.process.pid)
             clients = [await rig.connect() for _ in range(50)]
             for i, (reader, writer) in enumerate(clients):
@@ -236,7 +236,7 @@
             writer.write(framed(how, BIG)[:-100_000])
             await writer.drain()
 
-        async with Scripted(tmp_path, breaks) as rig:
+        async with ScriptedServerRig(tmp_path, breaks) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             head = await reader.readuntil(b"\r\n\r\n")
@@ -258,7 +258,7 @@
             await end.wait()
             writer.write(in_chunks(b" last"))
 
-        async with Scripted(tmp_path, drips) as rig:
+        async with ScriptedServerRig(tmp_path, drips) as rig:
             reader, writer = await rig.connect()
             writer.write(message())
             head = await reader.readuntil(b"\r\n\r\n")
@@ -277,7 +277,7 @@
             writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 3000000\r\n\r\n")
             await reader.read()
 
-        async with Scripted(tmp_path, fails) as rig:
+        async with ScriptedServerRig(tmp_path, fails) as rig:
             assert await rig.status(message("pay", key=False)) == 503
 
     run_on_loop(scenario)
@@ -295,7 +295,7 @@
             await reader.readexactly(100_000)
             writer.write(answer)
 
-        async with Scripted(tmp_path, early) as rig:
+        async with ScriptedServerRig(tmp_path, early) as rig:
             reader, writer = await rig.connect()
             data = message("put", body=BIG)
             writer.write(data[:200_000])
@@ -319,7 +319,7 @@
                     pass
             gone.set()
 
-        async with Scripted(tmp_path, waits) as rig:
+        async with ScriptedServerRig(tmp_path, waits) as rig:
             _, writer = await rig.connect()
             writer.write(message("put", body=BIG)[:300_000])
             while not rig.connections:
@@ -333,7 +333,7 @@
 @pytest.mark.parametrize("size", [100, 3_000_000])
 def test_expect_100_continue_is_answered_once(tmp_path: Path, size: int) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             reader, writer = await rig.connect()
             data = message("put", body=b"x" * size, more="Expect: 100-continue\r\n")
             writer.write(data[:-size])
@@ -348,7 +348,7 @@
 
 def test_a_refused_request_with_expect_gets_no_100_continue(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             size = 3_000_000
             head = message("put", plan="small", body=b"x" * size, more="Expect: 100-continue\r\n")[:-size]
             lines = []
@@ -369,7 +369,7 @@
 
 def test_an_upgrade_header_is_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             reader, writer = await rig.connect()
             offer = "Connection: Upgrade\r\nUpgrade: h2c\r\n"
             for size in (0, 5, 200_000):
@@ -385,7 +385,7 @@
 
 def test_trailers_are_ignored(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             data = message("put", drop="Content-Length", more=CHUNKED)
             data += in_chunks(b"abc", last=b"0\r\nX-Class: pay\r\nX-Request-Id: other\r\n\r\n")
             assert await rig.status(data) == 200
@@ -395,7 +395,7 @@
 
 def test_a_body_below_the_minimum_rate_is_refused(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             data = message("put", body=b"z" * 300_000)
             slow_reader, slow = await rig.connect()
             slow.write(data[:100_000])  # the rest is never sent
--- a/tests/test_holding_groups.py
+++ b/tests/test_holding_groups.py
@@ -13,7 +13,7 @@
 
 from plumwall.faults.machines import HOST, Machine, Machines
 from yewstage.holding.group_names import LIST_GROUP, PLACEMENT_GROUP, group_of
-from yewstage.holding.placement import name_of
+from yewstage.holding.placement import machine_name_of
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
 
 KEYED = 3
@@ -56,7 +56,7 @@
 
 
 def machines_of(status: dict[str, dict[str, object]], group: str) -> set[str]:
-    return {name_of(member["id"]) for member in status[group]["members"]}
+    return {machine_name_of(member["id"]) for member in status[group]["members"]}
 
 
 def machines_by_group(status: dict[str, dict[str, object]]) -> dict[str, set[str]]:
@@ -139,7 +139,7 @@
             status = await machines.status(await machines.leader())
             for member in status["groups"][LIST_GROUP]["members"]:
                 if not member["voter"] and (member["behind"] or 0) > 0:
-                    return machines.by_name(name_of(member["id"]))
+                    return machines.by_name(machine_name_of(member["id"]))
             await asyncio.sleep(0.01)
 
     async def scenario(machines: Machines) -> None:
@@ -154,7 +154,7 @@
         learner = await machine_catching_up(machines)
         await learner.kill(disk_too=True)
         members = (await machines.status(await machines.leader()))["groups"][LIST_GROUP]["members"]
-        assert before <= {name_of(member["id"]) for member in members}  # no old member was removed
+        assert before <= {machine_name_of(member["id"]) for member in members}  # no old member was removed
         await machines.start(learner)
         status = await machines.wait_until_replicated()
         assert old.name not in machines_of(status, LIST_GROUP) and len(machines_of(status, LIST_GROUP)) == 3
@@ -217,7 +217,7 @@
         old.pause()
         others = [m for m in machines.all if m is not old]
         members: list[dict[str, object]] = []
-        while not any(not m["voter"] and name_of(m["id"]) == spare.name for m in members):
+        while not any(not m["voter"] and machine_name_of(m["id"]) == spare.name for m in members):
             led = [here for here in [await list_led_by(machines, m) for m in others] if here]
             members = led[0]["members"] if led else []
             await asyncio.sleep(0.01)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -22,7 +22,7 @@
 from plumwall.faults.members import MembersOutcome, MembersTorture
 from plumwall.faults.torture import PLANS, read_plan
 from plumwall.model.members import KEY, Net, fleet
-from yewstage.membership.config import peers
+from yewstage.membership.config import parse_peers
 from yewstage.membership.messages import (
     ALIVE,
     MAX_DATAGRAM_BYTES,
@@ -119,7 +119,7 @@
     before = swim.dropped["earlier life"]
     swim.handle(net._clock(0), unseal(old_datagram, "fleet", (KEY,)))
     assert swim.dropped["earlier life"] == before + 1
-    assert not any(seat.swim.contested for seat in net.seats)
+    assert not any(seat.swim.name_is_contested for seat in net.seats)
 
 
 def test_process_that_gives_way_reports_a_name_used_twice_and_incarnations_stay_low() -> None:
@@ -128,7 +128,7 @@
     net.start(5, name="g4")
     net.run(30_000)
     processes = [net.seats[4].swim, net.seats[5].swim]
-    assert any(swim.contested for swim in processes)
+    assert any(swim.name_is_contested for swim in processes)
     assert max(swim.own_row.incarnation for swim in processes) < 20
     winner = max(processes, key=lambda swim: swim.own_row.start_id)
     held = {next(r for r in seat.swim.rows() if r.name == "g4").start_id for seat in net.seats[:4]}
@@ -175,9 +175,9 @@
     max_bytes = [0]
     send = net._send
 
-    def record_size(seat, to, letter) -> None:
-        max_bytes[0] = max(max_bytes[0], len(seal(letter, KEY)))
-        send(seat, to, letter)
+    def record_size(seat, to, datagram) -> None:
+        max_bytes[0] = max(max_bytes[0], len(seal(datagram, KEY)))
+        send(seat, to, datagram)
 
     net._send = record_size
     net.run(8_000)
@@ -186,7 +186,7 @@
 
 def test_invalid_configuration_names_its_field() -> None:
     good = {"cluster": "c", "listen": f"{HOST}:0", "keys": [NEW_KEY]}
-    assert peers({"name": "g0", "peers": good}).keys == (bytes.fromhex(NEW_KEY),)
+    assert parse_peers({"name": "g0", "peers": good}).keys == (bytes.fromhex(NEW_KEY),)
     for change, field in (
         ({"keys": []}, "peers.keys"),
         ({"keys": ["zz"]}, r"peers.keys\[0\]"),
@@ -198,7 +198,7 @@
         ({"typo": 1}, "peers.typo"),
     ):
         with pytest.raises(ConfigError, match=field):
-            peers({"name": "g0", "peers": good | change})
+            parse_peers({"name": "g0", "peers": good | change})
 
 
 def test_membership_is_not_imported_without_peers() -> None:
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -37,7 +37,7 @@
     """Leader reports where every group is on the machines of the table."""
     return {
         p.group: LeaderReport(p.group, 1, tuple((f"{h}.1", True) for h in p.machine_names), ())
-        for p in table.placed
+        for p in table.placements
     }
 
 
@@ -69,8 +69,10 @@
 
 def test_replicas_of_a_group_are_in_different_zones_and_groups_spread_over_all_machines() -> None:
     table = first_table(GROUPS, NINE, 3, 0.0, {})
-    assert all(sorted(ZONE[h] for h in placed.machine_names) == ["a", "b", "c"] for placed in table.placed)
-    assert {h for placed in table.placed for h in placed.machine_names} == {m.name for m in NINE}
+    assert all(
+        sorted(ZONE[h] for h in placed.machine_names) == ["a", "b", "c"] for placed in table.placements
+    )
+    assert {h for placed in table.placements for h in placed.machine_names} == {m.name for m in NINE}
     assert next_table(healthy_view()) is None
     keys = [f"key-{i}" for i in range(4000)]
     shares = [sum(group_of(key, 8) == group for key in keys) for group in GROUPS[2:]]
@@ -93,7 +95,7 @@
     zones = {m.zone for m in NINE if m.name not in lost}
     epochs = [table.epoch for table in tables]
     assert epochs == sorted(set(epochs))
-    for placed in tables[-1].placed:
+    for placed in tables[-1].placements:
         assert len(set(placed.machine_names)) == 3 and not set(placed.machine_names) & lost
         assert {ZONE[h] for h in placed.machine_names} == zones or len(zones) > 3
     rng = random.Random(seed)
@@ -112,9 +114,9 @@
     view = healthy_view()
     lost = [name for name, zone in ZONE.items() if zone == first]
     table = tables_until_settled(with_lost(view, *lost))[-1]
-    assert any(sorted(ZONE[h] for h in p.machine_names) != ["a", "b", "c"] for p in table.placed)
+    assert any(sorted(ZONE[h] for h in p.machine_names) != ["a", "b", "c"] for p in table.placements)
     back = tables_until_settled(replace(view, table=table, reports=settled_reports(table)))[-1]
-    for placed in back.placed:
+    for placed in back.placements:
         assert sum(ZONE[h] == second for h in placed.machine_names) == 1, placed.machine_names
 
 
@@ -131,13 +133,15 @@
 
 def test_groups_with_the_fewest_live_replicas_move_first_and_few_at_a_time() -> None:
     view = with_lost(healthy_view(), "m0", "m3")
-    alive = {p.group: sum(h not in ("m0", "m3") for h in p.machine_names) for p in view.table.placed}
+    alive = {p.group: sum(h not in ("m0", "m3") for h in p.machine_names) for p in view.table.placements}
     affected = {group for group, n in alive.items() if n < 3}
     assert len(affected) > MAX_CONCURRENT_MOVES
     moving: list[str] = []
     while (table := next_table(view)) is not None:
         moving += [
-            p.group for p in table.placed if p.machine_names != view.table.placement_of(p.group).machine_names
+            p.group
+            for p in table.placements
+            if p.machine_names != view.table.placement_of(p.group).machine_names
         ]
         view = replace(view, table=table)  # no move completes
     assert len(moving) == MAX_CONCURRENT_MOVES == len(set(moving))
@@ -155,14 +159,14 @@
     }
     out = remove_machine(view, homes[0])
     after_removal = tables_until_settled(replace(view, table=out))[-1]
-    assert all(homes[0] not in p.machine_names for p in after_removal.placed) and after_removal.removed == (
-        homes[0],
-    )
+    assert all(
+        homes[0] not in p.machine_names for p in after_removal.placements
+    ) and after_removal.removed == (homes[0],)
     back = add_machine(replace(view, table=after_removal, reports=settled_reports(after_removal)), homes[0])
     again = tables_until_settled(replace(view, table=back, reports=settled_reports(back)))[-1]
     assert (
-        {p.group: set(p.machine_names) for p in again.placed}
-        == {p.group: set(p.machine_names) for p in view.table.placed}
+        {p.group: set(p.machine_names) for p in again.placements}
+        == {p.group: set(p.machine_names) for p in view.table.placements}
         and not again.removed
         and not again.joining
     )
@@ -188,4 +192,4 @@
     with pytest.raises(RefusedError, match="of epoch 2 now"):
         store.plan(second_change)
     again = PlacementStore.restored(None, store.snapshot(), 0.0)
-    assert again.table == store.table and isinstance(again.table.placed[0], GroupPlacement)
+    assert again.table == store.table and isinstance(again.table.placements[0], GroupPlacement)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -61,7 +61,7 @@
                     member.put(table, key, b"%d" % pick) if action == 1 else member.drop(table, key)
                 except FullTableError:
                     return
-                held = {k: c.value for k, c in member.own.entries.items() if c.value is not None}
+                held = {k: c.value for k, c in member.own_origin.entries.items() if c.value is not None}
                 self.history[member.own_name].append((self.now, held))
             case 3:
                 j = (i + 1 + pick % 3) % 4
@@ -187,7 +187,7 @@
         tables.drop("a", f"k{i}")
     for i in range(6):
         tables.put("a", f"big{i}", b"z" * MAX_VALUE_BYTES)  # more than fits into one page
-    assert tables.own.floor_version > 0 and len(tables.own.entries) <= 2 * tables.max_entries()
+    assert tables.own_origin.floor_version > 0 and len(tables.own_origin.entries) <= 2 * tables.max_entries()
     net.run(12_000)
     now = net._clock(2)
     held = {t.key for table in ("a", "b") for t in net.seats[2].shared.tables.read(table, now)}
@@ -208,7 +208,9 @@
     net.run(5_000)
     for seat in net.seats[1:]:
         copy = seat.shared.tables
-        assert copy.refused > 0 and "g0" not in {t.origin for t in copy.read("a", net._clock(seat.number))}
+        assert copy.refused_deltas > 0 and "g0" not in {
+            t.origin for t in copy.read("a", net._clock(seat.number))
+        }
 
 
 @pytest.mark.parametrize(("size", "loss"), [(12, 0.0), (12, 0.2), (60, 0.05)])
@@ -232,4 +234,4 @@
     net.until_agreed(10_000)
     shared = net.seats[0].shared
     shared.handle(0.0, net.seats[1].swim.own_row, b"\xc1")
-    assert shared.nonsense == 1
+    assert shared.undecodable == 1
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -11,7 +11,7 @@
 
 import pytest
 from conftest import FakeHttpServer, GatewayRig, SeenMessage, message, read_message, reply, run_on_loop
-from test_bodies import CHUNKED, Scripted, body_of, in_chunks, resident_mb, told
+from test_bodies import CHUNKED, ScriptedServerRig, body_of, echo_digest, in_chunks, resident_mb
 from test_net_parts import core_with
 
 from yewstage import interface as api
@@ -51,7 +51,7 @@
 
 def test_streamed_answers_to_clients_that_do_not_read_keep_within_the_budget(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, LongAnswerServer()) as rig:
+        async with ScriptedServerRig(tmp_path, LongAnswerServer()) as rig:
             peaks, clients = [], []
             before = resident_mb(rig.process.pid)
             for count in (25, 100):
@@ -107,7 +107,7 @@
                     await release_server.wait()
                 writer.write(reply(b"small"))
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             uploads = []
             status = 0
             while not status:
@@ -148,7 +148,7 @@
                 writer.write(reply(BIG * 8))
                 await writer.drain()
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, slow = await rig.connect()
             slow.write(message())
             await reader.readuntil(b"\r\n\r\n")
@@ -185,7 +185,7 @@
             writer.write(answer)
             await reader.read()  # until the gateway closes the connection
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, writer = await rig.connect()
             writer.write(message("put", body=BIG * 4)[: 2 * MB])  # the rest is sent later
             seen = await read_message(reader, writer)
@@ -216,7 +216,7 @@
                 writer.write(data)
                 await writer.drain()
 
-        async with Scripted(tmp_path, echo) as rig:
+        async with ScriptedServerRig(tmp_path, echo) as rig:
             reader, writer = await rig.connect()
             data = message("put", body=BIG * 6)
             body = data.index(b"\r\n\r\n") + 4
@@ -244,7 +244,7 @@
             await send_rest.wait()  # set once the client has received these bytes
             writer.write(b"4\r\nlast\r\n0\r\n\r\n")
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, writer = await rig.connect()
             writer.write(message("pay", key=False))
             head = await reader.readuntil(b"\r\n\r\n")
@@ -267,7 +267,7 @@
             else:
                 writer.write(reply(b"whole"))
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             assert (await rig.ask(message())).body == b"whole"
 
     run_on_loop(scenario)
@@ -275,7 +275,7 @@
 
 def test_requests_pipelined_behind_an_upload_are_answered_in_order(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             reader, writer = await rig.connect()
             writer.write(
                 message("put", body=BIG, rid=b"a")
@@ -315,7 +315,7 @@
             finally:
                 ended.set()
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, writer = await rig.connect()
             reader._transport.pause_reading()
             writer.write(message("put", body=BIG * 4)[: 2 * MB] if way == "up" else message())
@@ -344,7 +344,7 @@
             await writer.drain()
             writer.write_eof()
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             for n in range(2):
                 reader, writer = await rig.connect()
                 writer.write(message(rid=b"r%d" % n))
@@ -365,7 +365,7 @@
     tmp_path: Path,
 ) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             reader, writer = await rig.connect()
             writer.write(message("put", body=BIG) + b"and more than that")
             assert (await read_message(reader, writer)).body.split()[0] == b"1048576"
@@ -378,7 +378,7 @@
 
 def test_uploads_above_the_configured_limit_are_answered_413(tmp_path: Path) -> None:
     async def scenario() -> None:
-        async with Scripted(tmp_path, told) as rig:
+        async with ScriptedServerRig(tmp_path, echo_digest) as rig:
             assert await rig.status(message("put", body=BIG)) == 200
             assert await rig.status(message("put", body=BIG * 2 + b"x")) == 413
             reader, writer = await rig.connect()
@@ -482,7 +482,7 @@
             while data := await reader.read(65536):
                 got.append(data)
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, writer = await rig.connect()
             writer.write(
                 message("put", drop="Content-Length", more=CHUNKED) + in_chunks(BIG, last=invalid_chunk)
@@ -514,7 +514,7 @@
             body = await body_of(head, reader)
             writer.write(reply(b"%d" % len(body)))
 
-        rig = Scripted(tmp_path, host)
+        rig = ScriptedServerRig(tmp_path, host)
         rig.hold()
         async with rig:
             old = rig.process
@@ -555,7 +555,7 @@
                     writer.write(bytes([byte]))
                     await writer.drain()
 
-        async with Scripted(tmp_path, host) as rig:
+        async with ScriptedServerRig(tmp_path, host) as rig:
             reader, writer = await rig.connect()
             for byte in message("put", body=BIG[:300]):
                 writer.write(bytes([byte]))
--- a/yewstage/holding/__main__.py
+++ b/yewstage/holding/__main__.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from yewstage.holding.config import HoldingConfig, holding
+from yewstage.holding.config import HoldingConfig, holding_config
 from yewstage.holding.identity import Folder
 from yewstage.holding.node import Node
 from yewstage.log import FORMATS, Event, address_event, configure_logging
@@ -84,7 +84,7 @@
     parser.add_argument("--log-format", choices=FORMATS, help="overrides `log` of the file")
     options = parser.parse_args()
     try:
-        config = holding(read(options.config))
+        config = holding_config(read(options.config))
         folder = Folder(config.service.folder, config.cluster, config.name)
     except (ConfigError, DiskError) as error:
         print(error, file=sys.stderr)
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -24,8 +24,8 @@
     PlacementTable,
     add_machine,
     first_table,
+    machine_name_of,
     move_copy,
-    name_of,
     remove_machine,
 )
 from yewstage.holding.recover import FORMAT as BACKUP_FORMAT
@@ -120,7 +120,7 @@
                 "copies": replicas.config.copies,
                 "begun": bool(groups_with_state),
                 "epoch": table.epoch,
-                "homes": {p.group: list(p.machine_names) for p in table.placed},
+                "homes": {p.group: list(p.machine_names) for p in table.placements},
                 "out": list(table.removed),
                 "usedTwice": duplicate_names(replicas.present_members()),
                 "present": sorted(m.name for m in replicas.present_members()),
@@ -155,7 +155,7 @@
             "term": replica.term,
             "leader": replica.leader,
             "commit": replica.commit_index,
-            "applied": backend.group.applied,
+            "applied": backend.group.applied_index,
             "short": replicas.missing_copies(group),
             "ageMs": round(age) if age < 1e9 else None,
             "members": rows,
@@ -196,14 +196,16 @@
                 m.name for m in replicas.backends[LIST_GROUP].group.replica.members
             )
         elif list_report is not None:
-            existing_homes[LIST_GROUP] = tuple(name_of(member) for member, _ in list_report[0].members)
+            existing_homes[LIST_GROUP] = tuple(
+                machine_name_of(member) for member, _ in list_report[0].members
+            )
         table = first_table(all_group_names(init.keyed), members, copies, init.first, existing_homes)
         self._spawn(self._begin(table, caller))
         return None
 
     async def _begin(self, table: PlacementTable, caller: HttpConnection) -> None:
         await self._replicas.bootstrap_cluster(table)
-        caller.answer(json_response(200, {"groups": len(table.placed)}))
+        caller.answer(json_response(200, {"groups": len(table.placements)}))
 
     # --- Placement, leadership and backups ----------------------------------------------------------------
 
@@ -240,7 +242,7 @@
             await replicas.backends[PLACEMENT_GROUP].confirm()
             table = next_table(replicas.cluster_view())
             await replicas.backends[PLACEMENT_GROUP].write(lambda store, now: store.plan(table))
-            return {"epoch": table.epoch, "homes": {p.group: list(p.machine_names) for p in table.placed}}
+            return {"epoch": table.epoch, "homes": {p.group: list(p.machine_names) for p in table.placements}}
 
         await self._run_and_answer(caller, change)
 
@@ -291,7 +293,7 @@
                 "format": BACKUP_FORMAT,
                 "cluster": self._replicas.config.cluster,
                 "group": group,
-                "index": backend.group.applied,
+                "index": backend.group.applied_index,
                 "state": msgspec.to_builtins(backend.store.snapshot()),
             }
 
@@ -313,7 +315,7 @@
     ) -> HttpResponse | None:
         """A call for one key: served here by the leader of its group, else redirected to that leader."""
         key, _, verb = call.path.removeprefix(prefix).partition("/")
-        key_group_count = sum(p.group.startswith(KEY_GROUP_PREFIX) for p in self._replicas.table.placed)
+        key_group_count = sum(p.group.startswith(KEY_GROUP_PREFIX) for p in self._replicas.table.placements)
         if call.method != "POST" or verb not in verbs:
             return error_response(405 if verb in verbs else 404, "no such call")
         if not NAME.fullmatch(key):
--- a/yewstage/holding/config.py
+++ b/yewstage/holding/config.py
@@ -26,7 +26,7 @@
     service: Config
 
 
-def holding(raw: Mapping[str, object]) -> HoldingConfig:
+def holding_config(raw: Mapping[str, object]) -> HoldingConfig:
     """Read the configuration; ConfigError names the field that is wrong."""
     fields = Fields(raw)
     known = Settings()
--- a/yewstage/holding/group.py
+++ b/yewstage/holding/group.py
@@ -66,7 +66,7 @@
 
     messages: list[AnyMessage] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
-    done: list[Completion] = field(default_factory=list)
+    completions: list[Completion] = field(default_factory=list)
     changed: bool = False  # whether committed entries changed `store`
 
 
@@ -105,7 +105,7 @@
         # All proposed entries are applied to it; None unless this replica is the leader.
         self.speculative_store: ReplicatedStore | None = None
         self._planned_in_term = 0  # proposals of an earlier term may have been overwritten
-        self.applied = 0
+        self.applied_index = 0
         self.entries_since_snapshot = 0
         self._pending_writes: deque[_Pending] = deque()  # in order of index
         self._pending_confirms: dict[int, _Pending] = {}
@@ -189,7 +189,7 @@
         if out.install is not None:
             self._install_snapshot(out, result, now)
         for entry in out.committed:
-            self.applied = entry.index
+            self.applied_index = entry.index
             self.entries_since_snapshot += 1
             if entry.kind == DATA:
                 self.store.apply(decode_entry(entry.data), now)
@@ -200,35 +200,35 @@
 
     def _install_snapshot(self, out: Output, result: GroupOutput, now: float) -> None:
         self.store = self._store_type.restored(self.rules, decode_entry(out.install.data), now)
-        self.applied, self.entries_since_snapshot = out.install.index, 0
+        self.applied_index, self.entries_since_snapshot = out.install.index, 0
         result.changed = True
 
     def _complete_tickets(self, out: Output, result: GroupOutput) -> None:
-        while self._pending_writes and self._pending_writes[0].index <= self.applied:
+        while self._pending_writes and self._pending_writes[0].index <= self.applied_index:
             pending = self._pending_writes.popleft()
             # Another leader may have put its own entry at this index. The entry is the one proposed here only
             # if its term is that of the proposal.
             is_ours = self.replica.term_at(pending.index) == pending.term
-            result.done.append(Completion(pending.ticket, None if is_ours else LeadershipLostError()))
+            result.completions.append(Completion(pending.ticket, None if is_ours else LeadershipLostError()))
         for ticket in out.lost_reads:
             if self._pending_confirms.pop(ticket, None) is not None:
-                result.done.append(Completion(ticket, LeadershipLostError()))
+                result.completions.append(Completion(ticket, LeadershipLostError()))
         for ticket, index in out.reads:
             pending = self._pending_confirms.get(ticket)
             if pending is not None:
                 pending.index, pending.confirmed = max(pending.index, index), True
         for pending in [
-            w for w in self._pending_confirms.values() if w.confirmed and w.index <= self.applied
+            w for w in self._pending_confirms.values() if w.confirmed and w.index <= self.applied_index
         ]:
             del self._pending_confirms[pending.ticket]
-            result.done.append(Completion(pending.ticket, pending.error))
+            result.completions.append(Completion(pending.ticket, pending.error))
 
     def _update_leadership(self, now: float, result: GroupOutput) -> None:
         if self.is_leader():
             return
         if self.speculative_store is not None or self._pending_confirms or self._pending_writes:
             self.speculative_store = None
-            result.done += [
+            result.completions += [
                 Completion(w.ticket, LeadershipLostError())
                 for w in (*self._pending_writes, *self._pending_confirms.values())
             ]
@@ -242,12 +242,12 @@
 
     def compact(self, now: float) -> None:
         """Replace all applied entries of the log by a snapshot of the store."""
-        if self.applied > self.replica.snapshot.index:
-            self.replica.compact(self.applied, encode_entry(self.store.snapshot()))
+        if self.applied_index > self.replica.snapshot.index:
+            self.replica.compact(self.applied_index, encode_entry(self.store.snapshot()))
             self.entries_since_snapshot = 0
 
 
-def first_data(rules: Rules, wall_ms: float) -> bytes:
+def initial_list_state(rules: Rules, wall_ms: float) -> bytes:
     """The initial state of the list group.
 
     Its revision starts at `wall_ms` (Unix time in ms), above any revision that an earlier service can have
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -15,7 +15,7 @@
 from yewstage.holding.identity import Folder
 from yewstage.holding.link import VERSION, GroupMessage, Hello, Link, PeerConnection, frame
 from yewstage.holding.list_forwarder import ListForwarder
-from yewstage.holding.placement import name_of
+from yewstage.holding.placement import machine_name_of
 from yewstage.holding.replicas import Replicas
 from yewstage.log import address_event
 from yewstage.metrics import Metric, counter, gauge, labelled_gauge
@@ -171,7 +171,7 @@
         return (host, int(port)) if host else None
 
     def _send(self, group: str, message: AnyMessage) -> None:
-        name = name_of(message.dst)
+        name = machine_name_of(message.dst)
         if name == self.config.name:
             return  # an earlier disk of this machine
         (self._links.get(name) or self._add_link(name)).send(frame(GroupMessage(group, message)))
--- a/yewstage/holding/peer_reports.py
+++ b/yewstage/holding/peer_reports.py
@@ -60,7 +60,7 @@
         heard_at: dict[str, float] = {}
         for member, at in self.last_hellos.values():
             heard_at[member.name] = max(heard_at.get(member.name, 0.0), at)
-        names = {name for placed in table.placed for name in placed.machine_names}
+        names = {name for placed in table.placements for name in placed.machine_names}
         reports = {
             g: entry[0] for g, entry in self.leader_reports.items() if now - entry[2] <= PRESENCE_TIMEOUT_MS
         }
--- a/yewstage/holding/placement.py
+++ b/yewstage/holding/placement.py
@@ -34,20 +34,20 @@
     """The placement of all groups. Each change raises the epoch by one."""
 
     epoch: int = 0  # 0: no table was agreed on yet
-    placed: tuple[GroupPlacement, ...] = ()
+    placements: tuple[GroupPlacement, ...] = ()
     removed: tuple[str, ...] = ()  # machines that an operator removed
     joining: tuple[str, ...] = ()  # machines that an operator added and whose groups still have to move
 
     def placement_of(self, group: str) -> GroupPlacement | None:
         """The placement of one group; None if it is not in the table."""
-        return next((p for p in self.placed if p.group == group), None)
+        return next((p for p in self.placements if p.group == group), None)
 
     def with_homes(self, group: str, homes: tuple[str, ...]) -> PlacementTable:
         """The next table, with other machines for one group."""
         placed = tuple(
-            structs.replace(p, machine_names=homes) if p.group == group else p for p in self.placed
+            structs.replace(p, machine_names=homes) if p.group == group else p for p in self.placements
         )
-        return structs.replace(self, epoch=self.epoch + 1, placed=placed)
+        return structs.replace(self, epoch=self.epoch + 1, placements=placed)
 
 
 class LeaderReport(msgspec.Struct, frozen=True, array_like=True):
@@ -87,7 +87,7 @@
         return cls(rules, msgspec.convert(state["table"], PlacementTable))
 
 
-def name_of(member_id: str) -> str:
+def machine_name_of(member_id: str) -> str:
     """The name of the machine that a member id (NAME.DISK) belongs to."""
     return member_id.rpartition(".")[0]
 
@@ -150,7 +150,7 @@
     replicas goes first. A group has one change at a time, and at most MAX_CONCURRENT_MOVES groups move.
     """
     table = view.table
-    order = sorted(table.placed, key=lambda p: (_live_copies(view, p), p.group))
+    order = sorted(table.placements, key=lambda p: (_live_copies(view, p), p.group))
     moving = {p.group for p in order if not _is_settled(view, p)}
     for placed in order:
         if placed.group in view.reports and len(moving - {placed.group}) < MAX_CONCURRENT_MOVES:
@@ -194,7 +194,9 @@
 def remove_machine(view: ClusterView, name: str) -> PlacementTable:
     """The table after an operator removed a machine; RefusedError names the field."""
     table = view.table
-    if all(name not in p.machine_names for p in table.placed) and all(m.name != name for m in view.present):
+    if all(name not in p.machine_names for p in table.placements) and all(
+        m.name != name for m in view.present
+    ):
         raise RefusedError(404, f"no machine {name}", "name")
     removed = tuple(sorted({*table.removed, name}))
     remaining = [m for m in view.present if m.name not in removed]
@@ -229,7 +231,7 @@
     report = view.reports.get(placed.group)
     if report is None:
         return False
-    names = [name_of(member) for member, voter in report.members if voter]
+    names = [machine_name_of(member) for member, voter in report.members if voter]
     return sorted(names) == sorted(placed.machine_names) and len(names) == len(report.members)
 
 
@@ -237,7 +239,7 @@
     """Whether a machine is to be replaced: both this process and the group's leader miss it."""
     is_present = any(m.name == name for m in view.present)
     is_missed_by_leader = all(
-        member in report.lost for member, _ in report.members if name_of(member) == name
+        member in report.lost for member, _ in report.members if machine_name_of(member) == name
     )
     return not is_present and view.silent_ms.get(name, 0.0) > view.gone_ms and is_missed_by_leader
 
@@ -248,7 +250,7 @@
     report = view.reports[placed.group]
     to_replace = [h for h in placed.machine_names if _is_lost(view, report, h)]
     to_replace += [h for h in placed.machine_names if h in view.table.removed and h not in to_replace]
-    voters = {name_of(member) for member, voter in report.members if voter}
+    voters = {machine_name_of(member) for member, voter in report.members if voter}
     if any(h not in voters for h in placed.machine_names if h not in to_replace):
         return None  # a replica is still catching up
     kept = (
--- a/yewstage/holding/recover.py
+++ b/yewstage/holding/recover.py
@@ -106,7 +106,7 @@
     placement_backup = backups.get(PLACEMENT_GROUP)
     if placement_backup is not None:
         table = msgspec.convert(placement_backup.state["table"], PlacementTable)
-        keyed |= {p.group for p in table.placed if p.group.startswith(KEY_GROUP_PREFIX)}
+        keyed |= {p.group for p in table.placements if p.group.startswith(KEY_GROUP_PREFIX)}
     return all_group_names(max((int(group.removeprefix(KEY_GROUP_PREFIX)) for group in keyed), default=0))
 
 
--- a/yewstage/holding/replicas.py
+++ b/yewstage/holding/replicas.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 
 from yewstage.holding.config import HoldingConfig
-from yewstage.holding.group import Group, encode_entry, first_data
+from yewstage.holding.group import Group, encode_entry, initial_list_state
 from yewstage.holding.group_names import GROUP_NAME, LIST_GROUP, PLACEMENT_GROUP, store_type_of
 from yewstage.holding.identity import Folder
 from yewstage.holding.member_changes import GroupView, lost_members, next_change
@@ -149,7 +149,7 @@
         if table.epoch > self.table.epoch:
             self.table = table
             self._changed()
-        for placed in self.table.placed:
+        for placed in self.table.placements:
             if placed.group != PLACEMENT_GROUP and any(m.id == self.me.id for m in placed.members):
                 self._bootstrap_placed(placed)
 
@@ -168,7 +168,7 @@
 
     def _initial_state(self, placed: GroupPlacement) -> bytes:
         if placed.group == LIST_GROUP:
-            return first_data(self.config.service.rules, placed.began_at_ms)
+            return initial_list_state(self.config.service.rules, placed.began_at_ms)
         return encode_entry(store_type_of(placed.group)(self.config.service.rules).snapshot())
 
     async def bootstrap(self, group: str, members: Members, data: bytes) -> None:
@@ -353,7 +353,7 @@
             return  # the next round tries again
         homes = {
             p.group: p.machine_names
-            for p in table.placed
+            for p in table.placements
             if p.machine_names != self.table.placement_of(p.group).machine_names
         }
         log.info(Event("places", "placement changed: {homes}", homes=str(homes)))
--- a/yewstage/holding/replicated_backend.py
+++ b/yewstage/holding/replicated_backend.py
@@ -174,7 +174,7 @@
             self._writing = self._loop.create_task(self._write_queued())
         if result.changed:
             self.changed()
-        for done in result.done:
+        for done in result.completions:
             future = self._futures.pop(done.ticket, None)
             if future is not None and not future.done():
                 future.set_result(done.error)
--- a/yewstage/membership/config.py
+++ b/yewstage/membership/config.py
@@ -26,7 +26,7 @@
     settings: Settings
 
 
-def peers(config_fields: Mapping[str, object]) -> PeersConfig:
+def parse_peers(config_fields: Mapping[str, object]) -> PeersConfig:
     """Parse the `peers` section of a whole gateway configuration. The gateway's `name` is its member name.
     Raises ConfigError, which names the field."""
     Fields(config_fields).name("name")
--- a/yewstage/membership/messages.py
+++ b/yewstage/membership/messages.py
@@ -17,7 +17,7 @@
 MAC_BYTES = 16  # of the HMAC-SHA-256, which is sent truncated
 DIGEST_BUCKETS = 32  # members are assigned to buckets by name; anti-entropy compares one digest per bucket
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-STATES = ("alive", "suspect", "dead", "left")
+STATE_NAMES = ("alive", "suspect", "dead", "left")
 
 
 class BadDatagramError(ValueError):
@@ -29,12 +29,12 @@
 
     name: str
     start_id: int  # differs for each process that has used the name
-    at: str  # HOST:PORT of the member's UDP socket
+    address: str  # HOST:PORT of the member's UDP socket
     zone: str
     region: str
     incarnation: int  # raised by the member itself only
     state: int = ALIVE
-    by: str = ""  # name of the member that suspects it or declared it dead
+    reported_by: str = ""  # name of the member that suspects it or declared it dead
 
     def rank(self) -> tuple[int, int, int]:
         """Sort key; of two rows for a name the one with the greater rank wins: the higher incarnation, then
--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -74,7 +74,7 @@
     """What is known of another member."""
 
     row: MemberRow
-    since: float  # when it entered its present state
+    state_since: float  # when it entered its present state
     suspected_by: set[str] = field(default_factory=set)
     highest_serial: int = 0  # of datagrams of its present process
     seen_serials: int = 0  # bit i is set if the serial i below the highest was received
@@ -101,13 +101,13 @@
 
 @dataclass(slots=True)
 class Output:
-    """Everything produced since the last call of `take`: datagrams to send, each with the receiver's name
+    """Everything produced since the last call of `take_output`: datagrams to send, each with the receiver's name
     (empty if unknown) and address, and rows that changed."""
 
-    letters: list[tuple[str, str, Datagram]] = field(default_factory=list)
+    datagrams: list[tuple[str, str, Datagram]] = field(default_factory=list)
     changes: list[MemberRow] = field(default_factory=list)
     # sender and data of each payload received
-    carried: list[tuple[MemberRow, bytes]] = field(default_factory=list)
+    payloads: list[tuple[MemberRow, bytes]] = field(default_factory=list)
 
 
 class Swim:
@@ -120,12 +120,12 @@
         has used. `seeds` are addresses of members to join through.
         """
         self.own_row, self.settings, self.seeds, self._rng = own_row, settings, tuple(seeds), rng
-        self.peers: dict[str, PeerState] = {}
-        self.health = 0  # the local health multiplier: 0 is healthy, MAX_LOCAL_HEALTH the worst
+        self.peer_states: dict[str, PeerState] = {}
+        self.local_health = 0  # the local health multiplier: 0 is healthy, MAX_LOCAL_HEALTH the worst
         self._output = Output()
         self.dropped: Counter[str] = Counter()  # datagrams, by reason
         self.suspicions = self.false_suspicions = self.refuted = 0
-        self.contested = False  # another live process uses our name and takes precedence
+        self.name_is_contested = False  # another live process uses our name and takes precedence
         self._conflicts: list[float] = []  # when other live processes were seen to use our name
         self._last_serial = 0
         self._transmissions: dict[str, int] = {}  # by name of each new row: how often it was sent
@@ -136,7 +136,7 @@
         self._next_probe_at = now + rng.random() * settings.period_ms
         self._next_sync_at = now
         self._last_active_at = now
-        self.left = False
+        self.has_left = False
         self._digests = [0] * DIGEST_BUCKETS
         self._update_digests(None, own_row)
 
@@ -144,13 +144,13 @@
 
     def rows(self) -> list[MemberRow]:
         """The rows of all known members, this one first."""
-        return [self.own_row, *(other.row for other in self.peers.values())]
+        return [self.own_row, *(other.row for other in self.peer_states.values())]
 
     def alive(self) -> list[MemberRow]:
         """The rows of the other members that are alive or suspect."""
-        return [other.row for other in self.peers.values() if other.row.state in (ALIVE, SUSPECT)]
+        return [other.row for other in self.peer_states.values() if other.row.state in (ALIVE, SUSPECT)]
 
-    def next_at(self) -> float:
+    def next_tick_at(self) -> float:
         """The time by which `tick` has to be called."""
         times = [self._next_probe_at, self._next_sync_at]
         if self._probe is not None:
@@ -158,7 +158,7 @@
         times += [indirect.ends_at for indirect in self._indirect_probes.values()]
         return min(times)
 
-    def take(self) -> Output:
+    def take_output(self) -> Output:
         """Take everything produced since the last call; the caller sends the datagrams."""
         output, self._output = self._output, Output()
         return output
@@ -183,7 +183,7 @@
     def tick(self, now: float) -> None:
         """Do all that is due by `now`."""
         self._compensate_pause(now)
-        if self.left:
+        if self.has_left:
             self._next_probe_at = self._next_sync_at = float("inf")
             return
         probe = self._probe
@@ -209,17 +209,17 @@
         """After this process was paused for more than a period, drop its open probes, extend all suspicions
         by the pause and raise the local health multiplier. Otherwise it would declare members dead whose
         answers and refutations it could not receive."""
-        paused_ms = now - max(self._last_active_at, self.next_at())
+        paused_ms = now - max(self._last_active_at, self.next_tick_at())
         self._last_active_at = now
         if paused_ms <= self.settings.period_ms:
             return
         self._probe, self._indirect_probes = None, {}
-        self.health = min(self.health + 1, MAX_LOCAL_HEALTH)
-        for other in self.peers.values():
-            other.since += paused_ms
+        self.local_health = min(self.local_health + 1, MAX_LOCAL_HEALTH)
+        for other in self.peer_states.values():
+            other.state_since += paused_ms
 
     def _probe_interval_ms(self) -> float:
-        return self.settings.period_ms * (self.health + 1)
+        return self.settings.period_ms * (self.local_health + 1)
 
     # --- Probes -------------------------------------------------------------------------------------------
 
@@ -230,11 +230,11 @@
             if not self._probe_order:  # every member is probed once, in random order, before any is again
                 self._probe_order = [row.name for row in self.alive()]
                 self._rng.shuffle(self._probe_order)
-            other = self.peers.get(self._probe_order.pop())
+            other = self.peer_states.get(self._probe_order.pop())
             if other is None or other.row.state not in (ALIVE, SUSPECT):
                 continue
             self._last_probe_number += 1
-            answer_ms = self.settings.answer_ms * (self.health + 1)
+            answer_ms = self.settings.answer_ms * (self.local_health + 1)
             self._probe = _Probe(
                 self._last_probe_number, other.row, now + answer_ms, now + self._probe_interval_ms()
             )
@@ -259,25 +259,25 @@
         self._probe = None
         missing_nacks = probe.ping_requests - probe.nacks
         self._adjust_health(missing_nacks if probe.ping_requests else 1)
-        other = self.peers.get(probe.target.name)
+        other = self.peer_states.get(probe.target.name)
         if other is not None and other.row.rank() == probe.target.rank() and other.row.state == ALIVE:
             self.suspicions += 1
-            self._merge_row(structs.replace(other.row, state=SUSPECT, by=self.own_row.name), now)
+            self._merge_row(structs.replace(other.row, state=SUSPECT, reported_by=self.own_row.name), now)
         elif other is not None and other.row.state == SUSPECT and other.row.start_id == probe.target.start_id:
-            self._merge_row(structs.replace(other.row, by=self.own_row.name), now)
+            self._merge_row(structs.replace(other.row, reported_by=self.own_row.name), now)
 
     def _adjust_health(self, change: int) -> None:
-        self.health = min(max(self.health + change, 0), MAX_LOCAL_HEALTH)
+        self.local_health = min(max(self.local_health + change, 0), MAX_LOCAL_HEALTH)
 
     def _expire_members(self, now: float) -> None:
         """Declare suspects dead after the suspicion time-out, and remove members that are dead or have left
         after the retention period."""
-        for other in list(self.peers.values()):
-            state, elapsed_ms = other.row.state, now - other.since
+        for other in list(self.peer_states.values()):
+            state, elapsed_ms = other.row.state, now - other.state_since
             if state == SUSPECT and elapsed_ms >= self.suspicion_timeout_ms(len(other.suspected_by) - 1):
-                self._merge_row(structs.replace(other.row, state=DEAD, by=self.own_row.name), now)
+                self._merge_row(structs.replace(other.row, state=DEAD, reported_by=self.own_row.name), now)
             elif state in (DEAD, LEFT) and elapsed_ms >= RETENTION_PERIODS * self.settings.period_ms:
-                del self.peers[other.row.name]
+                del self.peer_states[other.row.name]
                 self._update_digests(other.row, None)
                 self._transmissions.pop(other.row.name, None)
 
@@ -290,10 +290,12 @@
         digests = Sync(self.digests())
         if members:
             self._send(self._rng.choice(members), digests)
-        dead_addresses = [other.row.at for other in self.peers.values() if other.row.state == DEAD]
-        live_addresses = {row.at for row in members}
+        dead_addresses = [other.row.address for other in self.peer_states.values() if other.row.state == DEAD]
+        live_addresses = {row.address for row in members}
         unreached = [
-            at for at in (*dead_addresses, *self.seeds) if at not in live_addresses and at != self.own_row.at
+            at
+            for at in (*dead_addresses, *self.seeds)
+            if at not in live_addresses and at != self.own_row.address
         ]
         if unreached and (not members or self._rng.random() < 0.5):
             self._send_to_address(self._rng.choice(unreached), digests)
@@ -330,7 +332,7 @@
         """Process one datagram. Datagrams may arrive late, repeatedly and in any order."""
         self._compensate_pause(now)
         sender = datagram.sender
-        if self.left or not self._accept_sender(datagram, now):
+        if self.has_left or not self._accept_sender(datagram, now):
             return
         match datagram.message:
             case Ping():
@@ -351,7 +353,7 @@
             case Page():
                 self._on_page(datagram.message, now)
             case Payload():
-                self._output.carried.append((sender, datagram.message.data))
+                self._output.payloads.append((sender, datagram.message.data))
 
     def _accept_sender(self, datagram: Datagram, now: float) -> bool:
         """Merge the sender's row; True if the datagram is no duplicate and its sender is the present process
@@ -363,17 +365,17 @@
                 self._merge_row(sender, now)
                 # only these are answered: otherwise the two would answer each other's answers without end
                 if isinstance(datagram.message, Ping | Sync):
-                    self._send_to_address(sender.at, Page((self.own_row,)))
+                    self._send_to_address(sender.address, Page((self.own_row,)))
             self.dropped["own name"] += 1
             return False
-        known = self.peers.get(sender.name)
+        known = self.peer_states.get(sender.name)
         if known is not None and known.row.start_id != sender.start_id and known.row.rank() > sender.rank():
             self.dropped["earlier life"] += 1
             if isinstance(datagram.message, Ping | Sync):
                 self._send(sender, Page((known.row,)))
             return False
         self._merge_row(sender, now)
-        known = self.peers.get(sender.name)
+        known = self.peer_states.get(sender.name)
         if (
             known is None
             or known.row.start_id != sender.start_id
@@ -408,7 +410,7 @@
 
     # --- Rows ---------------------------------------------------------------------------------------------
 
-    def know(self, row: MemberRow, now: float) -> None:
+    def merge_known_row(self, row: MemberRow, now: float) -> None:
         """Merge a row of another member that was learnt outside the protocol, without disseminating it."""
         if row.name != self.own_row.name and self._merge_row(row, now):
             del self._transmissions[row.name]
@@ -417,15 +419,15 @@
         """Apply a row that a member has reported; True if it changed what is known."""
         if row.name == self.own_row.name:
             return self._merge_own_row(row, now)
-        known = self.peers.get(row.name)
+        known = self.peer_states.get(row.name)
         if known is None:
             if row.state == DEAD and row.incarnation <= 0:
                 return False
-            known = self.peers[row.name] = PeerState(row, now)
+            known = self.peer_states[row.name] = PeerState(row, now)
             self._update_digests(None, row)
         else:
             if row.state == SUSPECT and known.row.rank() == row.rank():
-                return self._add_confirmation(known, row.by)
+                return self._add_confirmation(known, row.reported_by)
             if row.rank() <= known.row.rank():
                 return False
             if known.row.state == SUSPECT and row.state == ALIVE and row.start_id == known.row.start_id:
@@ -433,10 +435,10 @@
             if row.start_id != known.row.start_id:
                 known.highest_serial = known.seen_serials = 0
             self._update_digests(known.row, row)
-            known.row, known.since = row, now
+            known.row, known.state_since = row, now
             known.suspected_by = set()
         if row.state == SUSPECT:
-            known.suspected_by.add(row.by)
+            known.suspected_by.add(row.reported_by)
         self._transmissions[row.name] = 0
         self._output.changes.append(row)
         return True
@@ -447,14 +449,14 @@
         if by in known.suspected_by or len(known.suspected_by) > MAX_CONFIRMATIONS:
             return False
         known.suspected_by.add(by)
-        known.row = structs.replace(known.row, by=by)
+        known.row = structs.replace(known.row, reported_by=by)
         self._transmissions[known.row.name] = 0
         return True
 
     def _merge_own_row(self, row: MemberRow, now: float) -> bool:
         """Apply a row under our own name. A suspicion or a death is refuted with a higher incarnation."""
         if row.start_id == self.own_row.start_id:
-            if row.state == ALIVE or row.incarnation < self.own_row.incarnation or self.left:
+            if row.state == ALIVE or row.incarnation < self.own_row.incarnation or self.has_left:
                 return False
             self._raise_incarnation(row.incarnation)
             self.refuted += 1
@@ -468,9 +470,9 @@
         # second one within the window the process with the lower `start_id` gives way, and both conflicts are
         # reported. Otherwise two live processes with one name would raise their incarnations without end.
         if len(self._conflicts) > 1 and row.start_id > self.own_row.start_id:
-            self.contested = True
+            self.name_is_contested = True
             return False
-        self.contested = len(self._conflicts) > 1
+        self.name_is_contested = len(self._conflicts) > 1
         self._raise_incarnation(row.incarnation)
         return True
 
@@ -493,19 +495,19 @@
         members = self.alive()
         for row in self._rng.sample(members, min(len(members), RETRANSMIT_FACTOR * INDIRECT_PROBE_MEMBERS)):
             self._send(row, Page((self.own_row,)))
-        self.left = True
+        self.has_left = True
 
     # --- Sending ------------------------------------------------------------------------------------------
 
     def _send(self, to: MemberRow, message: Message) -> None:
-        self._send_to_address(to.at, message, to.name)
+        self._send_to_address(to.address, message, to.name)
 
     def _send_to_address(self, at: str, message: Message, name: str = "") -> None:
         self._last_serial += 1
         if isinstance(message, Ping | Ack | PingRequest):
             rows = (*message.rows, *self._rows_to_disseminate(self._free_bytes(message)))
             message = structs.replace(message, rows=rows)
-        self._output.letters.append((name, at, self._datagram(message)))
+        self._output.datagrams.append((name, at, self._datagram(message)))
 
     def _datagram(self, message: Message) -> Datagram:
         return Datagram(self.settings.cluster, self.own_row, self._last_serial, message)
@@ -517,9 +519,9 @@
     def _rows_to_disseminate(self, free_bytes: int) -> Iterator[MemberRow]:
         """New rows that fit, those sent least often first. A row is dropped from the new ones after
         RETRANSMIT_FACTOR times the logarithm of the members."""
-        max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.peers) + 2))
+        max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log10(len(self.peer_states) + 2))
         for name in sorted(self._transmissions, key=lambda n: self._transmissions[n]):
-            row = self.own_row if name == self.own_row.name else self.peers[name].row
+            row = self.own_row if name == self.own_row.name else self.peer_states[name].row
             free_bytes -= encoded_bytes(row)
             if free_bytes < 0:
                 return
--- a/yewstage/net/config.py
+++ b/yewstage/net/config.py
@@ -213,9 +213,9 @@
 def _peers(raw: Mapping[str, object]) -> PeersConfig | None:
     if raw.get("peers") is None:
         return None
-    from yewstage.membership.config import peers  # imported only where it is used, to save memory
+    from yewstage.membership.config import parse_peers  # imported only where it is used, to save memory
 
-    return peers(raw)
+    return parse_peers(raw)
 
 
 def _log_format(raw: Mapping[str, object]) -> str:
--- a/yewstage/net/peers.py
+++ b/yewstage/net/peers.py
@@ -17,7 +17,7 @@
 
 from yewstage.log import Event
 from yewstage.membership.config import PeersConfig
-from yewstage.membership.messages import ALIVE, STATES, BadDatagramError, MemberRow, seal, unseal
+from yewstage.membership.messages import ALIVE, STATE_NAMES, BadDatagramError, MemberRow, seal, unseal
 from yewstage.membership.swim import Swim
 from yewstage.net.config import Address, address
 from yewstage.shared.anti_entropy import SharedTables
@@ -80,7 +80,7 @@
 
     def leave(self) -> None:
         """Announce that this member leaves; later datagrams are ignored."""
-        if self.swim is not None and not self.swim.left:
+        if self.swim is not None and not self.swim.has_left:
             self.swim.leave(self._now_ms())
             self._flush_output()
 
@@ -129,7 +129,7 @@
             return
         self._next_publish_ms = now + PUBLISH_INTERVAL_MS
         failing, tables = self._failing(), self.shared.tables
-        for (_, server), change in list(tables.own.entries.items()):
+        for (_, server), change in list(tables.own_origin.entries.items()):
             if change.value is not None and server not in failing:
                 tables.drop(SERVERS_TABLE.name, server)
         for server, times in failing.items():
@@ -139,25 +139,29 @@
                 break  # the table is full: so many failures point to a fault of this gateway
 
     def _flush_output(self) -> None:
-        output = self.swim.take()
-        for sender, data in output.carried:
+        output = self.swim.take_output()
+        for sender, data in output.payloads:
             self.shared.handle(self._now_ms(), sender, data)
-        if output.carried:
-            output.letters += self.swim.take().letters
-        for name, at, datagram in output.letters:
+        if output.payloads:
+            output.datagrams += self.swim.take_output().datagrams
+        for name, at, datagram in output.datagrams:
             data = seal(datagram, self.keys[0])
             self.sent += 1
             self.sent_bytes += len(data)
             self._transport.sendto(data, self._destination(name, at))
         for row in output.changes:
             self._log_change(row)
-        if self.swim.contested != self._contested:
-            self._contested = self.swim.contested
+        if self.swim.name_is_contested != self._contested:
+            self._contested = self.swim.name_is_contested
             if self._contested:
                 log.error(Event("name_used_twice", "another process goes by {name}", name=self._name))
         if self._timer is not None:
             self._timer.cancel()
-        due_ms = min(self.swim.next_at(), self.shared.next_at()) if not self.swim.left else float("inf")
+        due_ms = (
+            min(self.swim.next_tick_at(), self.shared.next_tick_at())
+            if not self.swim.has_left
+            else float("inf")
+        )
         self._timer = self._loop.call_at(due_ms / 1000, self._on_timer) if due_ms != float("inf") else None
 
     def _destination(self, name: str, at: str) -> Address:
@@ -171,8 +175,13 @@
 
     @staticmethod
     def _log_change(row: MemberRow) -> None:
-        fields = {"member": row.name, "state": STATES[row.state], "zone": row.zone, "by": row.by}
-        text = "{member} of zone {zone} is {state}" + (", reported by {by}" if row.by else "")
+        fields = {
+            "member": row.name,
+            "state": STATE_NAMES[row.state],
+            "zone": row.zone,
+            "by": row.reported_by,
+        }
+        text = "{member} of zone {zone} is {state}" + (", reported by {by}" if row.reported_by else "")
         log.log(logging.INFO if row.state == ALIVE else logging.WARNING, Event("member", text, **fields))
 
     # --- Status and metrics -------------------------------------------------------------------------------
@@ -184,13 +193,15 @@
             return {"name": self._name, "started": False, "members": []}
         now = self._now_ms()
         rows = [self._member_status(swim.own_row, 0.0)]
-        rows += [self._member_status(other.row, now - other.since) for other in swim.peers.values()]
+        rows += [
+            self._member_status(other.row, now - other.state_since) for other in swim.peer_states.values()
+        ]
         return {
             "name": self._name,
             "started": True,
             "cluster": self.config.settings.cluster,
-            "health": swim.health,
-            "contested": swim.contested,
+            "health": swim.local_health,
+            "contested": swim.name_is_contested,
             "suspicions": swim.suspicions,
             "falseSuspicions": swim.false_suspicions,
             "refuted": swim.refuted,
@@ -217,12 +228,12 @@
         return {
             "name": row.name,
             "life": f"{row.start_id:x}",
-            "at": row.at,
+            "at": row.address,
             "zone": row.zone,
             "region": row.region,
             "incarnation": row.incarnation,
-            "state": STATES[row.state],
-            "by": row.by,
+            "state": STATE_NAMES[row.state],
+            "by": row.reported_by,
             "sinceMs": round(since_ms),
         }
 
@@ -234,9 +245,9 @@
         states = Counter(row.state for row in swim.rows())
         ages = sorted(tables.age_ms(row.name, now) for row in swim.alive()) or [0.0]
         return {
-            **{f'members{{state="{STATES[s]}"}}': states[s] for s in range(len(STATES))},
-            "members_health": swim.health,
-            "members_contested": int(swim.contested),
+            **{f'members{{state="{STATE_NAMES[s]}"}}': states[s] for s in range(len(STATE_NAMES))},
+            "members_health": swim.local_health,
+            "members_contested": int(swim.name_is_contested),
             "members_suspicions_total": swim.suspicions,
             "members_false_suspicions_total": swim.false_suspicions,
             "members_refuted_total": swim.refuted,
@@ -246,8 +257,8 @@
             'shared_age_seconds{quantile="0.5"}': _age_s(ages[len(ages) // 2]),
             'shared_age_seconds{quantile="1"}': _age_s(ages[-1]),
             "shared_entries": sum(1 for _ in tables.read(SERVERS_TABLE.name, now)),
-            "shared_bound_bytes": tables.bound_bytes(len(ages) + 1),
-            "shared_refused_total": tables.refused + self.shared.nonsense,
+            "shared_bound_bytes": tables.max_bytes(len(ages) + 1),
+            "shared_refused_total": tables.refused_deltas + self.shared.undecodable,
             **{
                 f'members_dropped_total{{reason="{why}"}}': n
                 for why, n in sorted(self._dropped_by_reason().items())
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -3,7 +3,7 @@
 The caller passes in messages, the current time and the numbers of the writes that are durable, and takes out
 messages, writes and committed entries (`Output`). The replica opens no sockets or files and reads no clock.
 Times are milliseconds of this machine's monotonic clock; they are never compared with the clock of another
-machine. The caller carries out the writes in order and reports them with `durable`. Messages may be delivered
+machine. The caller carries out the writes in order and reports them with `on_durable`. Messages may be delivered
 in any order, late, more than once or not at all.
 
 A message that promises something of this replica (a vote, an acknowledgement) is released only after the
@@ -99,7 +99,7 @@
 
 @dataclass(slots=True)
 class Output:
-    """Everything produced since the last call of `take`."""
+    """Everything produced since the last call of `take_output`."""
 
     messages: list[AnyMessage] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
--- a/yewstage/shared/anti_entropy.py
+++ b/yewstage/shared/anti_entropy.py
@@ -20,15 +20,15 @@
     ) -> None:
         self._swim, self._rng = swim, rng
         self.tables = Tables(swim.own_row.name, swim.own_row.start_id, tables, settings, rng, now)
-        self.nonsense = 0  # payloads that could not be decoded
+        self.undecodable = 0  # payloads that could not be decoded
 
-    def next_at(self) -> float:
+    def next_tick_at(self) -> float:
         """The time by which `tick` has to be called, in ms."""
         return self.tables.next_question_at
 
     def tick(self, now: float) -> None:
         """Ask a random live member if a question is due."""
-        if now < self.tables.next_question_at or self._swim.left:
+        if now < self.tables.next_question_at or self._swim.has_left:
             return
         members = self._swim.alive()
         self.tables.members({row.name: row.start_id for row in members}, now)
@@ -42,7 +42,7 @@
         try:
             message = parse(data)
         except ValueError:
-            self.nonsense += 1
+            self.undecodable += 1
             return
         match message:
             case Question():
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A kind of entries. Each origin may have at most `most` of them; entries of an origin whose age is above
-    `bound_ms` are not returned."""
+    """A kind of entries. Each origin may have at most `max_entries` of them; entries of an origin whose age is
+    above `staleness_bound_ms` are not returned."""
 
     name: str
-    bound_ms: float
-    most: int
+    staleness_bound_ms: float
+    max_entries: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,8 +139,8 @@
     ) -> None:
         self.own_name, self.settings, self._rng = own_name, settings, rng
         self.tables = {table.name: table for table in tables}
-        self.own = Origin(start_id)
-        self.origins: dict[str, Origin] = {own_name: self.own}
+        self.own_origin = Origin(start_id)
+        self.origins: dict[str, Origin] = {own_name: self.own_origin}
         self._start_ids: dict[str, int] = {own_name: start_id}
         # by name; of two members with the same hash one is left out
         self._hashes: dict[str, int] = {own_name: origin_hash(own_name, start_id)}
@@ -149,7 +149,7 @@
         self._last_question_number = rng.getrandbits(31)
         self._digest_order: list[str] = []
         self.next_question_at = now + rng.random() * settings.interval_ms
-        self.refused = 0  # deltas dropped for exceeding an origin's limits
+        self.refused_deltas = 0  # deltas dropped for exceeding an origin's limits
 
     # --- Writing ------------------------------------------------------------------------------------------
 
@@ -160,39 +160,39 @@
             raise ValueError(
                 f"{table}: a key may have at most {MAX_KEY_BYTES} and a value at most {MAX_VALUE_BYTES} bytes"
             )
-        known = self.own.entries.get((table, key))
+        known = self.own_origin.entries.get((table, key))
         if known is not None and known.value == value:
             return
         if known is None or known.value is None:
-            count = sum(c.table == table and c.value is not None for c in self.own.entries.values())
-            if count >= self.tables[table].most:
+            count = sum(c.table == table and c.value is not None for c in self.own_origin.entries.values())
+            if count >= self.tables[table].max_entries:
                 raise FullTableError(f"{table}: {count} entries of this gateway are the maximum")
         self._record_change(table, key, value)
 
     def drop(self, table: str, key: str) -> None:
         """Delete one of our own entries."""
-        known = self.own.entries.get((table, key))
+        known = self.own_origin.entries.get((table, key))
         if known is not None and known.value is not None:
             self._record_change(table, key, None)
             self._remove_old_tombstones()
 
     def _record_change(self, table: str, key: str, value: bytes | None) -> None:
-        self.own.version += 1
-        self.own.entries[table, key] = Change(self.own.version, table, key, value)
+        self.own_origin.version += 1
+        self.own_origin.entries[table, key] = Change(self.own_origin.version, table, key, value)
 
     def _remove_old_tombstones(self) -> None:
         """Keep as many tombstones as there may be entries. A member whose version is below the removed ones
         is sent a full delta."""
-        tombstones = [c for c in self.own.changes_after(0) if c.value is None]
+        tombstones = [c for c in self.own_origin.changes_after(0) if c.value is None]
         for old in tombstones[: max(0, len(tombstones) - self.max_entries())]:
-            del self.own.entries[old.table, old.key]
-            self.own.floor_version = max(self.own.floor_version, old.version)
+            del self.own_origin.entries[old.table, old.key]
+            self.own_origin.floor_version = max(self.own_origin.floor_version, old.version)
 
     def max_entries(self) -> int:
         """How many entries one origin may have over all tables. It may have as many tombstones besides."""
-        return sum(table.most for table in self.tables.values())
+        return sum(table.max_entries for table in self.tables.values())
 
-    def bound_bytes(self, members: int) -> int:
+    def max_bytes(self, members: int) -> int:
         """Upper bound of this copy's size in bytes: for each member, entries and tombstones of the largest
         size with 32 bytes for their other fields."""
         return members * 2 * self.max_entries() * (MAX_KEY_BYTES + MAX_VALUE_BYTES + 32)
@@ -201,10 +201,10 @@
 
     def read(self, table: str, now: float) -> Iterator[TableEntry]:
         """All entries of a table within its staleness bound."""
-        bound_ms = self.tables[table].bound_ms
+        staleness_bound_ms = self.tables[table].staleness_bound_ms
         for name, origin in self.origins.items():
             age = self.age_ms(name, now)
-            if age > bound_ms:
+            if age > staleness_bound_ms:
                 continue
             for change in origin.entries.values():
                 if change.table == table and change.value is not None:
@@ -222,12 +222,12 @@
     def members(self, start_ids: Mapping[str, int], now: float) -> None:
         """Set the present members, with the start id of each. A restarted member begins with no entries;
         those of a departed one are removed once they are older than every staleness bound."""
-        present = {**start_ids, self.own_name: self.own.start_id}
+        present = {**start_ids, self.own_name: self.own_origin.start_id}
         if present != self._start_ids:
             self._start_ids = present
             self._names = {origin_hash(name, start_id): name for name, start_id in sorted(present.items())}
             self._hashes = {name: number for number, name in self._names.items()}
-        longest_ms = max((table.bound_ms for table in self.tables.values()), default=0.0)
+        longest_ms = max((table.staleness_bound_ms for table in self.tables.values()), default=0.0)
         for name, origin in list(self.origins.items()):
             start_id = self._start_ids.get(name)
             if (
@@ -324,7 +324,7 @@
                 self._update_freshness(self.origins[name], known.age_ms, asked_at)
 
     def _update_freshness(self, origin: Origin, age_ms: int, asked_at: float) -> None:
-        if age_ms >= 0 and origin is not self.own:
+        if age_ms >= 0 and origin is not self.own_origin:
             fresh_at = asked_at - age_ms * (1 + self.settings.drift)
             origin.fresh_at = max(origin.fresh_at, fresh_at)
 
@@ -339,7 +339,7 @@
             if change.table in self.tables and origin.version < change.version <= delta.version:
                 entries[change.table, change.key] = change
         if len(entries) > 2 * self.max_entries() or not all(map(_is_within_limits, delta.changes)):
-            self.refused += 1
+            self.refused_deltas += 1
             return
         floor_version = max(origin.floor_version, delta.floor_version)
         origin.entries = {
