--- a/yewstage/membership/swim.py
+++ b/yewstage/membership/swim.py
@@ -101,8 +101,8 @@
 
 @dataclass(slots=True)
 class Output:
-    """Everything produced since the last call of `take_output`: datagrams to send, each with the receiver's name
-    (empty if unknown) and address, and rows that changed."""
+    """Everything produced since the last call of `take_output`: datagrams to send, each with the receiver's
+    name (empty if unknown) and address, and rows that changed."""
 
     datagrams: list[tuple[str, str, Datagram]] = field(default_factory=list)
     changes: list[MemberRow] = field(default_factory=list)
--- a/yewstage/raft/core.py
+++ b/yewstage/raft/core.py
@@ -3,8 +3,8 @@
 The caller passes in messages, the current time and the numbers of the writes that are durable, and takes out
 messages, writes and committed entries (`Output`). The replica opens no sockets or files and reads no clock.
 Times are milliseconds of this machine's monotonic clock; they are never compared with the clock of another
-machine. The caller carries out the writes in order and reports them with `on_durable`. Messages may be delivered
-in any order, late, more than once or not at all.
+machine. The caller carries out the writes in order and reports them with `on_durable`. Messages may be
+delivered in any order, late, more than once or not at all.
 
 A message that promises something of this replica (a vote, an acknowledgement) is released only after the
 write that it depends on is durable. Entries may be sent before the leader has them on its own disk; the
--- a/yewstage/shared/tables.py
+++ b/yewstage/shared/tables.py
@@ -79,8 +79,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A kind of entries. Each origin may have at most `max_entries` of them; entries of an origin whose age is
-    above `staleness_bound_ms` are not returned."""
+    """A kind of entries. Each origin may have at most `max_entries` of them; entries of an origin whose age
+    is above `staleness_bound_ms` are not returned."""
 
     name: str
     staleness_bound_ms: float
