--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -26,7 +26,7 @@
     rows = [seat.swim.own_row for seat in net.machines]
     for seat in net.machines:
         for row in rows:
-            seat.swim.know(row, net.local_clock_ms(seat.number))
+            seat.swim.merge_known_row(row, net.local_clock_ms(seat.number))
     net.run(10_000)
     net.observed_changes.clear()
     return net
--- a/plumwall/cli/check.py
+++ b/plumwall/cli/check.py
@@ -8,7 +8,7 @@
 import click
 
 from plumwall.cli.console import EXISTING_FILE, BadInputError, json_option, print_fields
-from yewstage.holding.config import HoldingConfig, holding
+from yewstage.holding.config import HoldingConfig, holding_config
 from yewstage.interface import Plan
 from yewstage.net.clients import ClassAndPlanNames
 from yewstage.net.config import Config, ConfigError, load
@@ -85,7 +85,7 @@
 
 
 def _holding_summary(file: Path) -> dict[str, object]:
-    loaded: HoldingConfig = holding(read(str(file)))
+    loaded: HoldingConfig = holding_config(read(str(file)))
     peers = ", ".join(sorted(loaded.peers))
     return {
         "cluster": loaded.cluster,
--- a/plumwall/cli/scenario.py
+++ b/plumwall/cli/scenario.py
@@ -117,7 +117,8 @@
         )
     else:
         click.echo(
-            f"{len(world.servers)} servers, {len(world.customers)} customers, {len(world.first_tries)} first tries"
+            f"{len(world.servers)} servers, {len(world.customers)} customers, "
+            f"{len(world.first_tries)} first tries"
         )
         print_table(
             ("at_s", "change", "target", "size"),
--- a/plumwall/faults/machines.py
+++ b/plumwall/faults/machines.py
@@ -18,7 +18,7 @@
 from plumwall.faults.links import TcpFaultProxy
 from yewstage.holding.group_names import LIST_GROUP, PLACEMENT_GROUP
 from yewstage.holding.member_changes import founder_and_members
-from yewstage.raft.disk import framed
+from yewstage.raft.disk import encode_record
 from yewstage.registry.client import ServiceClient, get_once
 
 HOST = "127.0.0.1"
@@ -129,7 +129,7 @@
         write does. Records that were synced stay."""
         for folder in {path.parent for path in (self.folder / "state").glob("*/log-*")}:
             with max(folder.glob("log-*")).open("ab") as log:
-                log.write(framed(b"torn" * bytes_)[:bytes_])
+                log.write(encode_record(b"torn" * bytes_)[:bytes_])
 
     def lose_last_record(self, group: str) -> None:
         """Cut off the end of a group's last log record, though it was synced: a disk that acknowledges writes
--- a/plumwall/faults/members.py
+++ b/plumwall/faults/members.py
@@ -20,7 +20,7 @@
 from plumwall.faults.fleet import POLL_INTERVAL_S, Fleet
 from plumwall.faults.gateways import check_weights
 from plumwall.faults.machines import HOST
-from yewstage.net.peers import SERVERS
+from yewstage.net.peers import SERVERS_TABLE
 
 FAULTS = ("killed", "stopped", "left", "deaf", "mute", "zone_cut", "lossy", "late", "all_killed")
 DETECTED_FAULTS = ("killed", "stopped", "mute", "zone_cut")  # the other gateways have to detect these
@@ -166,7 +166,9 @@
                 for row in rows:
                     age = row["ageMs"]
                     self.outcome.max_age_ms = max(self.outcome.max_age_ms, age)
-                    assert age <= SERVERS.bound_ms, f"{name} reports data about a server that is {age} ms old"
+                    assert age <= SERVERS_TABLE.staleness_bound_ms, (
+                        f"{name} reports data about a server that is {age} ms old"
+                    )
         self.outcome.polls += 1
         return statuses
 
--- a/plumwall/faults/torture.py
+++ b/plumwall/faults/torture.py
@@ -33,7 +33,7 @@
 from plumwall.faults.members import MembersPlan
 from plumwall.faults.shares import SharesPlan
 from yewstage.holding.group_names import LIST_GROUP
-from yewstage.holding.placement import name_of
+from yewstage.holding.placement import machine_name_of
 from yewstage.registry.client import LeaseHolder, NoAnswerError, ServiceClient, ServiceReply
 
 PLANS = Path(__file__).parent / "plans"
@@ -375,7 +375,7 @@
             targets = self._machines.all
         elif round_.fault == "member_lost":
             names = sorted(
-                name_of(m["id"])
+                machine_name_of(m["id"])
                 for m in (await self._machines.wait_until_replicated())[LIST_GROUP]["members"]
             )
             targets = [self._machines.by_name(names[round_.at % len(names)])]
@@ -452,7 +452,7 @@
         """
         expected = dict(self.load.acknowledged)
         status = await self._machines.wait_until_replicated()
-        names = {name_of(member["id"]) for member in status[LIST_GROUP]["members"]}
+        names = {machine_name_of(member["id"]) for member in status[LIST_GROUP]["members"]}
         for machine in self._machines.all:
             if machine.name in names:
                 await self._wait_until_reports(machine, expected)
--- a/plumwall/model/members.py
+++ b/plumwall/model/members.py
@@ -133,22 +133,24 @@
         seat.swim.handle(self.local_clock_ms(seat.number), unseal(data, self.settings.cluster, (KEY,)))
 
     def _flush(self, seat: SimulatedMachine) -> None:
-        output = seat.swim.take()
-        for sender, data in output.carried if seat.shared is not None else ():
+        output = seat.swim.take_output()
+        for sender, data in output.payloads if seat.shared is not None else ():
             seat.shared.handle(self.local_clock_ms(seat.number), sender, data)
-        if output.carried:
-            output.letters += seat.swim.take().letters
+        if output.payloads:
+            output.datagrams += seat.swim.take_output().datagrams
         self.observed_changes += [(self.now_ms, seat.number, row) for row in output.changes]
-        for _, at, letter in output.letters:
-            self._send(seat, int(at.partition(":")[2]), letter)
-        due = min(seat.swim.next_at(), seat.shared.next_at() if seat.shared is not None else float("inf"))
+        for _, at, datagram in output.datagrams:
+            self._send(seat, int(at.partition(":")[2]), datagram)
+        due = min(
+            seat.swim.next_tick_at(), seat.shared.next_tick_at() if seat.shared is not None else float("inf")
+        )
         due += self.now_ms - self.local_clock_ms(seat.number)
         if due != float("inf") and (seat.tick_due_ms < self.now_ms or due < seat.tick_due_ms):
             seat.tick_due_ms = max(due, self.now_ms)
             self._schedule(seat.tick_due_ms, seat.number, None)
 
-    def _send(self, seat: SimulatedMachine, to: int, letter: Datagram) -> None:
-        data = seal(letter, KEY)
+    def _send(self, seat: SimulatedMachine, to: int, datagram: Datagram) -> None:
+        data = seal(datagram, KEY)
         seat.bytes_sent += len(data)
         seat.datagrams_sent += 1
         if (seat.number, to) in self.links.cut or self.rng.random() < self.links.loss:
@@ -163,7 +165,7 @@
 
     def up(self) -> list[SimulatedMachine]:
         """Machines whose process runs and has not left the fleet."""
-        return [seat for seat in self.machines if seat.swim is not None and not seat.swim.left]
+        return [seat for seat in self.machines if seat.swim is not None and not seat.swim.has_left]
 
     def agreed(self) -> bool:
         """Whether each running member sees exactly the running members as alive."""
--- a/plumwall/simulate/gateway.py
+++ b/plumwall/simulate/gateway.py
@@ -18,9 +18,15 @@
 from plumwall.world.generator import GatewaySpec, GeneratedWorld
 from yewstage import interface as api
 from yewstage.net.config import Config, parse
-from yewstage.net.core import GUARD_MS, LAG_MS, MODULE_MS, TRANSIT_MS, UPSTREAM_SHARE
+from yewstage.net.core import (
+    GUARD_MARGIN_MS,
+    MODULE_MARGIN_MS,
+    STALL_THRESHOLD_MS,
+    TRANSIT_MS,
+    UPSTREAM_SHARE,
+)
 from yewstage.net.discovery import parse_listing
-from yewstage.net.pool import IDLE_SHARES, SWEEP_S
+from yewstage.net.pool import IDLE_LIMIT_SHARES, SWEEP_INTERVAL_S
 from yewstage.policy import Gateway
 
 # Processor time of a gateway by kind of event, in ms. Request, send and end add up to what a served
@@ -263,7 +269,7 @@
         elif self.is_draining:
             self._count_closed()
         else:
-            idle_share = self.owner.rng.uniform(*IDLE_SHARES)
+            idle_share = self.owner.rng.uniform(*IDLE_LIMIT_SHARES)
             self.idle_until_ms.append(self.owner.clock.now + self.owner.idle_ms * idle_share)
 
     def _count_closed(self) -> None:
@@ -323,7 +329,7 @@
         config: Config = parse(raw)
         self.rng = random.Random(seed)
         self.module = self._make_module(config.settings, config.seed)
-        self.dial_ms, self.idle_ms = config.dial_ms, config.idle_ms
+        self.dial_ms, self.idle_ms = config.dial_timeout_ms, config.idle_limit_ms
         self._max_connections = int(UPSTREAM_SHARE * config.sockets)
         self._settings, self._fallback_listing = config.settings, config.fallback_listing
         self._classes = {cls.name: cls for cls in config.settings.classes}
@@ -349,7 +355,7 @@
         self._apply_listing(self._fallback_listing, "kept")
         self._agent.on_change = self._fetch_listing
         self._fetch_listing()
-        self.clock.after(SWEEP_S * 1000, self._close_expired, incarnation)
+        self.clock.after(SWEEP_INTERVAL_S * 1000, self._close_expired, incarnation)
         self._write(r.GatewayIs(self.clock.now, self.spec.name, "ready"))
 
     def kill(self) -> None:
@@ -422,10 +428,10 @@
     def _accept(self, client: Client, parameters: dict[str, object], received_at_ms: float) -> None:
         now = self.clock.now
         waited_ms = now - received_at_ms - REQUEST_COST_MS
-        left_ms = parameters["left_ms"] - TRANSIT_MS - (waited_ms if waited_ms > LAG_MS else 0.0)
+        left_ms = parameters["left_ms"] - TRANSIT_MS - (waited_ms if waited_ms > STALL_THRESHOLD_MS else 0.0)
         cls = self._classes[parameters["cls"]]
         rid = parameters["rid"]
-        request = self._open[rid] = OpenRequest(rid, client, cls, now + left_ms - GUARD_MS)
+        request = self._open[rid] = OpenRequest(rid, client, cls, now + left_ms - GUARD_MARGIN_MS)
         request.deadline_timer = self.clock.at(request.deadline_at_ms, self._on_deadline, request)
         self._handle_event(
             api.Request(
@@ -433,7 +439,7 @@
                 cls.name,
                 parameters["plan"],
                 parameters["customer"],
-                left_ms - MODULE_MS,
+                left_ms - MODULE_MARGIN_MS,
                 parameters["units"],
                 parameters["width"],
                 parameters["first"],
@@ -477,7 +483,7 @@
 
     def max_connections(self, server: str) -> int:
         """Return the maximum number of connections to one server."""
-        return max(1, self.module.links(server))
+        return max(1, self.module.connection_limit(server))
 
     def make_room(self) -> bool:
         """Return whether another connection may be dialled; at the limit the longest idle one is closed."""
@@ -660,7 +666,7 @@
         if incarnation == self.incarnation:
             for pool in self.pools.values():
                 pool.close_expired()
-            self.clock.after(SWEEP_S * 1000, self._close_expired, incarnation)
+            self.clock.after(SWEEP_INTERVAL_S * 1000, self._close_expired, incarnation)
 
     def figures(self) -> r.Figures:
         """Return the figures that a gateway shows on its operators' address."""
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import LOOP, ROOT, Fake, Rig, instance, message, on_loop, reply
+from conftest import LOOP, ROOT, FakeHttpServer, GatewayRig, instance, message, reply, run_on_loop
 from virtual import VirtualLoop, VirtualServer, VirtualTransport
 
 from yewstage.checker import Checker, probe
@@ -93,7 +93,7 @@
         async with Service(folder, **changes) as service:
             await scenario(service)
 
-    on_loop(run)
+    run_on_loop(run)
 
 
 # --- Lists and watches ------------------------------------------------------------------------------------
@@ -238,7 +238,15 @@
         self.listener = HttpServer(
             self.loop,
             handle,
-            ConnectionLimits(**{"most": 3, "call_s": 5.0, "read_s": 10.0, "idle_s": 60.0, **limits}),
+            ConnectionLimits(
+                **{
+                    "max_connections": 3,
+                    "call_timeout_s": 5.0,
+                    "read_timeout_s": 10.0,
+                    "idle_timeout_s": 60.0,
+                    **limits,
+                }
+            ),
         )
         self.listener._server = object()
         self.loop.call_later(0.5, self.listener._sweep)
@@ -267,7 +275,7 @@
     harness.loop.run(by - 1.5)
     assert not transport.is_closing()
     harness.loop.run(by)
-    assert transport.is_closing() and not harness.listener.callers
+    assert transport.is_closing() and not harness.listener.connections
 
 
 def test_connection_that_sends_single_bytes_is_closed() -> None:
@@ -290,7 +298,7 @@
     assert not transport.is_closing()  # waiting is allowed
     caller.pause_writing()
     harness.loop.run(30 + READ_TIMEOUT_S + 1)
-    assert transport.is_closing() and disconnects and harness.listener.dropped == 1
+    assert transport.is_closing() and disconnects and harness.listener.closed_count == 1
 
 
 def test_too_many_pipelined_calls_close_the_connection() -> None:
@@ -308,7 +316,9 @@
     harness.connect()
     harness.connect()
     assert (
-        idle_transport.is_closing() and not busy_transport.is_closing() and len(harness.listener.callers) == 3
+        idle_transport.is_closing()
+        and not busy_transport.is_closing()
+        and len(harness.listener.connections) == 3
     )
 
 
@@ -578,7 +588,7 @@
         )  # no answer: nothing is assumed
         assert await lease_holder.acquire_or_renew() > 0 and not lease_holder.is_held()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_paused_holder_no_longer_holds_its_lease() -> None:
@@ -592,7 +602,7 @@
         clock[0] += 60.0  # paused, and resumed in the middle of its work
         assert not lease_holder.is_held()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def checker_config(**changes: object) -> config_module.CheckerConfig:
@@ -627,20 +637,20 @@
 
             checkers.append(Checker(checker_config(), watch, lease_holder, client, fixed_status))
         paused, other = checkers
-        await paused.duty.acquire_or_renew()
-        await other.duty.acquire_or_renew()
-        assert paused.duty.is_held() and not other.duty.is_held()
+        await paused.lease_holder.acquire_or_renew()
+        await other.lease_holder.acquire_or_renew()
+        assert paused.lease_holder.is_held() and not other.lease_holder.is_held()
         service.ahead_ms += 6000  # the paused process's clock stands still
         for name in ("s-1", "s-2", "s-3"):
             service.store.renew(name, None, service.registry.backend.now())
-        await other.duty.acquire_or_renew()
-        assert other.duty.is_held() and paused.duty.is_held()  # it has not noticed yet
+        await other.lease_holder.acquire_or_renew()
+        assert other.lease_holder.is_held() and paused.lease_holder.is_held()  # it has not noticed yet
         await paused.round()
         await other.round()
         assert paused.written == 0 and paused.refused == 3
         assert all(record.lifecycle() == "ready" for record in service.store.records.values())
-        await paused.duty.acquire_or_renew()
-        assert not paused.duty.is_held()
+        await paused.lease_holder.acquire_or_renew()
+        assert not paused.lease_holder.is_held()
         for checker in checkers:
             checker._client.close()
 
@@ -667,13 +677,13 @@
 
         names: list[str] = []
         checker = Checker(checker_config(fails=2, passes=2), watch, lease_holder, client, scripted_status)
-        check = checker._check
+        check = checker._check_server
 
         async def recorded_check(name: str) -> None:
             names.append(name)
             await check(name)
 
-        checker._check = recorded_check
+        checker._check_server = recorded_check
         await checker.round()
         assert checker.written == 0  # one failure is not enough
         await checker.round()
@@ -694,22 +704,22 @@
 )
 def test_probe_results(answer: bytes, status: int) -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: answer).start()
+        server = await FakeHttpServer(lambda seen: answer).start()
         assert await probe((LOOP, server.port), 20) == status
         assert server.seen[0].line == "GET /health HTTP/1.1"
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_refused_or_unanswered_probe_ends_in_time() -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: None).start()
+        server = await FakeHttpServer(lambda seen: None).start()
         assert await probe((LOOP, server.port), 0.05) == 0
         server.stop()
         assert await probe((LOOP, 1), 20) == 0
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 # --- Clients and the service's failures -------------------------------------------------------------------
@@ -775,7 +785,7 @@
     async def scenario() -> None:
         good = reply(json.dumps({"generation": 5, "reset": True, "instances": [instance("s-1", 1)]}).encode())
         answers = itertools.chain([good], itertools.repeat(answer))
-        server = await Fake(lambda seen: next(answers)).start()
+        server = await FakeHttpServer(lambda seen: next(answers)).start()
         clock = [0.0]
         client = ServiceClient([(LOOP, server.port)])
         watch = ListWatch(client, lambda: clock[0])
@@ -787,12 +797,12 @@
         client.close()
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_client_fails_over_to_the_next_address() -> None:
     async def scenario() -> None:
-        server = await Fake(lambda seen: reply(b'{"leases":[]}')).start()
+        server = await FakeHttpServer(lambda seen: reply(b'{"leases":[]}')).start()
         client = ServiceClient([(LOOP, 1), (LOOP, server.port)], random.Random(2))
         client._address_index = 0
         with pytest.raises(NoAnswerError):
@@ -802,7 +812,7 @@
         client.close()
         server.stop()
 
-    on_loop(scenario)
+    run_on_loop(scenario)
 
 
 def test_backoff_grows_with_full_jitter_up_to_a_limit() -> None:
@@ -918,7 +928,7 @@
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
 
-        class Fleet(Rig):
+        class Fleet(GatewayRig):
             async def launch(self) -> None:
                 for name, host in zip(("s-0", "s-1"), self.hosts, strict=True):
                     response = await client.call(
@@ -950,7 +960,7 @@
             await served(5)
             done = await asyncio.to_thread(run, "plumwall", "drain", "s-0", "--at", f"{LOOP}:{service.port}")
             assert done.returncode == 0 and "draining" in done.stdout
-            await rig.logged("s-0 draining")
+            await rig.wait_for_log("s-0 draining")
             count = len(rig.hosts[0].seen)
             await served(10)
             assert len(rig.hosts[0].seen) == count
@@ -971,7 +981,7 @@
         service.process.terminate()
         assert await service.process.wait() == 0
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_checker_process_takes_an_unhealthy_server_out_and_releases_its_lease(
@@ -981,7 +991,9 @@
         service = ServiceProcess(tmp_path)
         await service.start()
         client = ServiceClient([(LOOP, service.port)])
-        hosts = [await Fake(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)]
+        hosts = [
+            await FakeHttpServer(lambda seen, n=n: reply(b"", 200 if n else 503)).start() for n in range(3)
+        ]
         for n, host in enumerate(hosts):
             body = {"hostPort": f"{LOOP}:{host.port}", "ttlMs": 60000}
             assert (await client.call("PUT", f"/v1/endpoints/s-{n}", body)).status == 200
@@ -1024,4 +1036,4 @@
         service.process.terminate()
         assert await service.process.wait() == 0
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import Driver, of, on_loop
+from conftest import Driver, actions_of, run_on_loop
 from msgspec import structs
 from test_holding_groups import call_until_ok as until_answered
 from test_registry import run
@@ -25,7 +25,7 @@
 
 
 def count_call(out: list[api.Action]) -> api.Count:
-    (count,) = of(out, api.Count)
+    (count,) = actions_of(out, api.Count)
     return count
 
 
@@ -42,7 +42,7 @@
     sent = 0
     for _ in range(requests):
         _, out = driver.ask(plan="gold", left=200, after=after)  # too little time to wait for a share
-        sent += bool(of(out, api.Send))
+        sent += bool(actions_of(out, api.Send))
     return sent
 
 
@@ -50,9 +50,9 @@
     driver = Driver(plans=(STRICT,), counter_enabled=False)
     _, out = driver.ask(plan="gold")
     count = count_call(out)
-    assert not of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
+    assert not actions_of(out, api.Send | api.Refuse) and count.plan == "gold" and count.min_units == 1.0
     assert count.name == quota_account_name("gold", "c") and "c" != count.name
-    assert len(of(grant(driver, count, 5.0), api.Send)) == 1
+    assert len(actions_of(grant(driver, count, 5.0), api.Send)) == 1
     assert sent_at_once(driver, 8) == 4
     _, out = driver.ask(plan="gold", after=10)
     more = count_call(out)
@@ -73,32 +73,32 @@
     for plan, floor in ((STRICT, 0), (BOUNDED, 2)):
         driver = Driver(plans=(plan,))
         _, out = driver.ask(plan="gold")
-        sent = len(of(time_out(driver, count_call(out)), api.Send))
+        sent = len(actions_of(time_out(driver, count_call(out)), api.Send))
         assert sent + sent_at_once(driver, 6) == floor
         for _ in range(5):  # later calls time out too: nothing more may be spent
             _, out = driver.ask(plan="gold", after=500)
-            assert not of(time_out(driver, count_call(out)), api.Send)
+            assert not actions_of(time_out(driver, count_call(out)), api.Send)
         _, out = driver.ask(plan="gold", after=500)
-        assert of(grant(driver, count_call(out), 3.0), api.Send) and sent_at_once(driver, 5) == 2
+        assert actions_of(grant(driver, count_call(out), 3.0), api.Send) and sent_at_once(driver, 5) == 2
         _, out = driver.ask(plan="gold", after=3500)
         # A new outage: the floor applies again.
-        assert len(of(time_out(driver, count_call(out)), api.Send)) + sent_at_once(driver, 6) == floor
+        assert len(actions_of(time_out(driver, count_call(out)), api.Send)) + sent_at_once(driver, 6) == floor
 
 
 def test_a_floor_expires_after_floor_ms() -> None:
     driver = Driver(plans=(BOUNDED,))
     _, out = driver.ask(plan="gold")
-    assert len(of(time_out(driver, count_call(out)), api.Send)) == 1
+    assert len(actions_of(time_out(driver, count_call(out)), api.Send)) == 1
     assert sent_at_once(driver, 3, after=1501.0) == 0
 
 
 def test_after_a_grant_of_nothing_the_next_call_waits_until_a_unit_is_refilled() -> None:
     driver = Driver(plans=(STRICT,))
     _, out = driver.ask(plan="gold")
-    refused = of(grant(driver, count_call(out), 0.0), api.Refuse)
+    refused = actions_of(grant(driver, count_call(out), 0.0), api.Refuse)
     assert refused[0].reason == "quota" and refused[0].retry_after_ms > 0
-    assert not of(driver.ask(plan="gold", after=50)[1], api.Count)
-    assert of(driver.ask(plan="gold", after=60)[1], api.Count)
+    assert not actions_of(driver.ask(plan="gold", after=50)[1], api.Count)
+    assert actions_of(driver.ask(plan="gold", after=60)[1], api.Count)
 
 
 def test_cost_above_the_estimate_is_deducted_from_the_next_share() -> None:
@@ -124,8 +124,8 @@
     _, out = driver.ask(plan="gold")
     count = count_call(out)
     driver.sweep(6)  # the waiting request is refused; the call is still open
-    assert not of(driver.ask(plan="gold")[1], api.Count)
-    assert len(of(grant(driver, count, 4.0), api.Send)) == 1  # the request that came meanwhile
+    assert not actions_of(driver.ask(plan="gold")[1], api.Count)
+    assert len(actions_of(grant(driver, count, 4.0), api.Send)) == 1  # the request that came meanwhile
     assert sent_at_once(driver, 6) == 3
     grant(driver, count, 50.0)
     assert sent_at_once(driver, 3) == 0
@@ -187,7 +187,7 @@
         assert not any("action_failed" in line or "an action failed" in line for line in gateway.lines)
         await gateway.kill()
 
-    on_loop(scenario, 30)
+    run_on_loop(scenario, 30)
 
 
 def run_faults(folder: Path, seed: int, faults: list[str], **changes: object) -> SharesOutcome:
@@ -202,7 +202,7 @@
             outcome = await torture.play(1)
             assert not outcome.breach, (fault, outcome)
 
-    on_loop(scenario, 200)
+    run_on_loop(scenario, 200)
     return outcome
 
 
@@ -254,7 +254,7 @@
             assert wrong.status == 400 and wrong.body["field"] == "lifeMs"
             client.close()
 
-    on_loop(scenario, 60)
+    run_on_loop(scenario, 60)
 
 
 def test_an_invalid_shares_plan_names_the_field(tmp_path: Path) -> None:
--- a/yewstage/holding/calls.py
+++ b/yewstage/holding/calls.py
@@ -24,8 +24,8 @@
     PlacementTable,
     add_machine,
     first_table,
+    machine_name_of,
     move_copy,
-    name_of,
     remove_machine,
 )
 from yewstage.holding.recover import FORMAT as BACKUP_FORMAT
@@ -120,11 +120,11 @@
                 "copies": replicas.config.copies,
                 "begun": bool(groups_with_state),
                 "epoch": table.epoch,
-                "homes": {p.group: list(p.machine_names) for p in table.placed},
+                "homes": {p.group: list(p.machine_names) for p in table.placements},
                 "out": list(table.removed),
                 "usedTwice": duplicate_names(replicas.present_members()),
                 "present": sorted(m.name for m in replicas.present_members()),
-                "copiedBytes": replicas.copy_rate_limiter.copied,
+                "copiedBytes": replicas.copy_rate_limiter.copied_bytes,
                 "diskBytes": sum(backend.disk.bytes() for backend in replicas.backends.values()),
                 "groups": {group: self._group_status(group) for group in groups_with_state},
             },
@@ -144,7 +144,7 @@
                     "zone": member.zone,
                     "voter": member.voter,
                     "call": member.call,
-                    "behind": replica.last - peer.match if peer is not None else None,
+                    "behind": replica.last_index - peer.match if peer is not None else None,
                     "heardMsAgo": heard_ms_ago,
                     "forgot": peer.durability_losses if peer is not None else 0,
                 }
@@ -155,7 +155,7 @@
             "term": replica.term,
             "leader": replica.leader,
             "commit": replica.commit_index,
-            "applied": backend.group.applied,
+            "applied": backend.group.applied_index,
             "short": replicas.missing_copies(group),
             "ageMs": round(age) if age < 1e9 else None,
             "members": rows,
@@ -177,21 +177,18 @@
         if not 0 <= init.keyed <= MAX_KEY_GROUPS:
             return error_response(400, f"must be from 0 to {MAX_KEY_GROUPS}", "keyed")
         if len({m.name for m in members}) < len(members) or len({m.id for m in members}) < len(members):
-            return error_response(400, "a name or an id occurs twice", "members")
+            return error_response(400, "a name or an id stands twice", "members")
         if not members or founder(members, PLACEMENT_GROUP, copies).id != replicas.me.id:
             return error_response(
                 409,
-                "another process accepts this call: the member with the least id of those that get the "
-                "placement group",
+                "another member begins: the least id of those that hold places",
                 "members",
             )
         if replicas.has_state(PLACEMENT_GROUP):
-            return error_response(409, "this process holds a placement group already")
+            return error_response(409, "this process holds something already")
         left_out = sorted({m.name for m in replicas.present_members()} - {m.name for m in members})
         if left_out:  # two operators who name different members could otherwise initialise two clusters
-            return error_response(
-                409, f"{', '.join(left_out)} is running, too: name all running processes", "members"
-            )
+            return error_response(409, f"{', '.join(left_out)} is there, too: name all that are", "members")
         existing_homes = {}
         list_report = replicas.peer_reports.leader_reports.get(LIST_GROUP)
         if replicas.has_state(LIST_GROUP):
@@ -199,14 +196,16 @@
                 m.name for m in replicas.backends[LIST_GROUP].group.replica.members
             )
         elif list_report is not None:
-            existing_homes[LIST_GROUP] = tuple(name_of(member) for member, _ in list_report[0].members)
+            existing_homes[LIST_GROUP] = tuple(
+                machine_name_of(member) for member, _ in list_report[0].members
+            )
         table = first_table(all_group_names(init.keyed), members, copies, init.first, existing_homes)
         self._spawn(self._begin(table, caller))
         return None
 
     async def _begin(self, table: PlacementTable, caller: HttpConnection) -> None:
         await self._replicas.bootstrap_cluster(table)
-        caller.answer(json_response(200, {"groups": len(table.placed)}))
+        caller.answer(json_response(200, {"groups": len(table.placements)}))
 
     # --- Placement, leadership and backups ----------------------------------------------------------------
 
@@ -243,7 +242,7 @@
             await replicas.backends[PLACEMENT_GROUP].confirm()
             table = next_table(replicas.cluster_view())
             await replicas.backends[PLACEMENT_GROUP].write(lambda store, now: store.plan(table))
-            return {"epoch": table.epoch, "homes": {p.group: list(p.machine_names) for p in table.placed}}
+            return {"epoch": table.epoch, "homes": {p.group: list(p.machine_names) for p in table.placements}}
 
         await self._run_and_answer(caller, change)
 
@@ -294,7 +293,7 @@
                 "format": BACKUP_FORMAT,
                 "cluster": self._replicas.config.cluster,
                 "group": group,
-                "index": backend.group.applied,
+                "index": backend.group.applied_index,
                 "state": msgspec.to_builtins(backend.store.snapshot()),
             }
 
@@ -316,7 +315,7 @@
     ) -> HttpResponse | None:
         """A call for one key: served here by the leader of its group, else redirected to that leader."""
         key, _, verb = call.path.removeprefix(prefix).partition("/")
-        key_group_count = sum(p.group.startswith(KEY_GROUP_PREFIX) for p in self._replicas.table.placed)
+        key_group_count = sum(p.group.startswith(KEY_GROUP_PREFIX) for p in self._replicas.table.placements)
         if call.method != "POST" or verb not in verbs:
             return error_response(405 if verb in verbs else 404, "no such call")
         if not NAME.fullmatch(key):
@@ -324,7 +323,7 @@
                 400, "must be 1 to 64 letters, digits, dots, colons, dashes and underlines", "key"
             )
         if not key_group_count:
-            return error_response(503, "no groups for keys are known here")
+            return error_response(503, "no places for keys are known here")
         group = group_of(key, key_group_count)
         backend = self._replicas.backends.get(group)
         if backend is None or not backend.group.is_leader():
--- a/yewstage/holding/list_forwarder.py
+++ b/yewstage/holding/list_forwarder.py
@@ -15,7 +15,7 @@
 from yewstage.net.config import Address
 from yewstage.net.http_server import HttpConnection, HttpResponse
 from yewstage.registry.client import NoAnswerError, ServiceClient, ServiceReply
-from yewstage.registry.server import PASSED
+from yewstage.registry.server import FORWARDED_PARAMETER
 
 WATCH_PART_MS = 1000  # longest wait of one forwarded part, which bounds how much an answer ages on its way
 ANSWER_TIMEOUT_S = 1.0  # for one replica to answer, beyond the wait of the part
@@ -60,7 +60,7 @@
         if not self._replica_addresses():
             return False
         if self.calls_in_flight >= self._max_calls:
-            caller.answer(self._unavailable("too many list calls are being forwarded"))
+            caller.answer(self._unavailable("too many calls for the list are passed on"))
             return True
         task = self._spawn(self._forward(after, wait_ms, caller))
         caller.on_disconnect = task.cancel
@@ -90,9 +90,7 @@
                     return HttpResponse(200, msgspec.json.encode(reply.body), b"application/json", age)
             elif self._now() >= deadline:
                 self.failed += 1
-                return self._unavailable(
-                    "no replica of the list answered, or the lists of all that did are too old"
-                )
+                return self._unavailable("no process that holds the list answers with what is new enough")
             else:
                 await asyncio.sleep(RETRY_DELAY_S)
 
@@ -108,7 +106,7 @@
         for attempt in range(min(len(replica_addresses), MAX_REPLICAS_ASKED)):
             part_ms = 0 if attempt else wait_ms
             watch_query = "" if after is None else f"&after={after}&wait_ms={part_ms}"
-            path = f"/v1/endpoints?{PASSED}=1{watch_query}"
+            path = f"/v1/endpoints?{FORWARDED_PARAMETER}=1{watch_query}"
             try:
                 async with asyncio.timeout(ANSWER_TIMEOUT_S + part_ms / 1000):
                     reply = await client.call("GET", path, None, part_ms / 1000)
--- a/yewstage/holding/node.py
+++ b/yewstage/holding/node.py
@@ -15,10 +15,10 @@
 from yewstage.holding.identity import Folder
 from yewstage.holding.link import VERSION, GroupMessage, Hello, Link, PeerConnection, frame
 from yewstage.holding.list_forwarder import ListForwarder
-from yewstage.holding.placement import name_of
+from yewstage.holding.placement import machine_name_of
 from yewstage.holding.replicas import Replicas
 from yewstage.log import address_event
-from yewstage.metrics import Metric, count, gauge, gauges
+from yewstage.metrics import Metric, counter, gauge, labelled_gauge
 from yewstage.net.config import Address
 from yewstage.net.http_server import HttpConnection, HttpRequest, HttpResponse
 from yewstage.raft.messages import AnyMessage
@@ -58,12 +58,12 @@
         service = config.service
         self.list_forwarder = ListForwarder(
             self.replicas.list_replica_addresses,
-            self.registry.later,
+            self.registry.retry_later_response,
             loop,
             rng,
             self._spawn,
             service.watches,
-            service.most_age_ms,
+            service.max_age_ms,
         )
         self.registry.forward_list = self.list_forwarder.forward
 
@@ -171,7 +171,7 @@
         return (host, int(port)) if host else None
 
     def _send(self, group: str, message: AnyMessage) -> None:
-        name = name_of(message.dst)
+        name = machine_name_of(message.dst)
         if name == self.config.name:
             return  # an earlier disk of this machine
         (self._links.get(name) or self._add_link(name)).send(frame(GroupMessage(group, message)))
@@ -195,77 +195,83 @@
         replicas_by_group = {group: backend.group.replica for group, backend in started_backends.items()}
 
         def by_group(name: str, meaning: str, values: dict[str, float]) -> Metric:
-            return gauges(name, meaning, "group", values)
+            return labelled_gauge(name, meaning, "group", values)
 
         return [
             by_group(
                 "holding_leads",
-                "1 where this process leads the group",
-                {g: r.leading() for g, r in replicas_by_group.items()},
-            ),
-            by_group(
-                "holding_term", "Raft term of the group", {g: r.term for g, r in replicas_by_group.items()}
+                "whether it leads",
+                {g: r.is_leading() for g, r in replicas_by_group.items()},
             ),
+            by_group("holding_term", "of the group", {g: r.term for g, r in replicas_by_group.items()}),
             by_group(
                 "holding_commit",
-                "commit index of the group",
+                "index",
                 {g: r.commit_index for g, r in replicas_by_group.items()},
             ),
             by_group(
                 "holding_age_seconds",
-                "upper bound on the staleness of this replica",
+                "bound on how old what is known here is",
                 {g: backend.age_ms() / 1000 for g, backend in started_backends.items()},
             ),
             by_group(
                 "holding_copies_short",
-                "live voters missing, by the leader; -1: not the leader",
+                "as the leader hears; -1: not the leader",
                 {g: replicas.missing_copies(g) for g in replicas_by_group},
             ),
-            gauge("holding_table_epoch", "epoch of the placement table known here", replicas.table.epoch),
-            gauge("holding_keys", "idempotency key records in replicas here", self.calls.key_count()),
-            gauge("holding_accounts", "quota accounts in replicas here", accounts),
-            gauge("holding_granted_units", "units in unexpired shares of accounts led here", granted),
+            gauge("holding_table_epoch", "of the places that are known here", replicas.table.epoch),
+            gauge("holding_keys", "kept here, of keyed requests", self.calls.key_count()),
+            gauge("holding_accounts", "kept here, of customers' quotas", accounts),
+            gauge("holding_granted_units", "in shares of accounts led here", granted),
             gauge(
                 "holding_disk_full",
-                "1 while writes to the disk fail",
+                "whether writes to the disk fail",
                 any(backend.broken for backend in replicas.backends.values()),
             ),
             gauge(
                 "holding_disk_bytes",
-                "size of the files",
+                "that the files take",
                 sum(backend.disk.bytes() for backend in replicas.backends.values()),
             ),
-            count("holding_elections", "elections started here", self._replica_sum("elections")),
-            count("holding_member_changes", "membership changes started here", replicas.membership_changes),
-            count(
-                "holding_copied_bytes", "sent to learners that catch up", replicas.copy_rate_limiter.copied
+            counter("holding_elections", "stood in here", self._replica_sum("elections")),
+            counter("holding_member_changes", "begun here", replicas.membership_changes),
+            counter(
+                "holding_copied_bytes",
+                "sent to copies that are made",
+                replicas.copy_rate_limiter.copied_bytes,
             ),
-            count(
+            counter(
                 "holding_disk_forgot",
-                "times a peer's disk lost acknowledged entries",
+                "what a peer's disk had said to be durable",
                 self._replica_sum("durability_losses"),
             ),
-            count("holding_passed_on", "list calls forwarded to a replica", self.list_forwarder.forwarded),
-            count(
+            counter(
+                "holding_passed_on", "calls for the list, to one that holds it", self.list_forwarder.forwarded
+            ),
+            counter(
                 "holding_passed_on_failed",
-                "forwarded list calls without an answer in time",
+                "nobody answered in time",
                 self.list_forwarder.failed,
             ),
-            count("holding_unsure", "writes with an unknown outcome", self._backend_sum("unknown_outcomes")),
-            count(
+            counter(
+                "holding_unsure",
+                "writes whose result is not known here",
+                self._backend_sum("unknown_outcomes"),
+            ),
+            counter(
                 "holding_syncs",
-                "syncs of the disk",
+                "of the disk",
                 sum(backend.disk.syncs for backend in replicas.backends.values()),
             ),
-            count("holding_messages", "messages sent to other replicas", sum(link.sent for link in links)),
-            count(
+            counter("holding_messages", "sent to other replicas", sum(link.sent for link in links)),
+            counter(
                 "holding_dropped",
-                "messages dropped because a link was down or full",
+                "messages that links took no more of",
                 sum(link.dropped for link in links),
             ),
-            count(
+            counter(
                 "holding_peers_refused",
-                "connections of another cluster or version, or with invalid frames",
+                "of another cluster or version, or nonsense",
                 self.refused_peers,
             ),
         ]
--- a/yewstage/holding/recover.py
+++ b/yewstage/holding/recover.py
@@ -25,7 +25,7 @@
 )
 from yewstage.holding.identity import Folder, read_meta
 from yewstage.holding.placement import GroupPlacement, PlacementStore, PlacementTable
-from yewstage.raft.core import Write, first_state
+from yewstage.raft.core import Write, initial_state
 from yewstage.raft.disk import Disk, DiskError
 from yewstage.raft.messages import DATA, Member
 from yewstage.registry.store import Entry, Rules
@@ -106,7 +106,7 @@
     placement_backup = backups.get(PLACEMENT_GROUP)
     if placement_backup is not None:
         table = msgspec.convert(placement_backup.state["table"], PlacementTable)
-        keyed |= {p.group for p in table.placed if p.group.startswith(KEY_GROUP_PREFIX)}
+        keyed |= {p.group for p in table.placements if p.group.startswith(KEY_GROUP_PREFIX)}
     return all_group_names(max((int(group.removeprefix(KEY_GROUP_PREFIX)) for group in keyed), default=0))
 
 
@@ -144,7 +144,7 @@
                 if group == PLACEMENT_GROUP
                 else _initial_state(group, backups, wall_ms)
             )
-            saved = first_state((me,), encode_entry(state))
+            saved = initial_state((me,), encode_entry(state))
             disk = Disk(folder.path / group)
             disk.load()
             disk.write([Write(1, (saved.term, ""), (), saved.snapshot, True)])
--- a/yewstage/holding/replicas.py
+++ b/yewstage/holding/replicas.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Coroutine
 
 from yewstage.holding.config import HoldingConfig
-from yewstage.holding.group import Group, encode_entry, first_data
+from yewstage.holding.group import Group, encode_entry, initial_list_state
 from yewstage.holding.group_names import GROUP_NAME, LIST_GROUP, PLACEMENT_GROUP, store_type_of
 from yewstage.holding.identity import Folder
 from yewstage.holding.member_changes import GroupView, lost_members, next_change
@@ -29,7 +29,7 @@
 from yewstage.holding.replicated_backend import ReplicatedBackend
 from yewstage.log import Event
 from yewstage.net.config import Address, address
-from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Write, first_state
+from yewstage.raft.core import BusyError, DurableState, NotLeaderError, Write, initial_state
 from yewstage.raft.disk import Disk
 from yewstage.raft.messages import AnyMessage, Member, Members
 from yewstage.raft.rate_limiter import CopyRateLimiter
@@ -81,7 +81,7 @@
             return self.backends[group]
         disk = Disk(self._folder.path / group)
         saved = disk.load()
-        self.torn_bytes += disk.cut
+        self.torn_bytes += disk.torn_bytes
         backend = self.backends[group] = ReplicatedBackend(
             self._group(group, saved),
             disk,
@@ -132,7 +132,7 @@
     def has_state(self, group: str) -> bool:
         """Whether this disk holds a snapshot or log entries of a group."""
         replica = self.backends[group].group.replica
-        return bool(replica.snapshot.index or replica.last)
+        return bool(replica.snapshot.index or replica.last_index)
 
     # --- What other processes report ----------------------------------------------------------------------
 
@@ -149,7 +149,7 @@
         if table.epoch > self.table.epoch:
             self.table = table
             self._changed()
-        for placed in self.table.placed:
+        for placed in self.table.placements:
             if placed.group != PLACEMENT_GROUP and any(m.id == self.me.id for m in placed.members):
                 self._bootstrap_placed(placed)
 
@@ -168,13 +168,13 @@
 
     def _initial_state(self, placed: GroupPlacement) -> bytes:
         if placed.group == LIST_GROUP:
-            return first_data(self.config.service.rules, placed.began_at_ms)
+            return initial_list_state(self.config.service.rules, placed.began_at_ms)
         return encode_entry(store_type_of(placed.group)(self.config.service.rules).snapshot())
 
     async def bootstrap(self, group: str, members: Members, data: bytes) -> None:
         """Bootstrap a group on this disk, which holds no state of it."""
         try:
-            saved = first_state(members, data)
+            saved = initial_state(members, data)
             replica = self.backends[group].group.replica
             if replica.term > saved.term:
                 saved.term, saved.vote = replica.term, replica.vote
@@ -212,7 +212,7 @@
         """
         backend, placed = self.backends[LIST_GROUP], self.table.placement_of(LIST_GROUP)
         member = any(m.id == self.me.id for m in backend.group.replica.members)
-        if placed is None or member and backend.age_ms() <= self.config.service.most_age_ms:
+        if placed is None or member and backend.age_ms() <= self.config.service.max_age_ms:
             return ()
         address_by_name = {m.name: m.call for m in self.present_members() if m.id != self.me.id}
         return tuple(
@@ -353,7 +353,7 @@
             return  # the next round tries again
         homes = {
             p.group: p.machine_names
-            for p in table.placed
+            for p in table.placements
             if p.machine_names != self.table.placement_of(p.group).machine_names
         }
         log.info(Event("places", "placement changed: {homes}", homes=str(homes)))
--- a/yewstage/net/discovery.py
+++ b/yewstage/net/discovery.py
@@ -16,7 +16,7 @@
 
 from yewstage import interface as api
 from yewstage.log import Event
-from yewstage.net.http1 import LONGEST_LIST, TOO_LATE, ConnectAttempt, Reply, ReplyProtocol
+from yewstage.net.http1 import CONNECT_TIMED_OUT, MAX_LIST_BYTES, ConnectAttempt, Reply, ReplyProtocol
 from yewstage.net.stats import DescriptorUse
 
 log = logging.getLogger(__name__)
@@ -176,11 +176,11 @@
     def _dialled(self, connection: _Watch | None, cause: str) -> None:
         self._dial = None
         if connection is None:
-            if cause == TOO_LATE:
+            if cause == CONNECT_TIMED_OUT:
                 log.warning(
                     Event(
                         "discovery_unreachable",
-                        "discovery: connecting timed out, retrying; the list of servers is kept",
+                        "discovery: cannot be reached, asking again; the list is kept",
                     )
                 )
             self._retry()
@@ -206,9 +206,7 @@
 
     def _close_silent(self) -> None:
         # Otherwise the watch would wait forever on the connection of an agent that stays silent.
-        log.warning(
-            Event("discovery_silent", "discovery: no answer in time, retrying; the list of servers is kept")
-        )
+        log.warning(Event("discovery_silent", "discovery: no answer, asking again; the list is kept"))
         if self._connection is not None:
             self._connection.abort()
 
@@ -220,7 +218,7 @@
             log.warning(
                 Event(
                     "discovery_turned_away",
-                    "discovery: request refused, retrying; the list of servers is kept",
+                    "discovery: turned away, the list is kept",
                 )
             )
             connection.abort()
@@ -235,7 +233,7 @@
             log.warning(
                 Event(
                     "discovery_bad_answer",
-                    "discovery: bad answer, the list of servers is kept: {error}",
+                    "discovery: bad answer, the list is kept: {error}",
                     error=str(error),
                 )
             )
@@ -274,7 +272,7 @@
     """Connection to the agent."""
 
     def __init__(self, owner: Discovery) -> None:
-        super().__init__(LONGEST_LIST)
+        super().__init__(MAX_LIST_BYTES)
         self._owner = owner
         self.is_waiting = False
 
