--- a/plumwall/emulator/tally.py
+++ b/plumwall/emulator/tally.py
@@ -156,8 +156,8 @@
         """Why the run is not valid for the gateways; empty if it is."""
         if self.lateness_ms() > MAX_LATENESS_MS:
             return (
-                f"the load tool was late: 99% of tries sent within {self.lateness_ms():.1f} ms, "
-                f"the limit is {MAX_LATENESS_MS:g} ms"
+                f"the load tool was late: 99 in 100 tries within {self.lateness_ms():.1f} ms, "
+                f"{MAX_LATENESS_MS:g} wanted"
             )
         return ""
 
--- a/plumwall/judge.py
+++ b/plumwall/judge.py
@@ -191,7 +191,7 @@
                 self.findings.add(
                     REQUESTS,
                     answered.at,
-                    "sent bytes to a client that had no open request",
+                    "said something where nothing was asked",
                     gateway=answered.gateway,
                 )
         attempts_at: dict[tuple[str, str], list[Attempt]] = defaultdict(list)
@@ -205,7 +205,7 @@
                     self.findings.add(
                         EFFECTS,
                         record.at,
-                        "an attempt with an id that no client sent",
+                        "an attempt whose id no client sent",
                         record.id,
                         record.server,
                         record.gateway,
@@ -229,13 +229,13 @@
             late_ms = end.at - asked.at - asked.left_ms
             if end.how == r.COMPLETE:
                 if late_ms > overdue_ms:
-                    self._add_request_finding(client_try, f"was answered {late_ms:.0f} ms after its deadline")
+                    self._add_request_finding(client_try, f"was answered {late_ms:.0f} ms after its time")
             elif end.how == r.WRONG_BODY:
-                self._add_request_finding(client_try, "was answered 200 with a body that no server sent")
+                self._add_request_finding(client_try, "was served with what no server made")
             elif end.how == r.CLOSED and not was_killed and (client_try.attempts or not asked.fresh):
-                self._add_request_finding(client_try, "lost its connection without an answer")
+                self._add_request_finding(client_try, "lost its connection with no answer")
             elif end.how == r.TIMED_OUT and not was_killed:
-                self._add_request_finding(client_try, f"had no answer {late_ms:.0f} ms after its deadline")
+                self._add_request_finding(client_try, f"had no answer {late_ms:.0f} ms after its time")
 
         for resent in self._resent:
             client_try = self.tries[resent.id]
@@ -244,7 +244,7 @@
                 self.findings.add(
                     REQUESTS,
                     resent.at,
-                    "lost its connection after it had been sent to a server",
+                    "lost its connection after it was sent on",
                     resent.id,
                     gateway=resent.gateway,
                 )
@@ -259,7 +259,7 @@
         if len(unanswered) > len(self.tries) * MAX_UNANSWERED_SHARE:
             self._add_request_finding(
                 unanswered[-1],
-                f"was one of {len(unanswered)} tries whose new connection was closed unanswered",
+                f"was one of {len(unanswered)} whose new connection was closed with no answer",
             )
 
     def _add_request_finding(self, client_try: Try, what: str) -> None:
@@ -276,17 +276,17 @@
             if len(client_try.attempts) > self._scenario.fleet.max_attempts:
                 self._add_effect_finding(
                     client_try.attempts[-1],
-                    f"was attempt {len(client_try.attempts)} of its request, more than max_attempts",
+                    f"was attempt {len(client_try.attempts)} of a request",
                 )
             ran = [a for a in client_try.attempts if a.may_have_run()]
             strict = cls.effect == "unsafe" or (cls.effect == "keyed" and cls.group != "all")
             if client_try.status() in REFUSED_STATUS and strict and ran:
-                self._add_effect_finding(ran[0], "may have run, but its request was answered as refused")
+                self._add_effect_finding(ran[0], "may have run, and its request was refused")
 
     def _check_repeat(self, cls: Class, client_try: Try, before: list[Attempt], attempt: Attempt) -> None:
         now = attempt.arrived.at
         if any(a.in_flight_until_ms() > now + self._tolerance_ms for a in before):
-            self._add_effect_finding(attempt, "was sent while another attempt was in flight")
+            self._add_effect_finding(attempt, "was sent while another attempt was out")
             return
         ran = [a for a in before if a.may_have_run()]
         if not ran or cls.effect == "safe":
@@ -294,11 +294,9 @@
         if cls.effect == "unsafe":
             self._add_effect_finding(attempt, "was sent again after an attempt that may have run")
         elif now - ran[0].arrived.began > cls.window_ms + self._tolerance_ms:
-            self._add_effect_finding(
-                attempt, "was sent again after the window in which servers remember its key"
-            )
+            self._add_effect_finding(attempt, "was sent again after its key was forgotten")
         elif any(not self._share_keys(cls, a.arrived.server, attempt.arrived.server) for a in ran):
-            self._add_effect_finding(attempt, "was sent again to a server that does not know its key")
+            self._add_effect_finding(attempt, "was sent again to where its key is not known")
 
     def _share_keys(self, cls: Class, server: str, other: str) -> bool:
         a, b = self._servers[server], self._servers[other]
@@ -318,8 +316,7 @@
                 self.findings.add(
                     DRAINS,
                     attempt.began,
-                    f"was sent {attempt.began - since:.0f} ms after its gateway was told "
-                    "that the server drains or is gone",
+                    f"was sent {attempt.began - since:.0f} ms after its gateway was told",
                     attempt.id,
                     attempt.server,
                     attempt.gateway,
@@ -349,8 +346,7 @@
                 self.findings.add(
                     COLD,
                     fallen.at,
-                    f"fell over under {work_ms:.0f} ms of work, {known_ms:.0f} ms of it "
-                    "by gateways that knew of its start",
+                    f"fell over under {work_ms:.0f} ms of work, {known_ms:.0f} of it by gateways that knew",
                     server=fallen.server,
                     gateway=busiest,
                 )
@@ -372,7 +368,7 @@
                     CEILINGS,
                     now,
                     f"put customer {self._world.customers[customer].id} "
-                    f"{-bucket.units:.1f} units past its ceiling, {slack:.1f} allowed",
+                    f"{-bucket.units:.1f} units past its ceiling, of {slack:.1f} allowed",
                     client_try.asked.id,
                     gateway=client_try.asked.gateway,
                 )
