--- a/plumwall/emulator/backing.py
+++ b/plumwall/emulator/backing.py
@@ -39,7 +39,7 @@
     ) -> None:
         settings, rng = world.scenario.counter, world.random_streams.stream("counter")
         self._world, self._loop, self._write, self._now, self._address = world, loop, write, now, address
-        self._zone = world.scenario.fleet.zones[0]  # the counter stands in the first zone
+        self._zone = world.scenario.fleet.zones[0]  # the counter is in the first zone
         self.model = Counter(
             draw_between(rng, settings.calls_per_s),
             settings.parts,
--- a/plumwall/emulator/clients.py
+++ b/plumwall/emulator/clients.py
@@ -444,6 +444,6 @@
         return "POST", request_class, "Content-Length: 2\r\n\r\n{}"
 
 
-def interpolate(span: object, luck: float) -> float:
-    """The value at a fraction `luck` (0 to 1, drawn earlier) of a span."""
-    return span.least + (span.most - span.least) * luck
+def interpolate(span: object, fraction: float) -> float:
+    """The value of a span at `fraction` (0 to 1, drawn earlier)."""
+    return span.least + (span.most - span.least) * fraction
--- a/yewstage/net/claim_record.py
+++ b/yewstage/net/claim_record.py
@@ -154,9 +154,9 @@
         if len(self._tasks) >= MAX_PENDING_SETTLEMENTS:
             self.lost_settlements += 1
             return
-        self._spawn(self._settle_until_heard(claim, verb, body))
+        self._spawn(self._settle_until_acknowledged(claim, verb, body))
 
-    async def _settle_until_heard(self, claim: KeyClaim, verb: str, body: dict[str, object]) -> None:
+    async def _settle_until_acknowledged(self, claim: KeyClaim, verb: str, body: dict[str, object]) -> None:
         """Repeat a settlement until it is acknowledged; the call is idempotent."""
         deadline_s = self._loop.time() + SETTLE_TIMEOUT_S
         while self._loop.time() < deadline_s:
